--- a/internal/rig/main.go
+++ b/internal/rig/main.go
@@ -23,6 +23,10 @@
 	envFile = "TRAILDRIFT_RIG_FILE"
 	// envProfile names a folder for processor profiles, one a process.
 	envProfile = "TRAILDRIFT_RIG_PROFILE"
+	// envOther names a program of another revision that calls Main, and envOtherRole the role
+	// whose processes run it: see scripts/mixed.sh.
+	envOther     = "TRAILDRIFT_RIG_OTHER"
+	envOtherRole = "TRAILDRIFT_RIG_OTHER_ROLE"
 )
 
 // Main runs the process that the environment asks for and exits; it returns
--- a/internal/rig/node.go
+++ b/internal/rig/node.go
@@ -48,6 +48,9 @@
 	if err != nil {
 		return err
 	}
+	if other := os.Getenv(envOther); other != "" && n.VM.Role == os.Getenv(envOtherRole) {
+		self = other
+	}
 	n.cmd = exec.Command(self)
 	n.cmd.Env = append(os.Environ(), envRole+"="+n.VM.Role, envFile+"="+n.file)
 	n.cmd.Stdout, n.cmd.Stderr = out, out
