--- a/internal/assert/assert.go
+++ b/internal/assert/assert.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package assert checks invariants inside the running program. A violation is
-// logged and counted; where Fatal is set, as in tests, it panics.
+// Package assert checks invariants of the running process. A violation is logged
+// and counted. After SetFatal, which tests call, it also panics.
 package assert
 
 import (
@@ -17,16 +17,18 @@
 	logger     atomic.Pointer[zap.Logger]
 )
 
-// SetFatal makes every later violation panic. Tests call it first.
+// SetFatal makes every later violation panic. It is for tests, which call it before
+// anything else.
 func SetFatal() { fatal.Store(true) }
 
-// SetLogger sets where violations are logged.
+// SetLogger sets the logger of violations. Without one they are only counted.
 func SetLogger(l *zap.Logger) { logger.Store(l) }
 
-// Violations returns how many invariants were found broken in this process.
+// Violations returns the number of violations in this process so far.
 func Violations() int64 { return violations.Load() }
 
-// That reports a violation of the named invariant unless ok. It returns ok.
+// That records a violation of the named invariant if ok is false, with fields in
+// its log line. It returns ok.
 func That(ok bool, invariant string, fields ...zap.Field) bool {
 	if ok {
 		return true
--- a/internal/clock/common.go
+++ b/internal/clock/common.go
@@ -9,41 +9,46 @@
 	"time"
 )
 
-// Common estimates the true time from the clocks of many VMs, of which most are right: a
-// VM's time of day may be stepped, and may have been before the process began. Use NewCommon.
+// MedianClock estimates the true time as the median of the clocks of many VMs. It assumes that most
+// of them are right. The wall clock of a single VM may be stepped, also before the process starts.
+// It must be created with NewMedianClock and is safe for concurrent use.
 type Common struct {
-	// Boot is a clock that is never stepped and counts suspensions.
+	// Boot returns the time since an arbitrary start. It is never stepped and includes suspensions.
 	Boot func() time.Duration
-	// began is the time of day at which the process began, and beganBoot what Boot told then.
+	// began is the wall clock time at which the MedianClock was created, and beganBoot the value of
+	// Boot then.
 	began     time.Time
 	beganBoot time.Duration
 	mu        sync.Mutex
-	// ahead holds how far the clocks of others are ahead of this one, by their names.
+	// ahead holds the offsets of other clocks from the local one, by name.
 	ahead map[string]offset
 }
 
-// offset is how far a clock is ahead, and until when that counts.
+// offset is how far a clock is ahead of the local one.
 type offset struct {
-	by    time.Duration
+	by time.Duration
+	// until is when the offset expires, by the local clock.
 	until time.Time
 }
 
 const (
-	// offsetHolds is how long what was heard of a clock counts.
+	// offsetHolds is how long an observed offset is used.
 	offsetHolds = 20 * time.Second
-	// offsetsMost bounds the clocks that are remembered.
+	// offsetsMost is the maximum number of other clocks.
 	offsetsMost = 512
 )
 
-// NewCommon returns a clock that knows no other yet; wall is the time of day.
+// NewMedianClock returns a clock without observations of others. The boot argument sets Boot, and wall
+// is the present time by the wall clock.
 func NewCommon(boot func() time.Duration, wall time.Time) *Common {
 	return &Common{Boot: boot, began: wall.Round(0), beganBoot: boot(), ahead: make(map[string]offset)}
 }
 
-// Own returns the time by the clock of this VM alone, without the steps since the process began.
+// Local returns the time by the local clock alone, without the steps since the MedianClock was created.
 func (c *Common) Own() time.Time { return c.began.Add(c.Boot() - c.beganBoot) }
 
-// Heard notes the time that a clock showed just now.
+// Observe records that the named clock currently shows the time at. It replaces the previous
+// observation of that clock. A further clock is ignored while the maximum number is reached.
 func (c *Common) Heard(name string, at time.Time) {
 	own := c.Own()
 	c.mu.Lock()
@@ -53,8 +58,8 @@
 	}
 }
 
-// Now returns the true time by what is known: that of the middle one of all clocks, and of two
-// in the middle of the one that is nearer to this.
+// Now returns the estimate of the true time: the median of the local clock and all observed ones.
+// Where two clocks are in the middle, it is the one that is nearer to the local clock.
 func (c *Common) Now() time.Time {
 	own := c.Own()
 	c.mu.Lock()
--- a/internal/clock/common_test.go
+++ b/internal/clock/common_test.go
@@ -9,13 +9,15 @@
 	"time"
 )
 
-// A clock that was stepped, before or after its process began, tells the true time once it has
-// heard of a few others, and one that is right is not led astray by a few that were.
+// TestMedianClock checks that a clock that was stepped before its process started returns the true time
+// once it has observed a few others, that a right clock is not moved by a minority of stepped ones, and
+// that observations expire.
 func TestCommon(t *testing.T) {
 	truth := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		name string
-		// own is how far the own clock is ahead, others are those of others.
+		// own is how far the local clock is ahead of the true time, and others
+		// how far the other clocks are.
 		own    time.Duration
 		others []time.Duration
 		want   time.Duration
@@ -39,7 +41,7 @@
 		}
 		boot = offsetHolds + 2*time.Second
 		if got := k.Now().Sub(truth.Add(boot)); got != c.own {
-			t.Errorf("%s: long after: got %v ahead, want the own clock's %v", c.name, got, c.own)
+			t.Errorf("%s: after the observations expired: got %v ahead, want the local clock's %v", c.name, got, c.own)
 		}
 	}
 }
--- a/internal/clock/still.go
+++ b/internal/clock/still.go
@@ -10,33 +10,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the VM was started, suspensions included.
+// Boot returns the time since the VM was booted, including suspensions.
 func Boot() time.Duration {
 	var ts unix.Timespec
-	// It fails for a clock that the kernel lacks, and Linux has had this one since 2.6.39.
+	// The call fails only if the kernel lacks the clock, and Linux has had it since 2.6.39.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts)
 	return time.Duration(ts.Nano())
 }
 
-// Still notices that the process stood still, by ticks that come regularly. Set its clocks
-// before the first tick; the zero values of the others are ready for use.
+// StallDetector detects that the process did not run for some time, from the gap between periodic
+// calls of Tick. The exported fields must be set before the first use; the zero values of the others
+// are ready for use. It is safe for concurrent use.
 type Still struct {
-	// Boot counts suspensions, Now need not.
+	// Boot returns the time by a clock that includes suspensions.
 	Boot func() time.Duration
-	Now  func() time.Time
-	// Least is how late a tick is for the process to have stood still.
+	// Now returns the present time. It need not include suspensions.
+	Now func() time.Time
+	// Least is the shortest gap between ticks, by Boot, that counts as a stall.
 	Least time.Duration
 	mu    sync.Mutex
-	// tickedAt is when the last tick came, by both clocks.
+	// tickedAt and tickedBoot are the time of the last tick, by both clocks.
 	tickedAt   time.Time
 	tickedBoot time.Duration
-	// wokeAt is when the process went on last, and hidden how much of all the time that it
-	// stood still Now did not count: what was true before the last time is at least as new.
+	// wokeAt is when a tick last ended a stall.
 	wokeAt time.Time
+	// hidden is the part of all stalls so far that Now did not include. It is added to the age of
+	// a time before the last stall, which overstates the age if other stalls precede that time.
 	hidden time.Duration
 }
 
-// Tick notes a tick, and returns how long the process stood still before it; 0 if it did not.
+// Tick records a tick. It returns the duration of the stall that the tick ends, 0 if there was none.
 func (s *Still) Tick() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,8 +53,8 @@
 	return stood
 }
 
-// sinceTick returns how long the process has stood still since the last tick, 0 if it has not, and
-// how much of that Now did not count; mu is held.
+// sinceTick returns the duration of the stall since the last tick, 0 if there is none, and the part of
+// it that Now did not include; mu is held.
 func (s *Still) sinceTick(now time.Time, boot time.Duration) (stood, hidden time.Duration) {
 	gap := boot - s.tickedBoot
 	if s.tickedAt.IsZero() || gap < s.Least {
@@ -60,8 +63,9 @@
 	return gap, max(gap-now.Sub(s.tickedAt), 0)
 }
 
-// Waking reports whether the process stands still by the clock that counts suspensions, or has
-// gone on less than a time ago: what it believes is from before.
+// Resuming reports whether the process has stalled and no tick has followed yet, or whether a tick
+// ended a stall less than window ago. In both cases the state of the process may date from before the
+// stall.
 func (s *Still) Waking(within time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,9 +74,10 @@
 	return stood > 0 || !s.wokeAt.IsZero() && now.Sub(s.wokeAt) < within
 }
 
-// Age returns how old what was true at a time is now, at least, also where the process stood still
-// since. Until the tick after that it is taken to be older than all that is known: a copy of the
-// store would otherwise be vouched for as new in the meantime.
+// Age returns the time from at to now, both read from Now, plus the stall time that Now did not
+// include. It may exceed the real age, and falls short of it only by gaps less than Least. A stall that
+// no tick has ended yet is added to every age: a copy of the store would otherwise be reported as up to
+// date until that tick.
 func (s *Still) Age(at, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/clock/still_test.go
+++ b/internal/clock/still_test.go
@@ -8,14 +8,16 @@
 	"time"
 )
 
-// hands are clocks that are set by hand.
+// manualClocks are clocks that the test advances.
 type hands struct {
 	now  time.Time
 	boot time.Duration
 }
 
-// pass lets time pass that both clocks count, sleep such as the VM is suspended for.
-func (h *hands) pass(d time.Duration)  { h.now, h.boot = h.now.Add(d), h.boot+d }
+// advance advances both clocks.
+func (h *hands) pass(d time.Duration) { h.now, h.boot = h.now.Add(d), h.boot+d }
+
+// suspend advances only the clock that includes suspensions.
 func (h *hands) sleep(d time.Duration) { h.boot += d }
 
 func newStill() (*hands, *Still) {
@@ -23,8 +25,9 @@
 	return h, &Still{Boot: func() time.Duration { return h.boot }, Now: func() time.Time { return h.now }, Least: 400 * time.Millisecond}
 }
 
-// A frozen process and a suspended VM are noticed alike, before the next tick and by it; what
-// was known before a suspension is as old as it is.
+// TestStallDetector checks that a frozen process and a suspended VM are both detected, before the next
+// tick and by it, and that ages include the stall: state from before a suspension must not appear newer
+// than it is.
 func TestStill(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -47,35 +50,35 @@
 		}
 		c.stop(h)
 		if got := s.Waking(0); got != c.waking {
-			t.Errorf("%s: waking before the tick: got %v, want %v", c.name, got, c.waking)
+			t.Errorf("%s: Resuming before the tick: got %v, want %v", c.name, got, c.waking)
 		}
 		if got := s.Age(proven, h.now); got != c.age {
-			t.Errorf("%s: age before the tick of what was true before: got %v, want %v", c.name, got, c.age)
+			t.Errorf("%s: age of a time before the stall, before the tick: got %v, want %v", c.name, got, c.age)
 		}
 		if got := s.Tick(); got != c.stood {
-			t.Errorf("%s: stood still: got %v, want %v", c.name, got, c.stood)
+			t.Errorf("%s: duration of the stall: got %v, want %v", c.name, got, c.stood)
 		}
 		if got := s.Waking(30 * time.Millisecond); got != c.waking {
-			t.Errorf("%s: waking after the tick: got %v, want %v", c.name, got, c.waking)
+			t.Errorf("%s: Resuming after the tick: got %v, want %v", c.name, got, c.waking)
 		}
 		if got := s.Age(proven, h.now); got != c.age {
-			t.Errorf("%s: age of what was true before: got %v, want %v", c.name, got, c.age)
+			t.Errorf("%s: age of a time before the stall, after the tick: got %v, want %v", c.name, got, c.age)
 		}
 		h.pass(50 * time.Millisecond)
 		if s.Waking(30 * time.Millisecond) {
-			t.Errorf("%s: waking 50 ms later: got true", c.name)
+			t.Errorf("%s: Resuming 50 ms after the tick: got true, want false", c.name)
 		}
 		if got := s.Age(h.now, h.now); got != 0 {
-			t.Errorf("%s: age of what is true now: got %v, want 0", c.name, got)
+			t.Errorf("%s: age of the present: got %v, want 0", c.name, got)
 		}
 	}
 }
 
-// The boot clock of this machine goes on with the others.
+// TestBoot checks that the boot clock of this machine advances with the timers.
 func TestBoot(t *testing.T) {
 	a := Boot()
 	<-time.After(5 * time.Millisecond)
 	if d := Boot() - a; d < 5*time.Millisecond || d > 5*time.Second {
-		t.Errorf("5 ms later: got %v more", d)
+		t.Errorf("advance of Boot over 5 ms: got %v, want 5 ms to 5 s", d)
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package golden holds what tests print against files in testdata. Only tests use
-// it; their binaries get the flag -update.
+// Package golden compares the output of tests with golden files in testdata. Only
+// tests may import it, as it registers the flag -update.
 package golden
 
 import (
@@ -15,7 +15,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// Check compares got with the named file in testdata.
+// Check fails the test unless got equals the content of the named file in
+// testdata. With -update it writes got to the file first.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
--- a/internal/logs/bounded.go
+++ b/internal/logs/bounded.go
@@ -12,22 +12,27 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// linesHeld bounds the lines that wait to be written; more are dropped and
-// counted. At 400 bytes a line they take 800 KB.
+// maxQueuedLines is the capacity of the queue of lines; further lines are dropped
+// and counted. At 400 bytes per line a full queue takes 800 KB.
 const linesHeld = 2048
 
-// Bounded writes lines without ever blocking their writers. Use NewBounded.
+// AsyncWriter writes log lines from a bounded queue, so that a slow output never
+// blocks the callers. It must be created with NewAsync and is safe for concurrent
+// use.
 type Bounded struct {
 	mu sync.Mutex
-	// lines is closed by Close; nobody sends afterwards.
-	lines   chan []byte
+	// lines is closed by Close; nothing is sent afterwards.
+	lines chan []byte
+	// closed reports that lines is closed.
 	closed  bool
 	dropped atomic.Int64
-	ended   chan struct{}
+	// ended is closed when the goroutine of write returns.
+	ended chan struct{}
 }
 
-// NewBounded returns a logger of JSON lines to w at the given level, and what
-// writes them. The lines that were dropped are counted and told of.
+// NewAsync returns a logger that writes JSON lines to w from the given level up,
+// and its writer, which counts the dropped lines. An empty or unknown level means
+// info. The caller must call Close.
 func NewBounded(w io.Writer, level string) (*zap.Logger, *Bounded) {
 	b := &Bounded{lines: make(chan []byte, linesHeld), ended: make(chan struct{})}
 	go b.write(w)
@@ -40,7 +45,8 @@
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(enc), b, l)), b
 }
 
-// Write takes a line, or drops it if too many wait.
+// Write queues a copy of line, or drops it if the queue is full. After Close it
+// discards the line without counting it. It always returns len(line) and no error.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,13 +61,15 @@
 	return len(line), nil
 }
 
-// Sync does nothing: lines are written as soon as the output takes them.
+// Sync does nothing and returns nil: lines are written as soon as the output accepts
+// them.
 func (b *Bounded) Sync() error { return nil }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines: those that found the queue full and
+// those whose write failed.
 func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
 
-// Close writes what waits and ends the writer.
+// Close waits until the queued lines are written and stops the writer.
 func (b *Bounded) Close() {
 	b.mu.Lock()
 	if !b.closed {
@@ -72,7 +80,7 @@
 	<-b.ended
 }
 
-// write hands the lines on; where the output fails, they are dropped and counted.
+// write writes the queued lines to w; lines whose write fails are dropped and counted.
 func (b *Bounded) write(w io.Writer) {
 	defer close(b.ended)
 	for line := range b.lines {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package logs builds the process's logger: JSON lines of short sentences,
-// each with the fixed prefix of its part.
+// Package logs creates the loggers of a process. They write JSON lines, whose
+// messages are short sentences with the fixed prefix of the component.
 package logs
 
 import (
@@ -14,8 +14,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger that writes JSON lines to standard error at the given
-// level; an empty or unknown one is info.
+// New returns a logger that writes JSON lines to standard error from the given
+// level up. An empty or unknown level means info.
 func New(level string) *zap.Logger {
 	cfg := zap.NewProductionConfig()
 	cfg.EncoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -32,21 +32,23 @@
 	return l
 }
 
-// Library hands a library's own lines to the debug level of a logger, under
-// the prefix of its part. The zero value drops them.
+// LibraryLogger writes the messages of a library to a logger at debug level. The
+// zero value discards them.
 type Library struct {
-	Log    *zap.Logger
+	Log *zap.Logger
+	// Prefix is the prefix of the component that uses the library.
 	Prefix string
 }
 
-// Printf writes one line.
+// Printf logs one formatted message.
 func (l Library) Printf(format string, args ...any) {
 	if l.Log != nil {
 		l.Log.Debug(l.Prefix + ": " + fmt.Sprintf(format, args...))
 	}
 }
 
-// Err is the field for an error: its text alone, without a stack.
+// Err returns the log field "error" with the text of err, without a stack trace,
+// or no field if err is nil.
 func Err(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
@@ -54,13 +56,13 @@
 	return zap.String("error", err.Error())
 }
 
-// Standard returns a logger of the standard library whose lines go to the debug
-// level of log, under the prefix of their part.
+// NewStdLog returns a logger of the standard library that writes to log at debug
+// level, with the prefix of the component.
 func Standard(log *zap.Logger, prefix string) *stdlog.Logger {
 	return stdlog.New(lineWriter{Library{Log: log, Prefix: prefix}}, "", 0)
 }
 
-// lineWriter hands each write on as one line.
+// lineWriter logs each write as one message, without surrounding white space.
 type lineWriter struct{ lib Library }
 
 func (w lineWriter) Write(line []byte) (int, error) {
--- a/internal/tasks/group.go
+++ b/internal/tasks/group.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package tasks starts goroutines that take a context and report their end on
-// a channel that their owner reads.
+// Package tasks runs groups of goroutines whose owner waits for them and receives
+// their errors, and has helpers for waiting.
 package tasks
 
 import (
@@ -12,20 +12,24 @@
 
 // End reports that a goroutine has ended.
 type End struct {
-	// Name is what the goroutine was started as.
+	// Name is the name that was passed to Go.
 	Name string
-	// Err is what it returned; nil for a plain end.
+	// Err is the error that the goroutine returned.
 	Err error
 }
 
-// Group owns goroutines. The zero value is ready for use.
+// Group is a set of goroutines. Wait must be called for a group that has
+// started any: each goroutine blocks at its end until Wait reads its End. The zero
+// value is ready for use. Group is safe for concurrent use.
 type Group struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// running counts the goroutines whose End was not read yet.
 	running int
-	ends    chan End
+	// ends is made by the first Go.
+	ends chan End
 }
 
-// Go starts fn in a goroutine that the group owns.
+// Go runs fn in a goroutine of the group, with ctx as its context.
 func (g *Group) Go(ctx context.Context, name string, fn func(ctx context.Context) error) {
 	g.mu.Lock()
 	if g.ends == nil {
@@ -39,8 +43,9 @@
 	}()
 }
 
-// Wait reads the ends of all goroutines started before or during the call and
-// passes each to report, which may be nil.
+// Wait waits for all goroutines that were started before or during the call, and
+// calls report with the End of each unless it is nil. Only one goroutine may call
+// Wait at a time.
 func (g *Group) Wait(report func(End)) {
 	for {
 		g.mu.Lock()
--- a/internal/tasks/pause.go
+++ b/internal/tasks/pause.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Pause returns at t, or when ctx is done.
+// Pause waits until t or until ctx is done.
 func Pause(ctx context.Context, t time.Time) {
 	left := time.Until(t)
 	if left <= 0 {
@@ -22,7 +22,7 @@
 	}
 }
 
-// IsDone reports whether a channel that is closed at an end is closed.
+// IsDone reports whether ch is closed. Nothing may be sent on ch.
 func IsDone(ch <-chan struct{}) bool {
 	select {
 	case <-ch:
--- a/pkg/admit/queue.go
+++ b/pkg/admit/queue.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package admit decides which runs an endpoint takes now, which wait and
-// which are refused. It is a pure state machine: it reads no clock and does no
-// I/O, and each step returns what the caller must do.
+// Package admit implements admission control for one endpoint: it decides
+// which runs start now, which wait and which are refused. It is a pure state
+// machine: it reads no clock and does no I/O, and each method returns what the
+// caller must do.
 package admit
 
 import (
@@ -13,57 +14,64 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Limits are the bounds of a Queue.
+// Limits configures a Queue.
 type Limits struct {
-	// Slots is how many runs may be under way.
+	// Slots is the maximum number of concurrent runs.
 	Slots int
-	// Reserved is how many of the slots patient runs must leave free.
+	// Reserved is the number of slots that patient runs may not use.
 	Reserved int
-	// Waiting is how many runs may wait.
+	// Waiting is the maximum number of waiting runs.
 	Waiting int
-	// AgeAt is how long after its arrival a patient run counts as an
-	// interactive one, so that it never starves.
+	// AgeAt returns the time from which a patient run that arrived at the
+	// given time is treated as interactive, so that it cannot starve. If it
+	// is nil, patient runs stay patient.
 	AgeAt func(arrived time.Time) time.Time
 }
 
-// Item is one run that wants a slot.
+// Item is one run that needs a slot.
 type Item struct {
 	// ID is unique among the items in the queue.
 	ID string
-	// Patient says that the run may wait behind interactive ones.
+	// Patient reports that the run may wait behind interactive ones.
 	Patient bool
 	// Arrived is when the item was offered.
 	Arrived time.Time
 	// Deadline is when the run must have ended.
 	Deadline time.Time
-	// Work estimates the time the run takes once it has a slot, as the time
-	// at which it would end if it started at Arrived.
+	// Work is when the run would end if it had started at Arrived. The
+	// queue takes the difference to Arrived as the estimated service time; a
+	// zero value means no estimate.
 	Work time.Time
 }
 
-// Verdict says what becomes of an offered item.
+// Verdict is the result of offering an item. Exactly one of Admitted, Queued
+// and Refused is set.
 type Verdict struct {
-	// Admitted says that the item has a slot now.
+	// Admitted reports that the item holds a slot now.
 	Admitted bool
-	// Queued says that it waits.
+	// Queued reports that the item waits for a slot.
 	Queued bool
-	// Refused names the kind if it is neither; RetryAt says when to come
-	// back.
+	// Refused is the kind of the refusal.
 	Refused fault.Kind
+	// RetryAt is when the caller should retry after a refusal; zero if a
+	// retry makes no sense, as the deadline has passed.
 	RetryAt time.Time
 }
 
-// Queue is the admission of one endpoint. Use New.
+// Queue is the admission queue of one endpoint. It must be created with New
+// and is not safe for concurrent use.
 type Queue struct {
 	limits Limits
-	// running holds the items that have a slot; never more than Slots.
+	// running holds the items that have a slot, by ID; never more than
+	// Slots. Arrived of these items is when they got their slot.
 	running map[string]Item
-	// patient counts the running items that are patient and were admitted
-	// as such; never more than Slots minus Reserved.
+	// patient is the set of IDs of the running items that were patient when
+	// they were admitted; never more than Slots minus Reserved.
 	patient map[string]bool
 	// waiting is in order of arrival; never longer than Waiting.
 	waiting []Item
-	// mean is the moving mean of the time a run holds its slot, in seconds.
+	// mean is the exponentially weighted moving average of the time that
+	// runs hold their slots, in seconds; 0 before the first run has ended.
 	mean float64
 }
 
@@ -72,13 +80,16 @@
 	return &Queue{limits: l, running: make(map[string]Item), patient: make(map[string]bool)}
 }
 
-// Running returns how many items have a slot.
+// Running returns the number of items that hold a slot.
 func (q *Queue) Running() int { return len(q.running) }
 
-// Waiting returns how many items wait.
+// Waiting returns the number of items that wait.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// Offer takes a new item.
+// Offer admits, queues or refuses a new item. It refuses with DeadlinePassed if
+// the deadline is not after now, with Overloaded if the maximum number of items
+// wait, and with DeadlineTooSoon if the item is expected to end after its
+// deadline.
 func (q *Queue) Offer(now time.Time, it Item) Verdict {
 	if !it.Deadline.After(now) {
 		return Verdict{Refused: fault.DeadlinePassed}
@@ -97,8 +108,8 @@
 	return Verdict{Queued: true}
 }
 
-// overtakes reports whether admitting it now would pass a waiting item that
-// could start as well.
+// overtakes reports whether admitting the item now would overtake a waiting
+// item that is ordered before it and could start as well.
 func (q *Queue) overtakes(it Item, now time.Time) bool {
 	for _, w := range q.waiting {
 		if q.fits(w, now) && !q.before(it, w, now) {
@@ -108,12 +119,12 @@
 	return false
 }
 
-// interactive reports whether it counts as interactive at now.
+// interactive reports whether the item is treated as interactive at now.
 func (q *Queue) interactive(it Item, now time.Time) bool {
 	return !it.Patient || (q.limits.AgeAt != nil && !q.limits.AgeAt(it.Arrived).After(now))
 }
 
-// fits reports whether there is a slot that it may take.
+// fits reports whether a slot is free that the item may use.
 func (q *Queue) fits(it Item, now time.Time) bool {
 	if len(q.running) >= q.limits.Slots {
 		return false
@@ -128,8 +139,8 @@
 	}
 }
 
-// before orders waiting items: interactive ones first, then the earlier
-// deadline, then the earlier arrival.
+// before orders waiting items: interactive items first, then by earlier
+// deadline, then by earlier arrival.
 func (q *Queue) before(a, b Item, now time.Time) bool {
 	ia, ib := q.interactive(a, now), q.interactive(b, now)
 	if ia != ib {
@@ -141,11 +152,11 @@
 	return a.Arrived.Before(b.Arrived)
 }
 
-// meanWeight is the weight of the newest run in the moving mean.
+// meanWeight is the weight of the newest run in the moving average.
 const meanWeight = 0.1
 
-// Done frees the slot of an item, and appends to dst the items that may start
-// now.
+// Done frees the slot of an item, and appends to dst the waiting items that
+// start in consequence, as Next does. An ID that holds no slot frees none.
 func (q *Queue) Done(now time.Time, id string, dst []Item) []Item {
 	if it, ok := q.running[id]; ok {
 		held := now.Sub(it.Arrived).Seconds()
@@ -159,8 +170,8 @@
 	return q.Next(now, dst)
 }
 
-// Next appends to dst the waiting items that may start now; they have their
-// slot from then on.
+// Next starts the waiting items for which there are slots and appends them to
+// dst. They hold their slots until Done is called for them.
 func (q *Queue) Next(now time.Time, dst []Item) []Item {
 	for {
 		best := -1
@@ -179,8 +190,8 @@
 	}
 }
 
-// Expire removes and appends to dst the waiting items whose deadline has
-// passed.
+// Expire removes the waiting items whose deadline has passed and appends them
+// to dst.
 func (q *Queue) Expire(now time.Time, dst []Item) []Item {
 	q.waiting = slices.DeleteFunc(q.waiting, func(it Item) bool {
 		if it.Deadline.After(now) {
@@ -192,14 +203,16 @@
 	return dst
 }
 
-// Remove takes a waiting item out and reports whether it was waiting.
+// Remove removes a waiting item and reports whether it was waiting.
 func (q *Queue) Remove(id string) bool {
 	n := len(q.waiting)
 	q.waiting = slices.DeleteFunc(q.waiting, func(it Item) bool { return it.ID == id })
 	return len(q.waiting) < n
 }
 
-// expected returns when it would end if it had to wait for those before it.
+// expected estimates when the item would end if it waited behind the items
+// that are ordered before it. A patient item that has no slots to use is
+// expected to miss its deadline.
 func (q *Queue) expected(it Item, now time.Time) time.Time {
 	ahead := 0
 	for _, w := range q.waiting {
@@ -219,15 +232,15 @@
 	return now.Add(wait + it.work())
 }
 
-// work returns the estimate of Work, or 0 without one.
+// work returns the estimated service time, or 0 if there is no estimate.
 func (it Item) work() time.Duration {
 	return max(it.Work.Sub(it.Arrived), 0)
 }
 
-// minRetry is the least time a refused caller is asked to stay away.
+// minRetry is the shortest delay before a refused caller is asked to retry.
 const minRetry = 100 * time.Millisecond
 
-// freeAt estimates when there will be room.
+// freeAt estimates when a new item will find room.
 func (q *Queue) freeAt(now time.Time) time.Time {
 	turns := float64(len(q.waiting)+1) / float64(max(q.limits.Slots, 1))
 	wait := time.Duration(turns * q.mean * float64(time.Second))
--- a/pkg/admit/queue_test.go
+++ b/pkg/admit/queue_test.go
@@ -24,7 +24,8 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// model is what a queue must agree with: the state of every item offered.
+// model is the reference for a Queue: it tracks the state of every offered item
+// and fails the test where the queue disagrees.
 type model struct {
 	t     *rapid.T
 	q     *Queue
@@ -49,7 +50,7 @@
 	case !v.Admitted && v.Queued && v.Refused == "":
 		m.state[it.ID] = "waiting"
 	case v.Admitted || v.Queued || !v.RetryAt.After(at(now)):
-		m.t.Fatalf("verdict %+v at %v is not one way", v, at(now))
+		m.t.Fatalf("decision %+v at %v: want exactly one of admitted, queued, or refused with a later RetryAt", v, at(now))
 	}
 }
 
@@ -86,9 +87,9 @@
 	}
 }
 
-// TestInvariants drives the queue at random and checks after each step what
-// must hold: the slots, the reserved room, the bound on waiting, and that every
-// item ends in exactly one way.
+// TestInvariants drives the queue with random steps and checks after each that
+// the limits on slots, reserved slots and waiting items hold and that every item
+// is in exactly one state.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{
--- a/pkg/bill/line.go
+++ b/pkg/bill/line.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package bill holds the lines that requests are billed on and folds what
-// entries and guards wrote of them to exactly one line for each bill ID.
+// Package bill defines the billing records of requests and reduces those that
+// entries and guards wrote to exactly one line for each bill ID.
 package bill
 
 import (
@@ -12,34 +12,43 @@
 	"time"
 )
 
-// Attempt is one run of an endpoint that is billed.
+// Attempt is one billed run at an endpoint.
 type Attempt struct {
-	RunID            string  `json:"runID"`
-	Attempt          int     `json:"attempt"`
-	VM               string  `json:"vm"`
-	Model            string  `json:"model,omitempty"`
-	Version          string  `json:"version,omitempty"`
-	PromptTokens     int     `json:"promptTokens"`
-	CompletionTokens int     `json:"completionTokens"`
-	Cost             float64 `json:"cost"`
+	// RunID and Attempt identify the attempt. RunID is the request ID, and
+	// Attempt the number of the decision on the request that led to it, from 1.
+	RunID   string `json:"runID"`
+	Attempt int    `json:"attempt"`
+	// VM names the VM of the endpoint.
+	VM string `json:"vm"`
+	// Model and Version name the model version that ran; both are empty for
+	// a service.
+	Model   string `json:"model,omitempty"`
+	Version string `json:"version,omitempty"`
+	// PromptTokens and CompletionTokens are the usage that the endpoint
+	// reported.
+	PromptTokens     int `json:"promptTokens"`
+	CompletionTokens int `json:"completionTokens"`
+	// Cost is the price of the tokens, in the operator's unit.
+	Cost float64 `json:"cost"`
 }
 
-// Line is what a request is billed.
+// Line is the billing record of one request.
 type Line struct {
-	// ID is the workspace and the caller's key, else the request ID.
+	// ID is the bill ID: workspace/key if the caller sent an idempotency key,
+	// else the request ID.
 	ID        string `json:"id"`
 	RequestID string `json:"requestID"`
 	Workspace string `json:"workspace"`
 	Workload  string `json:"workload"`
-	// At is when the request was answered.
+	// At is when the request ended or, on a guard's line, when the run ended.
 	At       time.Time `json:"at"`
 	Attempts []Attempt `json:"attempts"`
-	// Whole says that the line sums up the whole request, as the entry
-	// writes it; a guard's line knows its own attempt only.
+	// Whole reports that the line covers all attempts of the request. The
+	// entry writes such lines; a guard's line covers only its own attempt.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// Cost returns the sum over the attempts.
+// Cost returns the sum of the costs of all attempts, in the operator's unit.
 func (l Line) Cost() float64 {
 	sum := 0.0
 	for _, a := range l.Attempts {
@@ -48,15 +57,17 @@
 	return sum
 }
 
-// CostOf returns what tokens cost at a price per million.
+// CostOf returns the cost of tokens at a price per million tokens, in the unit
+// of the price. Prompt and completion tokens cost the same.
 func CostOf(perMillion float64, promptTokens, completionTokens int) float64 {
 	const million = 1e6
 	return perMillion * float64(promptTokens+completionTokens) / million
 }
 
-// Fold returns one line for each bill ID, in the order of IDs. A whole line
-// counts alone, and of several the first by request ID and time; otherwise
-// the guards' attempts are joined, each once.
+// Fold returns one line for each bill ID, sorted by ID. Whole lines replace
+// guards' lines; of several whole lines the earliest is kept, and at equal times
+// the one with the lowest request ID. Without a whole line the attempts of the
+// guards' lines are merged, each once.
 func Fold(lines []Line) []Line {
 	byID := make(map[string]Line)
 	for _, l := range lines {
@@ -74,6 +85,7 @@
 	return out
 }
 
+// join reduces two lines of one bill ID to one.
 func join(a, b Line) Line {
 	if a.Whole != b.Whole {
 		if a.Whole {
--- a/pkg/bill/line_test.go
+++ b/pkg/bill/line_test.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+// TestFold checks that no attempt is billed twice, however often and by whomever
+// it was recorded.
 func TestFold(t *testing.T) {
 	at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	part := func(id, run string, attempt int, cost float64) Line {
@@ -23,10 +25,10 @@
 		lines []Line
 		want  map[string]float64
 	}{
-		{"doubled", []Line{whole, whole}, map[string]float64{"a": 5}},
-		{"whole beats parts", []Line{part("a", "r1", 1, 1), whole, part("a", "r1", 2, 5)}, map[string]float64{"a": 5}},
-		{"first whole counts", []Line{again, whole}, map[string]float64{"a": 5}},
-		{"parts join once", []Line{part("b", "r", 1, 1), part("b", "r", 2, 2), part("b", "r", 1, 1)}, map[string]float64{"b": 3}},
+		{"duplicated", []Line{whole, whole}, map[string]float64{"a": 5}},
+		{"whole replaces parts", []Line{part("a", "r1", 1, 1), whole, part("a", "r1", 2, 5)}, map[string]float64{"a": 5}},
+		{"earliest whole is kept", []Line{again, whole}, map[string]float64{"a": 5}},
+		{"parts are merged once", []Line{part("b", "r", 1, 1), part("b", "r", 2, 2), part("b", "r", 1, 1)}, map[string]float64{"b": 3}},
 		{"two IDs", []Line{whole, part("b", "r", 1, 1)}, map[string]float64{"a": 5, "b": 1}},
 	}
 	for _, tt := range tests {
--- a/pkg/seal/seal.go
+++ b/pkg/seal/seal.go
@@ -1,12 +1,13 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package seal turns small values into tokens that only a holder of the key
-// file can make, and back.
+// Package seal encodes small values as authenticated tokens, which only a
+// holder of the key file can create, and decodes them.
 //
-// A token is prefix.keyID.payload.mac with the payload as JSON in base64url
-// and an HMAC-SHA256 (RFC 2104) over everything before it. The payload is
-// readable by whoever holds the token; it is sealed, not hidden.
+// A token has the form prefix.keyID.payload.mac. The payload is JSON in unpadded
+// base64url. The MAC is an HMAC-SHA256 (RFC 2104) over everything before the
+// last dot, in the same encoding. Tokens are authenticated, not encrypted:
+// whoever holds one can read its payload.
 package seal
 
 import (
@@ -22,25 +23,33 @@
 
 // Errors of this package.
 const (
+	// ErrMalformed means that a token does not have the expected form, prefix
+	// or payload.
 	ErrMalformed fault.Const = "seal: malformed token"
-	ErrForged    fault.Const = "seal: no key verifies the token"
-	ErrNoKey     fault.Const = "seal: no sealing key"
-	ErrWeakKey   fault.Const = "seal: a key needs at least 16 bytes in hex"
+	// ErrForged means that no key verifies the MAC of a token.
+	ErrForged fault.Const = "seal: no key verifies the token"
+	// ErrNoKey means that a keyring would be empty.
+	ErrNoKey fault.Const = "seal: no sealing key"
+	// ErrWeakKey means that a secret is too short or not hexadecimal, or that
+	// a key ID is empty or contains a dot.
+	ErrWeakKey fault.Const = "seal: a key needs at least 16 bytes in hex"
 )
 
-// minKeyBytes is the shortest key that is taken.
+// minKeyBytes is the minimum length of a secret, in bytes.
 const minKeyBytes = 16
 
 // Key is one named secret.
 type Key struct {
-	// ID names the key inside tokens.
+	// ID identifies the key inside tokens. It may not be empty or contain a
+	// dot.
 	ID string `yaml:"id" json:"id"`
-	// Hex is the secret in hexadecimal, at least 16 bytes.
+	// Hex is the secret in hexadecimal, at least 16 bytes long when decoded.
 	Hex string `yaml:"hex" json:"-"`
 }
 
-// Ring holds the keys of a process. The first key seals, all verify, so keys
-// rotate without a gap.
+// Keyring holds the keys of a process. The first key signs and all keys verify,
+// so that keys can be rotated without rejecting tokens in circulation. It must
+// be created with NewKeyring and is safe for concurrent use.
 type Ring struct {
 	keys []ringKey
 }
@@ -50,8 +59,8 @@
 	secret []byte
 }
 
-// NewRing returns a ring of the given keys. It returns ErrNoKey without keys
-// and ErrWeakKey for one that is short or not hexadecimal.
+// NewKeyring returns a keyring of the given keys, the signing key first. It
+// returns ErrNoKey if there are none and ErrWeakKey if one is not valid.
 func NewRing(keys []Key) (*Ring, error) {
 	if len(keys) == 0 {
 		return nil, ErrNoKey
@@ -67,7 +76,8 @@
 	return r, nil
 }
 
-// Seal returns a token with the given prefix for v.
+// Seal returns a token with the given prefix for v. It returns an error if v
+// cannot be encoded as JSON. The prefix must not contain a dot.
 func (r *Ring) Seal(prefix string, v any) (string, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -78,8 +88,8 @@
 	return text + "." + base64.RawURLEncoding.EncodeToString(sum(k.secret, text)), nil
 }
 
-// Open verifies a token with the given prefix and decodes it into v. It
-// returns ErrMalformed or ErrForged.
+// Open verifies a token with the given prefix and decodes its payload into v,
+// which must be a pointer. It returns ErrMalformed or ErrForged.
 func (r *Ring) Open(prefix, token string, v any) error {
 	parts := strings.Split(token, ".")
 	if len(parts) != 4 || parts[0] != prefix {
@@ -103,6 +113,7 @@
 	return nil
 }
 
+// verify reports whether a key with the given ID gives mac for text.
 func (r *Ring) verify(id, text string, mac []byte) bool {
 	for _, k := range r.keys {
 		if k.id == id && hmac.Equal(mac, sum(k.secret, text)) {
@@ -112,10 +123,10 @@
 	return false
 }
 
-// MAC returns the MAC of text under the first key.
+// MAC returns the HMAC-SHA256 of text under the first key.
 func (r *Ring) MAC(text string) []byte { return sum(r.keys[0].secret, text) }
 
-// Verifies reports whether any key of the ring gives mac for text.
+// Verifies reports whether any key gives mac for text.
 func (r *Ring) Verifies(text string, mac []byte) bool {
 	for _, k := range r.keys {
 		if hmac.Equal(mac, sum(k.secret, text)) {
--- a/pkg/seal/seal_test.go
+++ b/pkg/seal/seal_test.go
@@ -22,8 +22,8 @@
 	return r
 }
 
-// TestOpen holds rotation without a gap and the refusal of what was not
-// sealed here.
+// TestOpen checks that tokens stay valid while keys are rotated, and that
+// altered tokens and those of removed keys are rejected.
 func TestOpen(t *testing.T) {
 	a, b := Key{ID: "a", Hex: hexA}, Key{ID: "b", Hex: hexB}
 	old, rotated, later := ring(t, a), ring(t, b, a), ring(t, b)
@@ -42,10 +42,10 @@
 		{"same key", old, "p", token, nil},
 		{"rotated ring verifies the old key", rotated, "p", token, nil},
 		{"rotated ring seals with the first key", later, "p", fresh, nil},
-		{"dropped key", later, "p", token, ErrForged},
+		{"removed key", later, "p", token, ErrForged},
 		{"other prefix", old, "q", token, ErrMalformed},
 		{"changed payload", old, "p", strings.Replace(token, ".NDI.", ".NDM.", 1), ErrForged},
-		{"cut", old, "p", token[:len(token)-20], ErrForged},
+		{"truncated", old, "p", token[:len(token)-20], ErrForged},
 		{"no token", old, "p", "hello", ErrMalformed},
 	}
 	for _, tt := range tests {
--- a/pkg/stream/buffer.go
+++ b/pkg/stream/buffer.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package stream assembles one answer from chunks that may come late, doubled
-// or out of order, and lets any number of readers follow it.
+// Package stream reassembles an answer from chunks that may arrive late,
+// duplicated or out of order, and lets any number of readers follow it.
 package stream
 
 import (
@@ -12,57 +12,62 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// maxPending is how many chunks beyond a gap are kept; more are dropped and
-// must be sent again.
+// maxPending is the maximum number of chunks that are held beyond a gap.
+// Further ones are dropped and must be sent again.
 const maxPending = 64
 
-// Buffer holds one growing answer. The zero value is not ready; use New.
+// Buffer holds the bytes of one answer while they arrive. It is safe for
+// concurrent use. It must be created with New.
 type Buffer struct {
 	mu sync.Mutex
-	// data is the answer so far. It only grows, and only at its end.
+	// data is the contiguous start of the answer. Until Release, bytes are
+	// only appended.
 	data []byte
-	// attempt is the attempt whose chunks are taken. Once data is not empty
-	// it never changes.
+	// attempt is the attempt whose chunks are accepted. It does not change
+	// once data is not empty.
 	attempt int
-	// pending holds chunks beyond a gap by offset.
+	// pending holds chunks beyond a gap, by byte offset.
 	pending map[int][]byte
 	// head is set before the first byte of data.
 	head Head
-	// end is set once; after it nothing changes.
+	// end is nil until Finish. After that only Release changes it.
 	end *End
 	// changed is closed and replaced at each change.
 	changed chan struct{}
-	// begun is closed at the first chunk, which may be empty.
+	// begun is closed at the first chunk, which may be empty; isBegun
+	// reports that it is closed.
 	begun   chan struct{}
 	isBegun bool
-	// limit is the greatest length of data, in bytes.
+	// limit is the maximum length of data, in bytes.
 	limit int
 }
 
-// Head is what precedes the first byte of an answer.
+// Head describes an answer; it precedes the first byte.
 type Head struct {
-	// Status is the HTTP status of the endpoint.
+	// Status is the HTTP status of the endpoint's response.
 	Status int `json:"status,omitempty"`
 	// ContentType is the media type of the body.
 	ContentType string `json:"contentType,omitempty"`
-	// Model and Version name what serves the answer; empty for a service.
+	// Model and Version name the model version that serves the answer; both
+	// are empty for a service.
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
 }
 
-// End says how an answer ended.
+// End describes how an answer ended.
 type End struct {
-	// Err is nil for a whole answer.
+	// Err is nil for a complete answer.
 	Err *fault.Error
 }
 
-// New returns an empty buffer that takes at most limit bytes.
+// New returns an empty buffer that accepts at most limit bytes.
 func New(limit int) *Buffer {
 	return &Buffer{changed: make(chan struct{}), begun: make(chan struct{}), limit: limit}
 }
 
-// Begin makes attempt the one whose chunks are taken. It reports false if
-// bytes of another attempt were already taken or the answer has ended.
+// Begin selects the attempt whose chunks are accepted, and drops pending
+// chunks. It returns false and changes nothing if the buffer holds bytes of
+// another attempt or the answer has ended.
 func (b *Buffer) Begin(attempt int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,7 +79,8 @@
 	return true
 }
 
-// SetHead sets the head if no byte was taken yet.
+// SetHead sets the head. It does nothing for another attempt than the selected
+// one, once the buffer holds a byte, or once the answer has ended.
 func (b *Buffer) SetHead(attempt int, h Head) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,9 +91,11 @@
 	b.wake()
 }
 
-// Append takes a chunk of an attempt at a byte offset. Bytes taken before are
-// dropped, chunks beyond a gap wait. It returns TooLarge when the answer
-// outgrows the limit, and drops chunks of any other attempt.
+// Append adds a chunk of an attempt at a byte offset. Bytes that the buffer
+// already holds are skipped, and chunks beyond a gap are held until it is
+// filled. Chunks of another attempt than the selected one, and those after the
+// end, are dropped without an error. It returns fault.TooLarge if the answer
+// exceeds the limit.
 func (b *Buffer) Append(attempt, offset int, p []byte) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -120,6 +128,8 @@
 	return nil
 }
 
+// hold stores a copy of a chunk beyond a gap; of two at one offset it keeps
+// the longer.
 func (b *Buffer) hold(offset int, p []byte) {
 	if len(p) <= len(b.pending[offset]) || (len(b.pending) >= maxPending && b.pending[offset] == nil) {
 		return
@@ -130,6 +140,7 @@
 	b.pending[offset] = append([]byte(nil), p...)
 }
 
+// nextPending returns the offset of a pending chunk that no gap precedes.
 func (b *Buffer) nextPending() (int, bool) {
 	for off := range b.pending {
 		if off <= len(b.data) {
@@ -139,6 +150,8 @@
 	return 0, false
 }
 
+// take appends the part of a chunk that data does not hold yet; offset is at
+// most len(data).
 func (b *Buffer) take(offset int, p []byte) error {
 	skip := len(b.data) - offset
 	if skip >= len(p) {
@@ -151,9 +164,9 @@
 	return nil
 }
 
-// Finish ends the answer. Of several ends the first counts; Finish reports
-// whether this was it. A whole end (err nil) that names another length than
-// was taken becomes NotWhole.
+// Finish ends the answer, with a nil err for a complete one of length bytes.
+// Only the first call takes effect and returns true. If err is nil and the
+// buffer does not hold length bytes, the answer ends with NotWhole.
 func (b *Buffer) Finish(length int, err *fault.Error) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -169,17 +182,18 @@
 	return true
 }
 
-// wake tells all readers of a change; b.mu is held.
+// wake wakes all waiting readers; b.mu is held.
 func (b *Buffer) wake() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// Begun is closed once a chunk was taken, which may be empty.
+// Begun returns a channel that is closed once a chunk of the selected attempt
+// has arrived. The chunk may be empty or lie beyond a gap.
 func (b *Buffer) Begun() <-chan struct{} { return b.begun }
 
-// Release gives up the bytes of an ended answer. A reader that still wants some
-// of them is told that the answer is not whole.
+// Release frees the bytes of an ended answer. From then on Next returns an end
+// with the error NotWhole. It does nothing before the end or for an empty answer.
 func (b *Buffer) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -191,29 +205,32 @@
 	b.wake()
 }
 
-// Len returns how many bytes were taken so far.
+// Len returns the number of contiguous bytes received so far.
 func (b *Buffer) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.data)
 }
 
-// Bytes returns what was taken so far; it must not be changed.
+// Bytes returns the contiguous bytes received so far. The caller must not
+// modify them.
 func (b *Buffer) Bytes() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.data
 }
 
-// Ended returns the end, or nil while the answer still grows.
+// Ended returns the end, or nil if the answer has not ended.
 func (b *Buffer) Ended() *End {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.end
 }
 
-// Next waits until there is more than offset, or the end, or ctx is done. The
-// returned bytes must not be changed. A nil end means more may come.
+// Next waits until the buffer holds bytes beyond offset or the answer has
+// ended, and returns the head, these bytes, and the end or nil if more may
+// follow. It returns the cause of ctx as an error if ctx is done first. The
+// caller must not modify the bytes.
 func (b *Buffer) Next(ctx context.Context, offset int) (Head, []byte, *End, error) {
 	for {
 		b.mu.Lock()
@@ -230,7 +247,9 @@
 	}
 }
 
-// Whole waits for the end and returns the whole answer.
+// Whole waits for the end of the answer and returns the head, all bytes and the
+// end. It returns the cause of ctx as an error if ctx is done first. The caller
+// must not modify the bytes.
 func (b *Buffer) Whole(ctx context.Context) (Head, []byte, *End, error) {
 	offset := 0
 	for {
--- a/pkg/stream/buffer_test.go
+++ b/pkg/stream/buffer_test.go
@@ -20,8 +20,9 @@
 	os.Exit(m.Run())
 }
 
-// TestAppendAnyOrder draws chunks of an answer doubled, overlapping, out of
-// order and mixed with those of another attempt: the answer comes out whole.
+// TestAppendAnyOrder appends the chunks of an answer overlapping, out of order,
+// with one duplicated, and mixed with chunks of another attempt. The buffer must
+// return the complete answer.
 func TestAppendAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "answer")
@@ -34,7 +35,7 @@
 			chunks = append(chunks, chunk{max(0, at-rapid.IntRange(0, 3).Draw(t, "overlap")), to})
 			at = to
 		}
-		chunks = append(chunks, chunks[rapid.IntRange(0, len(chunks)-1).Draw(t, "doubled")])
+		chunks = append(chunks, chunks[rapid.IntRange(0, len(chunks)-1).Draw(t, "duplicated")])
 		for _, c := range rapid.Permutation(chunks).Draw(t, "order") {
 			if err := b.Append(1, c.from, bytes.Repeat([]byte{0xee}, c.to-c.from)); err != nil {
 				t.Fatal(err)
@@ -51,7 +52,8 @@
 	})
 }
 
-// TestShortAfterLong keeps the longer of two chunks that wait at one offset.
+// TestShortAfterLong checks that a short pending chunk does not replace a longer
+// one at the same offset, which would lose bytes.
 func TestShortAfterLong(t *testing.T) {
 	b := New(100)
 	for _, c := range []struct {
--- a/pkg/trail/record.go
+++ b/pkg/trail/record.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package trail holds the record of one request's decisions: what explain
-// prints.
+// Package trail defines the decision record of a request, which traildrift
+// explain prints, and its encoding in batches.
 package trail
 
 import (
@@ -14,43 +14,48 @@
 	"github.com/traildrift/traildrift/pkg/route"
 )
 
-// Record is everything that was decided for one request.
+// Record holds all decisions on one request. The entry writes it.
 type Record struct {
 	RequestID string `json:"requestID"`
 	Workspace string `json:"workspace"`
 	Workload  string `json:"workload"`
 	District  string `json:"district,omitempty"`
-	// Entry is the VM that decided.
+	// Entry is the VM of the entry that made the decisions.
 	Entry string `json:"entry"`
-	// Revision is the settings revision of the first decision.
+	// Revision is the settings revision that was in force on arrival.
 	Revision int64     `json:"revision"`
 	Arrived  time.Time `json:"arrived"`
 	Ended    time.Time `json:"ended"`
 	Deadline time.Time `json:"deadline"`
-	BillID   string    `json:"billID"`
-	// Settings holds every effective value with its level. While it is nil,
-	// Effective stands in for it, as most records are never read.
+	// BillID is the ID of the request's bill.Line.
+	BillID string `json:"billID"`
+	// Settings holds every effective value with the level that set it. It
+	// is nil until FillSettings derives it from Effective, as most records are
+	// never read.
 	Settings  []config.Setting  `json:"settings,omitempty"`
 	Effective *config.Effective `json:"-"`
-	// Steps holds each decision in order.
+	// Steps holds the decisions, in order.
 	Steps []Step `json:"steps"`
-	// Err is how the request ended; nil for a whole answer.
+	// Err is why the request failed; nil for a complete answer.
 	Err *fault.Error `json:"err,omitempty"`
-	// Key says what became of the caller's key, in a word: claimed, joined,
-	// ticket.
+	// Key tells how the caller's idempotency key was handled: "claimed" by
+	// this entry, "joined" and the incarnation of the entry that held it, or
+	// "ticket". It is empty without a key.
 	Key string `json:"key,omitempty"`
-	// Session says what became of the session: opened, kept, moved.
+	// Session tells how the session was handled: "opened", "kept" or
+	// "moved". It is empty without one.
 	Session string `json:"session,omitempty"`
 }
 
-// Fill sets Settings from Effective.
+// FillSettings sets Settings from Effective unless Settings is set already.
 func (r *Record) Fill() {
 	if r.Settings == nil && r.Effective != nil {
 		r.Settings = r.Effective.All()
 	}
 }
 
-// sameSettings names the settings that a record was decided under.
+// settingsKey identifies the effective settings of a record. Records with equal
+// keys have equal settings.
 type sameSettings struct {
 	revision int64
 	path     string
@@ -60,8 +65,8 @@
 	return sameSettings{r.Revision, config.Path(r.Workspace, r.Workload, r.District)}
 }
 
-// Encode returns a batch of records as JSON. Of those decided under the same
-// settings only the first carries them.
+// Encode encodes a batch of records as JSON. Among records with the same settings
+// only the first includes them. The records of the batch are not changed.
 func Encode(batch []Record) ([]byte, error) {
 	seen := make(map[sameSettings]bool)
 	out := make([]Record, len(batch))
@@ -75,7 +80,8 @@
 	return json.Marshal(out)
 }
 
-// Decode reads a batch and gives every record its settings.
+// Decode decodes a batch that Encode returned and sets Settings of every record.
+// It returns the error of the JSON decoder.
 func Decode(body []byte) ([]Record, error) {
 	var out []Record
 	if err := json.Unmarshal(body, &out); err != nil {
@@ -92,16 +98,23 @@
 	return out, nil
 }
 
-// Step is one decision and what came of it.
+// Step is one decision and the outcome of the attempt that followed it.
 type Step struct {
-	Attempt  int       `json:"attempt"`
-	At       time.Time `json:"at"`
-	Revision int64     `json:"revision"`
-	Model    string    `json:"model,omitempty"`
-	Version  string    `json:"version,omitempty"`
-	// VM is the endpoint's; empty if none was chosen.
-	VM         string            `json:"vm,omitempty"`
+	// Attempt is the number of the step, from 1.
+	Attempt int       `json:"attempt"`
+	At      time.Time `json:"at"`
+	// Revision is the settings revision of this decision.
+	Revision int64 `json:"revision"`
+	// Model and Version name the chosen model version; both are empty for a
+	// service or if none was chosen.
+	Model   string `json:"model,omitempty"`
+	Version string `json:"version,omitempty"`
+	// VM is the VM of the chosen endpoint; empty if none was chosen.
+	VM string `json:"vm,omitempty"`
+	// Candidates holds every version of the allow list, with the values that
+	// the decision compared and the reason for its outcome.
 	Candidates []route.Candidate `json:"candidates,omitempty"`
-	// Err is how the attempt ended; nil for a whole answer.
+	// Err is why the attempt failed or none was made; nil for a complete
+	// answer.
 	Err *fault.Error `json:"err,omitempty"`
 }
--- a/pkg/trail/record_test.go
+++ b/pkg/trail/record_test.go
@@ -10,8 +10,8 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// TestBatch holds that settings stand once in a batch for each path and come
-// back for every record.
+// TestBatch checks that a batch includes the settings of each path once, and that
+// Decode restores them for every record.
 func TestBatch(t *testing.T) {
 	eff := config.Empty().Effective("w", "l", "")
 	var batch []Record
