--- a/cmd/traildrift/rollout.go
+++ b/cmd/traildrift/rollout.go
@@ -150,7 +150,7 @@
 	if err := proc.Load(a.Keys, &keys); err != nil {
 		return err
 	}
-	ring, err := seal.NewRing(keys.Link)
+	ring, err := seal.NewKeyring(keys.Link)
 	if err != nil {
 		return err
 	}
--- a/cmd/traildrift/settings.go
+++ b/cmd/traildrift/settings.go
@@ -170,7 +170,7 @@
 	if err := proc.Load(a.Keys, &keys); err != nil {
 		return err
 	}
-	ring, err := seal.NewRing(keys.Link)
+	ring, err := seal.NewKeyring(keys.Link)
 	if err != nil {
 		return err
 	}
--- a/internal/clock/common_test.go
+++ b/internal/clock/median_test.go
@@ -12,13 +12,13 @@
 // TestMedianClock checks that a clock that was stepped before its process started returns the true time
 // once it has observed a few others, that a right clock is not moved by a minority of stepped ones, and
 // that observations expire.
-func TestCommon(t *testing.T) {
+func TestMedianClock(t *testing.T) {
 	truth := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		name string
-		// own is how far the local clock is ahead of the true time, and others
+		// local is how far the local clock is ahead of the true time, and others
 		// how far the other clocks are.
-		own    time.Duration
+		local  time.Duration
 		others []time.Duration
 		want   time.Duration
 	}{
@@ -31,17 +31,17 @@
 		{"a third stepped", 0, []time.Duration{2 * time.Second, 0, 0, 2 * time.Second, 0}, 0},
 	} {
 		var boot time.Duration
-		k := NewCommon(func() time.Duration { return boot }, truth.Add(c.own))
+		k := NewMedianClock(func() time.Duration { return boot }, truth.Add(c.local))
 		for i, by := range c.others {
-			k.Heard(fmt.Sprint(i), truth.Add(by))
+			k.Observe(fmt.Sprint(i), truth.Add(by))
 		}
 		boot = time.Second
 		if got := k.Now().Sub(truth.Add(boot)); got != c.want {
 			t.Errorf("%s: got %v ahead, want %v", c.name, got, c.want)
 		}
-		boot = offsetHolds + 2*time.Second
-		if got := k.Now().Sub(truth.Add(boot)); got != c.own {
-			t.Errorf("%s: after the observations expired: got %v ahead, want the local clock's %v", c.name, got, c.own)
+		boot = offsetTTL + 2*time.Second
+		if got := k.Now().Sub(truth.Add(boot)); got != c.local {
+			t.Errorf("%s: after the observations expired: got %v ahead, want the local clock's %v", c.name, got, c.local)
 		}
 	}
 }
--- a/internal/desk/wait.go
+++ b/internal/desk/wait.go
@@ -25,7 +25,7 @@
 
 // Wait returns once every live VM's process reports the revision, or an error
 // that names those that do not by the deadline of ctx.
-func Wait(ctx context.Context, vms *store.VMs, keys *seal.Ring, revision int64) error {
+func Wait(ctx context.Context, vms *store.VMs, keys *seal.Keyring, revision int64) error {
 	local := operator(keys)
 	for {
 		lagging, err := behind(ctx, local, vms, revision)
@@ -43,7 +43,7 @@
 }
 
 // operator returns an operator's side of links.
-func operator(keys *seal.Ring) *link.Local {
+func operator(keys *seal.Keyring) *link.Local {
 	return &link.Local{
 		Identity: wire.Identity{VM: "operator", Role: "operator", Incarnation: fmt.Sprintf("operator-%d", time.Now().UnixNano())},
 		Keys:     keys,
@@ -99,7 +99,7 @@
 }
 
 // Status asks the process of every VM for its revision.
-func Status(ctx context.Context, vms *store.VMs, keys *seal.Ring) ([]Row, error) {
+func Status(ctx context.Context, vms *store.VMs, keys *seal.Keyring) ([]Row, error) {
 	list, err := vms.List(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -49,7 +49,7 @@
 	}
 	var body []byte
 	if err == nil && end == nil {
-		head, body, end, err = r.buf.Whole(e.kill)
+		head, body, end, err = r.buf.ReadAll(e.kill)
 	} else {
 		body = r.buf.Bytes()
 	}
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -20,7 +20,7 @@
 		Handler:                      e.handle,
 		ErrorHandler:                 e.handleBroken,
 		Name:                         "traildrift",
-		Logger:                       logs.Library{Log: e.Log, Prefix: "callers"},
+		Logger:                       logs.LibraryLogger{Log: e.Log, Prefix: "callers"},
 		MaxRequestBodySize:           e.settings.MaxBody,
 		ReadBufferSize:               e.settings.MaxHeader,
 		ReadTimeout:                  readWithin,
--- a/internal/entry/join.go
+++ b/internal/entry/join.go
@@ -95,7 +95,7 @@
 	r.joins++
 	j.Stamp = e.Stamp()
 	j.Stream = wire.RunKey{RunID: r.id, Attempt: r.joins}
-	r.buf.Begin(r.joins)
+	r.buf.SelectAttempt(r.joins)
 	e.sinks.add(j.Stream, r.buf)
 	first := make(chan *fault.Error, 1)
 	if err := e.submit(func() { e.followRemote(r, c, j, first) }); err != nil {
@@ -113,7 +113,7 @@
 	select {
 	case err := <-first:
 		return err
-	case <-r.buf.Begun():
+	case <-r.buf.FirstChunk():
 		return nil
 	case <-t.C:
 		return e.unsettled("The entry that holds the key does not answer.")
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -63,7 +63,7 @@
 	}
 	defer p.done()
 	key := wire.RunKey{RunID: r.id, Attempt: attempt}
-	if !r.buf.Begin(attempt) {
+	if !r.buf.SelectAttempt(attempt) {
 		return wire.RunReply{Err: fault.New(fault.Internal, fault.MayHaveRun, "The answer was begun by another attempt.")}
 	}
 	e.sinks.add(key, r.buf)
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -18,7 +18,7 @@
 	if !ok {
 		return nil, false
 	}
-	rec.Fill()
+	rec.FillSettings()
 	body, err := json.Marshal(rec)
 	return body, err == nil
 }
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -22,7 +22,7 @@
 // Serve answers on ln with handle until Close.
 func Serve(ln net.Listener, handle fasthttp.RequestHandler) *Served {
 	s := &Served{
-		http: &fasthttp.Server{Handler: handle, CloseOnShutdown: true, MaxRequestBodySize: 32 << 20, Logger: logs.Library{}},
+		http: &fasthttp.Server{Handler: handle, CloseOnShutdown: true, MaxRequestBodySize: 32 << 20, Logger: logs.LibraryLogger{}},
 		done: make(chan error, 1),
 	}
 	go func() { s.done <- s.http.Serve(ln) }()
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -114,9 +114,9 @@
 		unbilled: make(map[wire.RunKey]unbilled),
 		crashed:  make(chan struct{}, 1),
 	}
-	limits := admit.Limits{Slots: s.Slots, Reserved: s.Reserved, Waiting: s.Waiting}
+	limits := admit.Limits{Slots: s.Slots, Reserved: s.Reserved, MaxWaiting: s.Waiting}
 	if s.AgeAfter > 0 {
-		limits.AgeAt = s.AgeAfter.After
+		limits.PromoteAt = s.AgeAfter.After
 	}
 	g.queue = admit.New(limits)
 	p, err := proc.New(s.Common, proc.Options{
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -155,7 +155,7 @@
 // localWith returns a caller with a link key and an incarnation.
 func (b *bench) localWith(t *testing.T, hex, incarnation string) *link.Local {
 	t.Helper()
-	ring, err := seal.NewRing([]seal.Key{{ID: "a", Hex: hex}})
+	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: hex}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -52,7 +52,7 @@
 // Local is what a process brings to all of its links.
 type Local struct {
 	Identity wire.Identity
-	Keys     *seal.Ring
+	Keys     *seal.Keyring
 	Mux      *Mux
 	// TLS secures every link from both sides; nil leaves them plain.
 	TLS *tls.Config
@@ -124,7 +124,7 @@
 	c := &Conn{local: l, raw: raw, nonce: freshNonce(), onProven: onProven}
 	s := jsonrpc2.NewBufferedStream(&meter{Conn: raw, local: l}, frames{limit: MaxFrame})
 	ready := make(chan struct{})
-	c.rpc = jsonrpc2.NewConn(ctx, s, handler{conn: c, ready: ready}, jsonrpc2.SetLogger(logs.Library{}))
+	c.rpc = jsonrpc2.NewConn(ctx, s, handler{conn: c, ready: ready}, jsonrpc2.SetLogger(logs.LibraryLogger{}))
 	close(ready)
 	return c
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -81,7 +81,7 @@
 
 func local(t *testing.T, name string) *Local {
 	t.Helper()
-	ring, err := seal.NewRing([]seal.Key{{ID: "a", Hex: "00112233445566778899aabbccddeeff"}})
+	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: "00112233445566778899aabbccddeeff"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/logs/bounded.go
+++ b/internal/logs/async.go
@@ -14,27 +14,27 @@
 
 // maxQueuedLines is the capacity of the queue of lines; further lines are dropped
 // and counted. At 400 bytes per line a full queue takes 800 KB.
-const linesHeld = 2048
+const maxQueuedLines = 2048
 
 // AsyncWriter writes log lines from a bounded queue, so that a slow output never
 // blocks the callers. It must be created with NewAsync and is safe for concurrent
 // use.
-type Bounded struct {
+type AsyncWriter struct {
 	mu sync.Mutex
 	// lines is closed by Close; nothing is sent afterwards.
 	lines chan []byte
 	// closed reports that lines is closed.
 	closed  bool
 	dropped atomic.Int64
-	// ended is closed when the goroutine of write returns.
-	ended chan struct{}
+	// done is closed when the goroutine of write returns.
+	done chan struct{}
 }
 
 // NewAsync returns a logger that writes JSON lines to w from the given level up,
 // and its writer, which counts the dropped lines. An empty or unknown level means
 // info. The caller must call Close.
-func NewBounded(w io.Writer, level string) (*zap.Logger, *Bounded) {
-	b := &Bounded{lines: make(chan []byte, linesHeld), ended: make(chan struct{})}
+func NewAsync(w io.Writer, level string) (*zap.Logger, *AsyncWriter) {
+	b := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go b.write(w)
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -47,7 +47,7 @@
 
 // Write queues a copy of line, or drops it if the queue is full. After Close it
 // discards the line without counting it. It always returns len(line) and no error.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *AsyncWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -63,26 +63,26 @@
 
 // Sync does nothing and returns nil: lines are written as soon as the output accepts
 // them.
-func (b *Bounded) Sync() error { return nil }
+func (b *AsyncWriter) Sync() error { return nil }
 
 // Dropped returns the number of dropped lines: those that found the queue full and
 // those whose write failed.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *AsyncWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Close waits until the queued lines are written and stops the writer.
-func (b *Bounded) Close() {
+func (b *AsyncWriter) Close() {
 	b.mu.Lock()
 	if !b.closed {
 		b.closed = true
 		close(b.lines)
 	}
 	b.mu.Unlock()
-	<-b.ended
+	<-b.done
 }
 
 // write writes the queued lines to w; lines whose write fails are dropped and counted.
-func (b *Bounded) write(w io.Writer) {
-	defer close(b.ended)
+func (b *AsyncWriter) write(w io.Writer) {
+	defer close(b.done)
 	for line := range b.lines {
 		if _, err := w.Write(line); err != nil {
 			b.dropped.Add(1)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -34,14 +34,14 @@
 
 // LibraryLogger writes the messages of a library to a logger at debug level. The
 // zero value discards them.
-type Library struct {
+type LibraryLogger struct {
 	Log *zap.Logger
 	// Prefix is the prefix of the component that uses the library.
 	Prefix string
 }
 
 // Printf logs one formatted message.
-func (l Library) Printf(format string, args ...any) {
+func (l LibraryLogger) Printf(format string, args ...any) {
 	if l.Log != nil {
 		l.Log.Debug(l.Prefix + ": " + fmt.Sprintf(format, args...))
 	}
@@ -58,12 +58,12 @@
 
 // NewStdLog returns a logger of the standard library that writes to log at debug
 // level, with the prefix of the component.
-func Standard(log *zap.Logger, prefix string) *stdlog.Logger {
-	return stdlog.New(lineWriter{Library{Log: log, Prefix: prefix}}, "", 0)
+func NewStdLog(log *zap.Logger, prefix string) *stdlog.Logger {
+	return stdlog.New(lineWriter{LibraryLogger{Log: log, Prefix: prefix}}, "", 0)
 }
 
 // lineWriter logs each write as one message, without surrounding white space.
-type lineWriter struct{ lib Library }
+type lineWriter struct{ lib LibraryLogger }
 
 func (w lineWriter) Write(line []byte) (int, error) {
 	w.lib.Printf("%s", strings.TrimSpace(string(line)))
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -40,7 +40,7 @@
 	VMs      *store.VMs
 	Local    *link.Local
 	Holder   *spread.Holder
-	Tokens   *seal.Ring
+	Tokens   *seal.Keyring
 	Scope    tally.Scope
 	Admin    *admin.Server
 	// Pool runs the handlers of the links; it is bounded.
@@ -77,11 +77,11 @@
 	if err := Load(c.Keys, &keys); err != nil {
 		return nil, err
 	}
-	linkKeys, err := seal.NewRing(keys.Link)
+	linkKeys, err := seal.NewKeyring(keys.Link)
 	if err != nil {
 		return nil, err
 	}
-	tokens, err := seal.NewRing(keys.Token)
+	tokens, err := seal.NewKeyring(keys.Token)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proc/settings.go
+++ b/internal/proc/settings.go
@@ -115,7 +115,7 @@
 // Check reports keys that are missing or too short.
 func (k *Keys) Check(report func(key, message string)) {
 	for name, keys := range map[string][]seal.Key{"link": k.Link, "token": k.Token} {
-		if _, err := seal.NewRing(keys); err != nil {
+		if _, err := seal.NewKeyring(keys); err != nil {
 			report(name, err.Error())
 		}
 	}
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -61,7 +61,7 @@
 	Senders func(have uint64) (s pool.Senders, generation uint64, changed bool)
 
 	// still notices that the process stood still.
-	still    clock.Still
+	still    clock.StallDetector
 	limits   atomic.Pointer[Limits]
 	table    atomic.Pointer[Table]
 	stopping atomic.Bool
@@ -162,7 +162,7 @@
 	}
 	e.crashes.Held = e.logHeld
 	e.lines.init()
-	e.still = clock.Still{Boot: func() time.Duration { return e.Boot() }, Now: func() time.Time { return e.Now() }, Least: stillLeast}
+	e.still = clock.StallDetector{Boot: func() time.Duration { return e.Boot() }, Now: func() time.Time { return e.Now() }, MinGap: stillLeast}
 	e.startedAt = time.Now()
 	e.limits.Store(&l)
 	return e
--- a/internal/relay/still.go
+++ b/internal/relay/still.go
@@ -48,7 +48,7 @@
 // awaitWake returns once the router knows what it was told while it stood still.
 func (e *Engine) awaitWake(ctx context.Context) {
 	until := wakeMost.After(e.Now())
-	for e.still.Waking(wakeFor) && ctx.Err() == nil && e.Now().Before(until) {
+	for e.still.Resuming(wakeFor) && ctx.Err() == nil && e.Now().Before(until) {
 		tasks.Pause(ctx, wakePoll.After(time.Now()))
 	}
 }
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -63,7 +63,7 @@
 	Objects *fakes.Objects
 	Store   *store.Client
 	VMs     *store.VMs
-	Keys    *seal.Ring
+	Keys    *seal.Keyring
 	Entries []*Node
 	Guards  []*Node
 	// Engines, Plains and Relays are by the name of their VM.
@@ -178,7 +178,7 @@
 		return err
 	}
 	var err error
-	f.Keys, err = seal.NewRing(keys.Link)
+	f.Keys, err = seal.NewKeyring(keys.Link)
 	return err
 }
 
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -50,7 +50,7 @@
 		ReadHeaderTimeout: time.Duration(b.HeaderWithin),
 		IdleTimeout:       time.Duration(b.IdleWithin),
 		MaxHeaderBytes:    b.MaxHeader,
-		ErrorLog:          logs.Standard(r.Log, "callers"),
+		ErrorLog:          logs.NewStdLog(r.Log, "callers"),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
 }
--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -59,7 +59,7 @@
 	late config.Span
 	self usage.Teller
 	// clock tells the true time; its own hand is that of the machine, as it counts suspensions.
-	clock *clock.Common
+	clock *clock.MedianClock
 	// reachable reports whether the store was heard of lately.
 	reachable func() bool
 	// mu guards what follows.
@@ -85,12 +85,12 @@
 	if !s.reportsUsage() {
 		return nil
 	}
-	common := clock.NewCommon(r.Engine.Boot, time.Now())
+	common := clock.NewMedianClock(r.Engine.Boot, time.Now())
 	d := &duties{
 		log: r.Log, scope: r.admin.Scope.SubScope("duties"), wire: r.wire.Duties, fleet: r.fleet, notes: r.notes,
 		windows: usage.Clock{Length: s.UsageWindow}, late: s.UsageLate, self: usage.Teller{Router: s.VM, Life: life}, clock: common,
 		reachable: func() bool { return time.Since(r.mirror.Proven(r.wire.ConfigKind)) <= reachedWithin },
-		book:      usage.NewBook(), machine: duty.New(s.VM, life, s.DutyLease, common.Own()), told: make(map[tellKey]*telling),
+		book:      usage.NewBook(), machine: duty.New(s.VM, life, s.DutyLease, common.Local()), told: make(map[tellKey]*telling),
 	}
 	r.Engine.Began = d.began
 	r.notes.OnUsage, r.notes.OnUsageAnswer = d.heard, d.answered
@@ -116,7 +116,7 @@
 
 // step does one thing, if one is to be done.
 func (d *duties) step(ctx context.Context) {
-	now := d.clock.Own()
+	now := d.clock.Local()
 	d.mu.Lock()
 	a := d.machine.Next(now, d.view(now))
 	d.mu.Unlock()
@@ -124,7 +124,7 @@
 		return
 	}
 	o, r, err := d.do(ctx, a)
-	now = d.clock.Own()
+	now = d.clock.Local()
 	d.mu.Lock()
 	d.machine.Done(now, a, o, r)
 	d.logHolder(now)
@@ -146,7 +146,7 @@
 func (d *duties) do(ctx context.Context, a duty.Action) (duty.Outcome, duty.Record, error) {
 	until := dutyCall.After(time.Now())
 	if a.Kind == duty.Send {
-		until = time.Now().Add(a.Until.Sub(d.clock.Own()))
+		until = time.Now().Add(a.Until.Sub(d.clock.Local()))
 	}
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -38,7 +38,7 @@
 	file     string
 	settings Settings
 	wire     *Wire
-	lines    *logs.Bounded
+	lines    *logs.AsyncWriter
 	admin    *admin.Server
 	tasks    tasks.Group
 	callers  *http.Server
@@ -69,7 +69,7 @@
 // New opens the listeners of the router that a settings file describes.
 func New(file string, s Settings, w *Wire) (*Router, error) {
 	s.fill()
-	log, lines := logs.NewBounded(os.Stdout, s.LogLevel)
+	log, lines := logs.NewAsync(os.Stdout, s.LogLevel)
 	assert.SetLogger(log)
 	r := &Router{Log: log, file: file, settings: s, wire: w, lines: lines, configured: make(chan struct{})}
 	r.admin = admin.NewMetrics()
@@ -203,7 +203,7 @@
 	answers.Traffic, answers.OnStarting, answers.Verdicts = &r.traffic, r.asker.Want, r.Engine.ForStarting
 	answers.Age = r.Engine.Age
 	r.tasks.Go(ctx, "traffic", func(ctx context.Context) error { return r.traffic.Run(ctx, r.Log) })
-	shared := &http.Server{Handler: answers, ReadHeaderTimeout: plainWithin, IdleTimeout: idleReady, ErrorLog: logs.Standard(r.Log, "peers")}
+	shared := &http.Server{Handler: answers, ReadHeaderTimeout: plainWithin, IdleTimeout: idleReady, ErrorLog: logs.NewStdLog(r.Log, "peers")}
 	r.tasks.Go(ctx, "answers to peers", func(context.Context) error { return shared.Serve(r.peer) })
 	readiness := &http.Server{Handler: http.HandlerFunc(r.serveReady), ReadHeaderTimeout: plainWithin, IdleTimeout: idleReady}
 	r.tasks.Go(ctx, "readiness", func(context.Context) error { return readiness.Serve(r.ready) })
--- a/internal/router/usage.go
+++ b/internal/router/usage.go
@@ -84,7 +84,7 @@
 		to     peers.Peer
 	}
 	var due []sending
-	now, own := d.clock.Now(), d.clock.Own()
+	now, own := d.clock.Now(), d.clock.Local()
 	current := d.windows.At(now)
 	d.book.Forget(current)
 	d.logHolder(own)
@@ -161,8 +161,8 @@
 
 // heard takes over the report of another router.
 func (d *duties) heard(r peers.UsageReport) (peers.UsageAnswer, bool) {
-	d.clock.Heard(r.Teller.Router, r.Clock)
-	now, own := d.clock.Now(), d.clock.Own()
+	d.clock.Observe(r.Teller.Router, r.Clock)
+	now, own := d.clock.Now(), d.clock.Local()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.book.Take(r.Report, d.windows.At(now))
@@ -174,10 +174,10 @@
 
 // answered takes over the answer of another router.
 func (d *duties) answered(a peers.UsageAnswer) {
-	d.clock.Heard(a.Router, a.Clock)
+	d.clock.Observe(a.Router, a.Clock)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.machine.Heard(d.clock.Own(), a.Router, a.Word)
+	d.machine.Heard(d.clock.Local(), a.Router, a.Word)
 	if t := d.told[tellKey{a.Router, a.Window}]; t != nil && a.Complete && a.Life == d.self.Life {
 		t.complete = true
 	}
--- a/pkg/admit/queue.go
+++ b/pkg/admit/queue.go
@@ -20,12 +20,12 @@
 	Slots int
 	// Reserved is the number of slots that patient runs may not use.
 	Reserved int
-	// Waiting is the maximum number of waiting runs.
-	Waiting int
-	// AgeAt returns the time from which a patient run that arrived at the
+	// MaxWaiting is the maximum number of waiting runs.
+	MaxWaiting int
+	// PromoteAt returns the time from which a patient run that arrived at the
 	// given time is treated as interactive, so that it cannot starve. If it
 	// is nil, patient runs stay patient.
-	AgeAt func(arrived time.Time) time.Time
+	PromoteAt func(arrived time.Time) time.Time
 }
 
 // Item is one run that needs a slot.
@@ -38,15 +38,15 @@
 	Arrived time.Time
 	// Deadline is when the run must have ended.
 	Deadline time.Time
-	// Work is when the run would end if it had started at Arrived. The
+	// EarliestEnd is when the run would end if it had started at Arrived. The
 	// queue takes the difference to Arrived as the estimated service time; a
 	// zero value means no estimate.
-	Work time.Time
+	EarliestEnd time.Time
 }
 
-// Verdict is the result of offering an item. Exactly one of Admitted, Queued
+// Decision is the result of offering an item. Exactly one of Admitted, Queued
 // and Refused is set.
-type Verdict struct {
+type Decision struct {
 	// Admitted reports that the item holds a slot now.
 	Admitted bool
 	// Queued reports that the item waits for a slot.
@@ -70,9 +70,9 @@
 	patient map[string]bool
 	// waiting is in order of arrival; never longer than Waiting.
 	waiting []Item
-	// mean is the exponentially weighted moving average of the time that
+	// meanHeldSeconds is the exponentially weighted moving average of the time that
 	// runs hold their slots, in seconds; 0 before the first run has ended.
-	mean float64
+	meanHeldSeconds float64
 }
 
 // New returns an empty queue.
@@ -90,22 +90,22 @@
 // the deadline is not after now, with Overloaded if the maximum number of items
 // wait, and with DeadlineTooSoon if the item is expected to end after its
 // deadline.
-func (q *Queue) Offer(now time.Time, it Item) Verdict {
+func (q *Queue) Offer(now time.Time, it Item) Decision {
 	if !it.Deadline.After(now) {
-		return Verdict{Refused: fault.DeadlinePassed}
+		return Decision{Refused: fault.DeadlinePassed}
 	}
 	if q.fits(it, now) && !q.overtakes(it, now) {
 		q.start(it, now)
-		return Verdict{Admitted: true}
+		return Decision{Admitted: true}
 	}
-	if len(q.waiting) >= q.limits.Waiting {
-		return Verdict{Refused: fault.Overloaded, RetryAt: q.freeAt(now)}
+	if len(q.waiting) >= q.limits.MaxWaiting {
+		return Decision{Refused: fault.Overloaded, RetryAt: q.freeAt(now)}
 	}
-	if expected := q.expected(it, now); expected.After(it.Deadline) {
-		return Verdict{Refused: fault.DeadlineTooSoon, RetryAt: q.freeAt(now)}
+	if expected := q.expectedEnd(it, now); expected.After(it.Deadline) {
+		return Decision{Refused: fault.DeadlineTooSoon, RetryAt: q.freeAt(now)}
 	}
 	q.waiting = append(q.waiting, it)
-	return Verdict{Queued: true}
+	return Decision{Queued: true}
 }
 
 // overtakes reports whether admitting the item now would overtake a waiting
@@ -121,7 +121,7 @@
 
 // interactive reports whether the item is treated as interactive at now.
 func (q *Queue) interactive(it Item, now time.Time) bool {
-	return !it.Patient || (q.limits.AgeAt != nil && !q.limits.AgeAt(it.Arrived).After(now))
+	return !it.Patient || (q.limits.PromoteAt != nil && !q.limits.PromoteAt(it.Arrived).After(now))
 }
 
 // fits reports whether a slot is free that the item may use.
@@ -152,18 +152,18 @@
 	return a.Arrived.Before(b.Arrived)
 }
 
-// meanWeight is the weight of the newest run in the moving average.
-const meanWeight = 0.1
+// ewmaWeight is the weight of the newest run in the moving average.
+const ewmaWeight = 0.1
 
 // Done frees the slot of an item, and appends to dst the waiting items that
 // start in consequence, as Next does. An ID that holds no slot frees none.
 func (q *Queue) Done(now time.Time, id string, dst []Item) []Item {
 	if it, ok := q.running[id]; ok {
 		held := now.Sub(it.Arrived).Seconds()
-		if q.mean == 0 {
-			q.mean = held
+		if q.meanHeldSeconds == 0 {
+			q.meanHeldSeconds = held
 		}
-		q.mean += meanWeight * (held - q.mean)
+		q.meanHeldSeconds += ewmaWeight * (held - q.meanHeldSeconds)
 		delete(q.running, id)
 		delete(q.patient, id)
 	}
@@ -210,10 +210,10 @@
 	return len(q.waiting) < n
 }
 
-// expected estimates when the item would end if it waited behind the items
+// expectedEnd estimates when the item would end if it waited behind the items
 // that are ordered before it. A patient item that has no slots to use is
-// expected to miss its deadline.
-func (q *Queue) expected(it Item, now time.Time) time.Time {
+// expectedEnd to miss its deadline.
+func (q *Queue) expectedEnd(it Item, now time.Time) time.Time {
 	ahead := 0
 	for _, w := range q.waiting {
 		if q.before(w, it, now) {
@@ -228,21 +228,21 @@
 		return it.Deadline.Add(time.Nanosecond)
 	}
 	turns := float64(ahead+1) / float64(slots)
-	wait := time.Duration(turns * q.mean * float64(time.Second))
-	return now.Add(wait + it.work())
+	wait := time.Duration(turns * q.meanHeldSeconds * float64(time.Second))
+	return now.Add(wait + it.serviceTime())
 }
 
-// work returns the estimated service time, or 0 if there is no estimate.
-func (it Item) work() time.Duration {
-	return max(it.Work.Sub(it.Arrived), 0)
+// serviceTime returns the estimated service time, or 0 if there is no estimate.
+func (it Item) serviceTime() time.Duration {
+	return max(it.EarliestEnd.Sub(it.Arrived), 0)
 }
 
-// minRetry is the shortest delay before a refused caller is asked to retry.
-const minRetry = 100 * time.Millisecond
+// minRetryDelay is the shortest delay before a refused caller is asked to retry.
+const minRetryDelay = 100 * time.Millisecond
 
 // freeAt estimates when a new item will find room.
 func (q *Queue) freeAt(now time.Time) time.Time {
 	turns := float64(len(q.waiting)+1) / float64(max(q.limits.Slots, 1))
-	wait := time.Duration(turns * q.mean * float64(time.Second))
-	return now.Add(max(wait, minRetry))
+	wait := time.Duration(turns * q.meanHeldSeconds * float64(time.Second))
+	return now.Add(max(wait, minRetryDelay))
 }
--- a/pkg/admit/queue_test.go
+++ b/pkg/admit/queue_test.go
@@ -33,7 +33,7 @@
 	state map[string]string
 }
 
-func (m *model) started(items []Item) {
+func (m *model) start(items []Item) {
 	for _, it := range items {
 		if m.state[it.ID] != "waiting" {
 			m.t.Fatalf("%s started from %q", it.ID, m.state[it.ID])
@@ -58,7 +58,7 @@
 	for id, s := range m.state {
 		if s == "running" {
 			m.state[id] = "done"
-			m.started(m.q.Done(at(now), id, nil))
+			m.start(m.q.Done(at(now), id, nil))
 			return
 		}
 	}
@@ -71,7 +71,7 @@
 		}
 		m.state[it.ID] = "expired"
 	}
-	m.started(m.q.Next(at(now), nil))
+	m.start(m.q.Next(at(now), nil))
 }
 
 func (m *model) check() {
@@ -82,7 +82,7 @@
 	if count["running"] != m.q.Running() || count["waiting"] != m.q.Waiting() {
 		m.t.Fatalf("got running %d waiting %d, want %d and %d", m.q.Running(), m.q.Waiting(), count["running"], count["waiting"])
 	}
-	if m.q.Running() > m.l.Slots || m.q.Waiting() > m.l.Waiting || len(m.q.patient) > m.l.Slots-m.l.Reserved {
+	if m.q.Running() > m.l.Slots || m.q.Waiting() > m.l.MaxWaiting || len(m.q.patient) > m.l.Slots-m.l.Reserved {
 		m.t.Fatalf("running %d waiting %d patient %d with limits %+v", m.q.Running(), m.q.Waiting(), len(m.q.patient), m.l)
 	}
 }
@@ -93,9 +93,9 @@
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{
-			Slots:   rapid.IntRange(1, 6).Draw(t, "slots"),
-			Waiting: rapid.IntRange(0, 6).Draw(t, "waiting"),
-			AgeAt:   func(arrived time.Time) time.Time { return arrived.Add(50 * time.Millisecond) },
+			Slots:      rapid.IntRange(1, 6).Draw(t, "slots"),
+			MaxWaiting: rapid.IntRange(0, 6).Draw(t, "waiting"),
+			PromoteAt:  func(arrived time.Time) time.Time { return arrived.Add(50 * time.Millisecond) },
 		}
 		l.Reserved = rapid.IntRange(0, l.Slots-1).Draw(t, "reserved")
 		m := &model{t: t, q: New(l), l: l, state: make(map[string]string)}
@@ -117,21 +117,21 @@
 }
 
 func TestOrder(t *testing.T) {
-	q := New(Limits{Slots: 2, Reserved: 1, Waiting: 10, AgeAt: func(a time.Time) time.Time { return a.Add(100 * time.Millisecond) }})
+	q := New(Limits{Slots: 2, Reserved: 1, MaxWaiting: 10, PromoteAt: func(a time.Time) time.Time { return a.Add(100 * time.Millisecond) }})
 	item := func(id string, patient bool, arrived, deadline int) Item {
 		return Item{ID: id, Patient: patient, Arrived: at(arrived), Deadline: at(deadline)}
 	}
 	steps := []struct {
 		name string
-		got  Verdict
-		want Verdict
+		got  Decision
+		want Decision
 	}{
-		{"patient takes the unreserved slot", q.Offer(at(0), item("p1", true, 0, 1000)), Verdict{Admitted: true}},
-		{"patient leaves the reserved slot", q.Offer(at(0), item("p2", true, 0, 1000)), Verdict{Queued: true}},
-		{"interactive takes the reserved slot", q.Offer(at(1), item("i1", false, 1, 900)), Verdict{Admitted: true}},
-		{"interactive waits", q.Offer(at(2), item("i2", false, 2, 800)), Verdict{Queued: true}},
-		{"interactive with an earlier deadline waits", q.Offer(at(3), item("i3", false, 3, 700)), Verdict{Queued: true}},
-		{"passed deadline", q.Offer(at(4), item("x", false, 4, 4)), Verdict{Refused: fault.DeadlinePassed}},
+		{"patient takes the unreserved slot", q.Offer(at(0), item("p1", true, 0, 1000)), Decision{Admitted: true}},
+		{"patient leaves the reserved slot", q.Offer(at(0), item("p2", true, 0, 1000)), Decision{Queued: true}},
+		{"interactive takes the reserved slot", q.Offer(at(1), item("i1", false, 1, 900)), Decision{Admitted: true}},
+		{"interactive waits", q.Offer(at(2), item("i2", false, 2, 800)), Decision{Queued: true}},
+		{"interactive with an earlier deadline waits", q.Offer(at(3), item("i3", false, 3, 700)), Decision{Queued: true}},
+		{"passed deadline", q.Offer(at(4), item("x", false, 4, 4)), Decision{Refused: fault.DeadlinePassed}},
 	}
 	for _, s := range steps {
 		if s.got != s.want {
@@ -147,7 +147,7 @@
 	if got, want := fmt.Sprint(order), "[i3 i2 p2]"; got != want {
 		t.Errorf("order of starts: got %s, want %s", got, want)
 	}
-	if got, want := q.Offer(at(20), item("p3", true, 20, 1000)), (Verdict{Queued: true}); got != want {
+	if got, want := q.Offer(at(20), item("p3", true, 20, 1000)), (Decision{Queued: true}); got != want {
 		t.Errorf("patient leaves the reserved slot again: got %+v, want %+v", got, want)
 	}
 	if got, want := len(q.Done(at(30), "i2", nil)), 0; got != want {
--- a/pkg/seal/seal.go
+++ b/pkg/seal/seal.go
@@ -50,47 +50,47 @@
 // Keyring holds the keys of a process. The first key signs and all keys verify,
 // so that keys can be rotated without rejecting tokens in circulation. It must
 // be created with NewKeyring and is safe for concurrent use.
-type Ring struct {
-	keys []ringKey
+type Keyring struct {
+	keys []namedSecret
 }
 
-type ringKey struct {
+type namedSecret struct {
 	id     string
 	secret []byte
 }
 
 // NewKeyring returns a keyring of the given keys, the signing key first. It
 // returns ErrNoKey if there are none and ErrWeakKey if one is not valid.
-func NewRing(keys []Key) (*Ring, error) {
+func NewKeyring(keys []Key) (*Keyring, error) {
 	if len(keys) == 0 {
 		return nil, ErrNoKey
 	}
-	r := &Ring{}
+	r := &Keyring{}
 	for _, k := range keys {
 		secret, err := hex.DecodeString(k.Hex)
 		if err != nil || len(secret) < minKeyBytes || k.ID == "" || strings.Contains(k.ID, ".") {
 			return nil, ErrWeakKey
 		}
-		r.keys = append(r.keys, ringKey{k.ID, secret})
+		r.keys = append(r.keys, namedSecret{k.ID, secret})
 	}
 	return r, nil
 }
 
 // Seal returns a token with the given prefix for v. It returns an error if v
 // cannot be encoded as JSON. The prefix must not contain a dot.
-func (r *Ring) Seal(prefix string, v any) (string, error) {
+func (r *Keyring) Seal(prefix string, v any) (string, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return "", err
 	}
 	k := r.keys[0]
 	text := prefix + "." + k.id + "." + base64.RawURLEncoding.EncodeToString(body)
-	return text + "." + base64.RawURLEncoding.EncodeToString(sum(k.secret, text)), nil
+	return text + "." + base64.RawURLEncoding.EncodeToString(hmacSHA256(k.secret, text)), nil
 }
 
 // Open verifies a token with the given prefix and decodes its payload into v,
 // which must be a pointer. It returns ErrMalformed or ErrForged.
-func (r *Ring) Open(prefix, token string, v any) error {
+func (r *Keyring) Open(prefix, token string, v any) error {
 	parts := strings.Split(token, ".")
 	if len(parts) != 4 || parts[0] != prefix {
 		return ErrMalformed
@@ -114,9 +114,9 @@
 }
 
 // verify reports whether a key with the given ID gives mac for text.
-func (r *Ring) verify(id, text string, mac []byte) bool {
+func (r *Keyring) verify(id, text string, mac []byte) bool {
 	for _, k := range r.keys {
-		if k.id == id && hmac.Equal(mac, sum(k.secret, text)) {
+		if k.id == id && hmac.Equal(mac, hmacSHA256(k.secret, text)) {
 			return true
 		}
 	}
@@ -124,19 +124,19 @@
 }
 
 // MAC returns the HMAC-SHA256 of text under the first key.
-func (r *Ring) MAC(text string) []byte { return sum(r.keys[0].secret, text) }
+func (r *Keyring) MAC(text string) []byte { return hmacSHA256(r.keys[0].secret, text) }
 
 // Verifies reports whether any key gives mac for text.
-func (r *Ring) Verifies(text string, mac []byte) bool {
+func (r *Keyring) Verifies(text string, mac []byte) bool {
 	for _, k := range r.keys {
-		if hmac.Equal(mac, sum(k.secret, text)) {
+		if hmac.Equal(mac, hmacSHA256(k.secret, text)) {
 			return true
 		}
 	}
 	return false
 }
 
-func sum(secret []byte, text string) []byte {
+func hmacSHA256(secret []byte, text string) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(text))
 	return h.Sum(nil)
--- a/pkg/seal/seal_test.go
+++ b/pkg/seal/seal_test.go
@@ -13,9 +13,9 @@
 	hexB = "ffeeddccbbaa99887766554433221100"
 )
 
-func ring(t *testing.T, keys ...Key) *Ring {
+func newTestKeyring(t *testing.T, keys ...Key) *Keyring {
 	t.Helper()
-	r, err := NewRing(keys)
+	r, err := NewKeyring(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,18 +26,18 @@
 // altered tokens and those of removed keys are rejected.
 func TestOpen(t *testing.T) {
 	a, b := Key{ID: "a", Hex: hexA}, Key{ID: "b", Hex: hexB}
-	old, rotated, later := ring(t, a), ring(t, b, a), ring(t, b)
+	old, rotated, later := newTestKeyring(t, a), newTestKeyring(t, b, a), newTestKeyring(t, b)
 	token, err := old.Seal("p", 42)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fresh, _ := rotated.Seal("p", 42)
 	tests := []struct {
-		name   string
-		ring   *Ring
-		prefix string
-		token  string
-		want   error
+		name    string
+		keyring *Keyring
+		prefix  string
+		token   string
+		want    error
 	}{
 		{"same key", old, "p", token, nil},
 		{"rotated ring verifies the old key", rotated, "p", token, nil},
@@ -50,7 +50,7 @@
 	}
 	for _, tt := range tests {
 		var v int
-		got := tt.ring.Open(tt.prefix, tt.token, &v)
+		got := tt.keyring.Open(tt.prefix, tt.token, &v)
 		if got != tt.want || (got == nil && v != 42) {
 			t.Errorf("%s: got %v %d, want %v", tt.name, got, v, tt.want)
 		}
@@ -59,14 +59,14 @@
 
 func TestWeakKeys(t *testing.T) {
 	for _, k := range []Key{{ID: "a", Hex: "0011"}, {ID: "a", Hex: "zz"}, {ID: "", Hex: hexA}, {ID: "a.b", Hex: hexA}} {
-		if _, got := NewRing([]Key{k}); got != ErrWeakKey {
+		if _, got := NewKeyring([]Key{k}); got != ErrWeakKey {
 			t.Errorf("%+v: got %v, want %v", k, got, ErrWeakKey)
 		}
 	}
 }
 
 func FuzzOpen(f *testing.F) {
-	r, _ := NewRing([]Key{{ID: "a", Hex: hexA}})
+	r, _ := NewKeyring([]Key{{ID: "a", Hex: hexA}})
 	token, _ := r.Seal("p", "x")
 	f.Add(token)
 	f.Add("p.a..")
--- a/pkg/stream/buffer.go
+++ b/pkg/stream/buffer.go
@@ -12,9 +12,9 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// maxPending is the maximum number of chunks that are held beyond a gap.
+// maxPendingChunks is the maximum number of chunks that are held beyond a gap.
 // Further ones are dropped and must be sent again.
-const maxPending = 64
+const maxPendingChunks = 64
 
 // Buffer holds the bytes of one answer while they arrive. It is safe for
 // concurrent use. It must be created with New.
@@ -34,12 +34,12 @@
 	end *End
 	// changed is closed and replaced at each change.
 	changed chan struct{}
-	// begun is closed at the first chunk, which may be empty; isBegun
+	// firstChunk is closed at the first chunk, which may be empty; isBegun
 	// reports that it is closed.
-	begun   chan struct{}
-	isBegun bool
-	// limit is the maximum length of data, in bytes.
-	limit int
+	firstChunk    chan struct{}
+	gotFirstChunk bool
+	// maxBytes is the maximum length of data, in bytes.
+	maxBytes int
 }
 
 // Head describes an answer; it precedes the first byte.
@@ -62,13 +62,13 @@
 
 // New returns an empty buffer that accepts at most limit bytes.
 func New(limit int) *Buffer {
-	return &Buffer{changed: make(chan struct{}), begun: make(chan struct{}), limit: limit}
+	return &Buffer{changed: make(chan struct{}), firstChunk: make(chan struct{}), maxBytes: limit}
 }
 
-// Begin selects the attempt whose chunks are accepted, and drops pending
+// SelectAttempt selects the attempt whose chunks are accepted, and drops pending
 // chunks. It returns false and changes nothing if the buffer holds bytes of
 // another attempt or the answer has ended.
-func (b *Buffer) Begin(attempt int) bool {
+func (b *Buffer) SelectAttempt(attempt int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.end != nil || (len(b.data) > 0 && attempt != b.attempt) {
@@ -102,15 +102,15 @@
 	if attempt != b.attempt || b.end != nil {
 		return nil
 	}
-	if !b.isBegun {
-		b.isBegun = true
-		close(b.begun)
+	if !b.gotFirstChunk {
+		b.gotFirstChunk = true
+		close(b.firstChunk)
 	}
 	if offset > len(b.data) {
-		b.hold(offset, p)
+		b.storePending(offset, p)
 		return nil
 	}
-	if err := b.take(offset, p); err != nil {
+	if err := b.appendChunk(offset, p); err != nil {
 		return err
 	}
 	for {
@@ -120,7 +120,7 @@
 		}
 		p := b.pending[next]
 		delete(b.pending, next)
-		if err := b.take(next, p); err != nil {
+		if err := b.appendChunk(next, p); err != nil {
 			return err
 		}
 	}
@@ -128,10 +128,10 @@
 	return nil
 }
 
-// hold stores a copy of a chunk beyond a gap; of two at one offset it keeps
+// storePending stores a copy of a chunk beyond a gap; of two at one offset it keeps
 // the longer.
-func (b *Buffer) hold(offset int, p []byte) {
-	if len(p) <= len(b.pending[offset]) || (len(b.pending) >= maxPending && b.pending[offset] == nil) {
+func (b *Buffer) storePending(offset int, p []byte) {
+	if len(p) <= len(b.pending[offset]) || (len(b.pending) >= maxPendingChunks && b.pending[offset] == nil) {
 		return
 	}
 	if b.pending == nil {
@@ -150,14 +150,14 @@
 	return 0, false
 }
 
-// take appends the part of a chunk that data does not hold yet; offset is at
+// appendChunk appends the part of a chunk that data does not hold yet; offset is at
 // most len(data).
-func (b *Buffer) take(offset int, p []byte) error {
+func (b *Buffer) appendChunk(offset int, p []byte) error {
 	skip := len(b.data) - offset
 	if skip >= len(p) {
 		return nil
 	}
-	if offset+len(p) > b.limit {
+	if offset+len(p) > b.maxBytes {
 		return fault.TooLarge
 	}
 	b.data = append(b.data, p[skip:]...)
@@ -188,9 +188,9 @@
 	b.changed = make(chan struct{})
 }
 
-// Begun returns a channel that is closed once a chunk of the selected attempt
+// FirstChunk returns a channel that is closed once a chunk of the selected attempt
 // has arrived. The chunk may be empty or lie beyond a gap.
-func (b *Buffer) Begun() <-chan struct{} { return b.begun }
+func (b *Buffer) FirstChunk() <-chan struct{} { return b.firstChunk }
 
 // Release frees the bytes of an ended answer. From then on Next returns an end
 // with the error NotWhole. It does nothing before the end or for an empty answer.
@@ -247,10 +247,10 @@
 	}
 }
 
-// Whole waits for the end of the answer and returns the head, all bytes and the
+// ReadAll waits for the end of the answer and returns the head, all bytes and the
 // end. It returns the cause of ctx as an error if ctx is done first. The caller
 // must not modify the bytes.
-func (b *Buffer) Whole(ctx context.Context) (Head, []byte, *End, error) {
+func (b *Buffer) ReadAll(ctx context.Context) (Head, []byte, *End, error) {
 	offset := 0
 	for {
 		h, p, end, err := b.Next(ctx, offset)
--- a/pkg/stream/buffer_test.go
+++ b/pkg/stream/buffer_test.go
@@ -27,7 +27,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "answer")
 		b := New(1000)
-		b.Begin(2)
+		b.SelectAttempt(2)
 		type chunk struct{ from, to int }
 		var chunks []chunk
 		for at := 0; at < len(want); {
@@ -45,7 +45,7 @@
 			}
 		}
 		b.Finish(len(want), nil)
-		_, got, end, err := b.Whole(context.Background())
+		_, got, end, err := b.ReadAll(context.Background())
 		if err != nil || end.Err != nil || !bytes.Equal(got, want) {
 			t.Errorf("got %v %v %v, want %v", got, end, err, want)
 		}
@@ -100,9 +100,9 @@
 
 func TestOneAttemptOnly(t *testing.T) {
 	b := New(100)
-	b.Begin(1)
+	b.SelectAttempt(1)
 	_ = b.Append(1, 0, []byte("first"))
-	if b.Begin(2) {
+	if b.SelectAttempt(2) {
 		t.Error("Begin of another attempt after a byte was taken: got true, want false")
 	}
 }
--- a/pkg/trail/record.go
+++ b/pkg/trail/record.go
@@ -48,7 +48,7 @@
 }
 
 // FillSettings sets Settings from Effective unless Settings is set already.
-func (r *Record) Fill() {
+func (r *Record) FillSettings() {
 	if r.Settings == nil && r.Effective != nil {
 		r.Settings = r.Effective.All()
 	}
@@ -56,24 +56,24 @@
 
 // settingsKey identifies the effective settings of a record. Records with equal
 // keys have equal settings.
-type sameSettings struct {
+type settingsKey struct {
 	revision int64
 	path     string
 }
 
-func (r *Record) same() sameSettings {
-	return sameSettings{r.Revision, config.Path(r.Workspace, r.Workload, r.District)}
+func (r *Record) settingsKey() settingsKey {
+	return settingsKey{r.Revision, config.Path(r.Workspace, r.Workload, r.District)}
 }
 
 // Encode encodes a batch of records as JSON. Among records with the same settings
 // only the first includes them. The records of the batch are not changed.
 func Encode(batch []Record) ([]byte, error) {
-	seen := make(map[sameSettings]bool)
+	seen := make(map[settingsKey]bool)
 	out := make([]Record, len(batch))
 	for i, r := range batch {
-		if key := r.same(); !seen[key] {
+		if key := r.settingsKey(); !seen[key] {
 			seen[key] = true
-			r.Fill()
+			r.FillSettings()
 		}
 		out[i] = r
 	}
@@ -87,13 +87,13 @@
 	if err := json.Unmarshal(body, &out); err != nil {
 		return nil, err
 	}
-	known := make(map[sameSettings][]config.Setting)
+	settingsByKey := make(map[settingsKey][]config.Setting)
 	for i := range out {
-		key := out[i].same()
+		key := out[i].settingsKey()
 		if out[i].Settings != nil {
-			known[key] = out[i].Settings
+			settingsByKey[key] = out[i].Settings
 		}
-		out[i].Settings = known[key]
+		out[i].Settings = settingsByKey[key]
 	}
 	return out, nil
 }
