--- a/internal/clock/median.go
+++ b/internal/clock/median.go
@@ -13,9 +13,9 @@
 // of them are right. The wall clock of a single VM may be stepped, also before the process starts.
 // It must be created with NewMedianClock and is safe for concurrent use.
 type MedianClock struct {
-	// Boot returns the time since an arbitrary start. It is never stepped and includes suspensions.
+	// Boot returns the time since a fixed start. It is never stepped and includes suspensions.
 	Boot func() time.Duration
-	// startWall is the wall clock time at which the MedianClock was created, and beganBoot the value of
+	// startWall is the wall clock time at which the MedianClock was created, and startBoot the value of
 	// Boot then.
 	startWall time.Time
 	startBoot time.Duration
@@ -27,7 +27,7 @@
 // offset is how far a clock is ahead of the local one.
 type offset struct {
 	ahead time.Duration
-	// expiresAt is when the offset expires, by the local clock.
+	// expiresAt is by the local clock.
 	expiresAt time.Time
 }
 
--- a/internal/clock/median_test.go
+++ b/internal/clock/median_test.go
@@ -28,7 +28,7 @@
 		{"stepped beside two", 2 * time.Second, []time.Duration{0, 0}, 0},
 		{"stepped back beside three", -2 * time.Second, []time.Duration{0, 0, 3 * time.Millisecond}, 0},
 		{"right beside one stepped of three", 0, []time.Duration{0, 2 * time.Second, 0}, 0},
-		{"a third stepped", 0, []time.Duration{2 * time.Second, 0, 0, 2 * time.Second, 0}, 0},
+		{"right beside two stepped of five", 0, []time.Duration{2 * time.Second, 0, 0, 2 * time.Second, 0}, 0},
 	} {
 		var boot time.Duration
 		k := NewMedianClock(func() time.Duration { return boot }, truth.Add(c.local))
--- a/internal/clock/stall.go
+++ b/internal/clock/stall.go
@@ -29,10 +29,10 @@
 	// MinGap is the shortest gap between ticks, by Boot, that counts as a stall.
 	MinGap time.Duration
 	mu     sync.Mutex
-	// lastTick and tickedBoot are the time of the last tick, by both clocks.
+	// lastTick and lastTickBoot are the time of the last tick, by Now and by Boot.
 	lastTick     time.Time
 	lastTickBoot time.Duration
-	// resumedAt is when a tick last ended a stall.
+	// resumedAt is when a tick last ended a stall, by Now.
 	resumedAt time.Time
 	// suspended is the part of all stalls so far that Now did not include. It is added to the age of
 	// a time before the last stall, which overstates the age if other stalls precede that time.
@@ -53,8 +53,8 @@
 	return stalled
 }
 
-// stallSinceTick returns the duration of the stall since the last tick, 0 if there is none, and the part of
-// it that Now did not include; mu is held.
+// stallSinceTick returns the duration of the stall since the last tick, 0 if there is none, and the part
+// of it that Now did not include; mu is held.
 func (s *StallDetector) stallSinceTick(now time.Time, boot time.Duration) (stalled, suspended time.Duration) {
 	gap := boot - s.lastTickBoot
 	if s.lastTick.IsZero() || gap < s.MinGap {
@@ -75,7 +75,7 @@
 }
 
 // Age returns the time from at to now, both read from Now, plus the stall time that Now did not
-// include. It may exceed the real age, and falls short of it only by gaps less than Least. A stall that
+// include. It may exceed the real age, and falls short of it only by gaps less than MinGap. A stall that
 // no tick has ended yet is added to every age: a copy of the store would otherwise be reported as up to
 // date until that tick.
 func (s *StallDetector) Age(at, now time.Time) time.Duration {
--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -23,7 +23,7 @@
 	mu sync.Mutex
 	// lines is closed by Close; nothing is sent afterwards.
 	lines chan []byte
-	// closed reports that lines is closed.
+	// closed reports whether lines is closed.
 	closed  bool
 	dropped atomic.Int64
 	// done is closed when the goroutine of write returns.
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -36,7 +36,8 @@
 // zero value discards them.
 type LibraryLogger struct {
 	Log *zap.Logger
-	// Prefix is the prefix of the component that uses the library.
+	// Prefix is the name of the component that uses the library. It precedes
+	// each message.
 	Prefix string
 }
 
--- a/internal/tasks/group.go
+++ b/internal/tasks/group.go
@@ -29,7 +29,7 @@
 	ends chan End
 }
 
-// Go runs fn in a goroutine of the group, with ctx as its context.
+// Go runs fn with ctx in a goroutine of the group. The name identifies it in its End.
 func (g *Group) Go(ctx context.Context, name string, fn func(ctx context.Context) error) {
 	g.mu.Lock()
 	if g.ends == nil {
--- a/pkg/admit/queue.go
+++ b/pkg/admit/queue.go
@@ -32,7 +32,7 @@
 type Item struct {
 	// ID is unique among the items in the queue.
 	ID string
-	// Patient reports that the run may wait behind interactive ones.
+	// Patient reports whether the run may wait behind interactive ones.
 	Patient bool
 	// Arrived is when the item was offered.
 	Arrived time.Time
@@ -47,11 +47,11 @@
 // Decision is the result of offering an item. Exactly one of Admitted, Queued
 // and Refused is set.
 type Decision struct {
-	// Admitted reports that the item holds a slot now.
+	// Admitted reports whether the item holds a slot now.
 	Admitted bool
-	// Queued reports that the item waits for a slot.
+	// Queued reports whether the item waits for a slot.
 	Queued bool
-	// Refused is the kind of the refusal.
+	// Refused is the kind of the refusal; empty if the item is not refused.
 	Refused fault.Kind
 	// RetryAt is when the caller should retry after a refusal; zero if a
 	// retry makes no sense, as the deadline has passed.
@@ -62,16 +62,18 @@
 // and is not safe for concurrent use.
 type Queue struct {
 	limits Limits
-	// running holds the items that have a slot, by ID; never more than
-	// Slots. Arrived of these items is when they got their slot.
+	// running holds the items that hold a slot, by ID; at most limits.Slots.
+	// Arrived of these items is when they got their slot.
 	running map[string]Item
-	// patient is the set of IDs of the running items that were patient when
-	// they were admitted; never more than Slots minus Reserved.
+	// patient is the set of IDs of the running items that were treated as
+	// patient when they got their slot; at most limits.Slots minus
+	// limits.Reserved.
 	patient map[string]bool
-	// waiting is in order of arrival; never longer than Waiting.
+	// waiting is in order of arrival; at most limits.MaxWaiting long.
 	waiting []Item
-	// meanHeldSeconds is the exponentially weighted moving average of the time that
-	// runs hold their slots, in seconds; 0 before the first run has ended.
+	// meanHeldSeconds is the exponentially weighted moving average of the time
+	// for which runs hold their slots, in seconds; 0 before the first run has
+	// ended.
 	meanHeldSeconds float64
 }
 
@@ -156,7 +158,8 @@
 const ewmaWeight = 0.1
 
 // Done frees the slot of an item, and appends to dst the waiting items that
-// start in consequence, as Next does. An ID that holds no slot frees none.
+// start in consequence, as Next does. If id holds no slot, it only does the
+// latter.
 func (q *Queue) Done(now time.Time, id string, dst []Item) []Item {
 	if it, ok := q.running[id]; ok {
 		held := now.Sub(it.Arrived).Seconds()
@@ -212,7 +215,7 @@
 
 // expectedEnd estimates when the item would end if it waited behind the items
 // that are ordered before it. A patient item that has no slots to use is
-// expectedEnd to miss its deadline.
+// expected to miss its deadline.
 func (q *Queue) expectedEnd(it Item, now time.Time) time.Time {
 	ahead := 0
 	for _, w := range q.waiting {
--- a/pkg/bill/line.go
+++ b/pkg/bill/line.go
@@ -34,8 +34,8 @@
 
 // Line is the billing record of one request.
 type Line struct {
-	// ID is the bill ID: workspace/key if the caller sent an idempotency key,
-	// else the request ID.
+	// ID is the bill ID: workspace/key if the caller sent a key, else the
+	// request ID.
 	ID        string `json:"id"`
 	RequestID string `json:"requestID"`
 	Workspace string `json:"workspace"`
@@ -43,7 +43,7 @@
 	// At is when the request ended or, on a guard's line, when the run ended.
 	At       time.Time `json:"at"`
 	Attempts []Attempt `json:"attempts"`
-	// Whole reports that the line covers all attempts of the request. The
+	// Whole reports whether the line covers all attempts of the request. The
 	// entry writes such lines; a guard's line covers only its own attempt.
 	Whole bool `json:"whole,omitempty"`
 }
--- a/pkg/seal/seal.go
+++ b/pkg/seal/seal.go
@@ -54,6 +54,7 @@
 	keys []namedSecret
 }
 
+// namedSecret is a Key with its secret decoded.
 type namedSecret struct {
 	id     string
 	secret []byte
@@ -136,6 +137,7 @@
 	return false
 }
 
+// hmacSHA256 returns the HMAC-SHA256 of text.
 func hmacSHA256(secret []byte, text string) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(text))
--- a/pkg/seal/seal_test.go
+++ b/pkg/seal/seal_test.go
@@ -40,13 +40,13 @@
 		want    error
 	}{
 		{"same key", old, "p", token, nil},
-		{"rotated ring verifies the old key", rotated, "p", token, nil},
-		{"rotated ring seals with the first key", later, "p", fresh, nil},
+		{"rotated keyring verifies with the old key", rotated, "p", token, nil},
+		{"rotated keyring signs with the first key", later, "p", fresh, nil},
 		{"removed key", later, "p", token, ErrForged},
 		{"other prefix", old, "q", token, ErrMalformed},
 		{"changed payload", old, "p", strings.Replace(token, ".NDI.", ".NDM.", 1), ErrForged},
 		{"truncated", old, "p", token[:len(token)-20], ErrForged},
-		{"no token", old, "p", "hello", ErrMalformed},
+		{"not a token", old, "p", "hello", ErrMalformed},
 	}
 	for _, tt := range tests {
 		var v int
@@ -65,6 +65,7 @@
 	}
 }
 
+// FuzzOpen checks that Open accepts no text but a token that Seal returned.
 func FuzzOpen(f *testing.F) {
 	r, _ := NewKeyring([]Key{{ID: "a", Hex: hexA}})
 	token, _ := r.Seal("p", "x")
--- a/pkg/stream/buffer.go
+++ b/pkg/stream/buffer.go
@@ -34,8 +34,8 @@
 	end *End
 	// changed is closed and replaced at each change.
 	changed chan struct{}
-	// firstChunk is closed at the first chunk, which may be empty; isBegun
-	// reports that it is closed.
+	// firstChunk is closed at the first chunk, which may be empty;
+	// gotFirstChunk reports whether it is closed.
 	firstChunk    chan struct{}
 	gotFirstChunk bool
 	// maxBytes is the maximum length of data, in bytes.
@@ -66,8 +66,8 @@
 }
 
 // SelectAttempt selects the attempt whose chunks are accepted, and drops pending
-// chunks. It returns false and changes nothing if the buffer holds bytes of
-// another attempt or the answer has ended.
+// chunks. In a new buffer attempt 0 is selected. It returns false and changes
+// nothing if the buffer holds bytes of another attempt or the answer has ended.
 func (b *Buffer) SelectAttempt(attempt int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// storePending stores a copy of a chunk beyond a gap; of two at one offset it keeps
-// the longer.
+// storePending stores a copy of a chunk beyond a gap; of two chunks at one offset it
+// keeps the longer.
 func (b *Buffer) storePending(offset int, p []byte) {
 	if len(p) <= len(b.pending[offset]) || (len(b.pending) >= maxPendingChunks && b.pending[offset] == nil) {
 		return
--- a/pkg/trail/record.go
+++ b/pkg/trail/record.go
@@ -29,21 +29,21 @@
 	Deadline time.Time `json:"deadline"`
 	// BillID is the ID of the request's bill.Line.
 	BillID string `json:"billID"`
-	// Settings holds every effective value with the level that set it. It
-	// is nil until FillSettings derives it from Effective, as most records are
-	// never read.
+	// Settings holds every effective value with the level that set it.
+	// FillSettings derives it from Effective, and Decode restores it. Before
+	// that it is nil, as most records are never read.
 	Settings  []config.Setting  `json:"settings,omitempty"`
 	Effective *config.Effective `json:"-"`
 	// Steps holds the decisions, in order.
 	Steps []Step `json:"steps"`
 	// Err is why the request failed; nil for a complete answer.
 	Err *fault.Error `json:"err,omitempty"`
-	// Key tells how the caller's idempotency key was handled: "claimed" by
-	// this entry, "joined" and the incarnation of the entry that held it, or
-	// "ticket". It is empty without a key.
+	// Key tells how the caller's key was handled: "claimed" by this entry,
+	// "joined" and the incarnation of the entry that held it, or "ticket". It
+	// is empty without a key.
 	Key string `json:"key,omitempty"`
 	// Session tells how the session was handled: "opened", "kept" or
-	// "moved". It is empty without one.
+	// "moved". It is empty without a session.
 	Session string `json:"session,omitempty"`
 }
 
@@ -61,6 +61,7 @@
 	path     string
 }
 
+// settingsKey returns the key of the settings that were in force on arrival.
 func (r *Record) settingsKey() settingsKey {
 	return settingsKey{r.Revision, config.Path(r.Workspace, r.Workload, r.District)}
 }
