--- a/pkg/claim/bucket.go
+++ b/pkg/claim/bucket.go
@@ -10,51 +10,59 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// ErrCorrupt says that a slice does not decode.
+// ErrCorrupt reports that the body of a slice is not a JSON list of records.
 const ErrCorrupt fault.Const = "claim: a slice does not decode"
 
-// SliceFull is how many records make a slice full. A full slice never grows, so
-// an update carries at most this many records beside its own.
+// SliceFull is the number of records from which on a slice is full; one update
+// may take a slice beyond it. A full slice never changes again, so an update
+// rewrites fewer than this many records beside those that it adds.
 const SliceFull = 64
 
 // Record is one claim.
 type Record struct {
-	// Key is the hash of the workspace and the caller's key.
+	// Key is the hash of the workspace and the key that the caller sent.
 	Key string `json:"k"`
-	// Generation counts the claims on a key. A later one stands only where
-	// the owner of the one before has said that it is closed and did not run.
+	// Generation numbers the claims on a key from 0. A claim of the next
+	// generation is written only after the owner of the current one has
+	// reported that the request is closed and did not run.
 	Generation int `json:"g,omitempty"`
-	// Run names the request that may run.
+	// Run is the ID of the request that may run.
 	Run string `json:"r"`
-	// Body is the hash of the request, which the key binds.
+	// Body is the hash of the request that the key is bound to; empty for a
+	// name that is not bound to a request.
 	Body string `json:"b,omitempty"`
-	// Owner is the entry incarnation that may run it, Link its address.
+	// Owner is the incarnation of the entry that may run the request, Link
+	// the address at which other processes connect to it.
 	Owner string         `json:"o"`
 	Link  netip.AddrPort `json:"l"`
-	// Value is what a claimed name stands for, such as a session's version.
+	// Value is what a claimed name stands for, such as the version of a
+	// session; empty for a key.
 	Value string `json:"v,omitempty"`
 }
 
-// Bucket is a reader's copy of one bucket. The zero value is empty and has
-// read nothing.
+// Bucket is a local copy of one bucket of the log, as last read from or
+// written to the platform. The zero value is the copy of a bucket that has not
+// been read. It is not safe for concurrent use.
 type Bucket struct {
 	// index holds the claim of the highest generation of each key.
 	index map[string]Record
-	// slices is how many slices were read; the last one may grow.
+	// slices is the number of slices in the copy; only the last one may grow.
 	slices int
-	// tail is the content of the last slice, version its object version.
+	// tail holds the records of the last slice, version the version of its
+	// object on the platform.
 	tail    []Record
 	version int64
 }
 
-// Get returns the claim on a key.
+// Get returns the claim on a key and whether the copy holds one.
 func (b *Bucket) Get(key string) (Record, bool) {
 	r, ok := b.index[key]
 	return r, ok
 }
 
-// Next returns the slice that must be read or written next: the last one, or
-// a new one with version 0 if the last one is full.
+// Next returns the index and the object version of the slice to read or write
+// next: the last one, or a new one with version 0 if the last one is full or
+// there is none.
 func (b *Bucket) Next() (slice int, version int64) {
 	if b.slices == 0 || len(b.tail) >= SliceFull {
 		return b.slices, 0
@@ -62,7 +70,9 @@
 	return b.slices - 1, b.version
 }
 
-// Take enters a slice as the platform has it.
+// Take updates the copy with a slice that was read from the platform, which
+// becomes the last one. It returns ErrCorrupt, and leaves the copy unchanged,
+// if body does not decode.
 func (b *Bucket) Take(slice int, version int64, body []byte) error {
 	var records []Record
 	if err := json.Unmarshal(body, &records); err != nil {
@@ -86,8 +96,8 @@
 	}
 }
 
-// Fits reports whether r may be appended: there is no claim on its key, or the
-// one there is of the generation before.
+// Fits reports whether r may be appended: its key has no claim and r has
+// generation 0, or the claim on its key has the generation before that of r.
 func (b *Bucket) Fits(r Record) bool {
 	old, ok := b.index[r.Key]
 	if !ok {
@@ -96,7 +106,10 @@
 	return r.Generation == old.Generation+1
 }
 
-// Append returns the slice to write with the records added, and its body.
+// Append returns the update that appends added to the log: the index of the
+// slice, the object version that the update is conditional on, the records of
+// the slice after it, and their encoding. The copy does not change until
+// Written is called.
 func (b *Bucket) Append(added []Record) (slice int, version int64, records []Record, body []byte) {
 	slice, version = b.Next()
 	if version != 0 {
@@ -105,10 +118,11 @@
 	records = append(records, added...)
 	body, err := json.Marshal(records)
 	if err != nil {
-		panic("claim: records are always encodable: " + err.Error())
+		panic("claim: encode records: " + err.Error())
 	}
 	return slice, version, records, body
 }
 
-// Written enters a slice that this writer has written.
+// Written updates the copy with a slice that this process has written, under
+// the object version that the platform returned.
 func (b *Bucket) Written(slice int, version int64, records []Record) { b.take(slice, version, records) }
--- a/pkg/config/check.go
+++ b/pkg/config/check.go
@@ -10,13 +10,15 @@
 	"strings"
 )
 
-// checker collects the problems of one file.
+// checker collects the problems of one file. Without lines, every problem has
+// line 1.
 type checker struct {
 	name     string
 	lines    Lines
 	problems Problems
 }
 
+// add reports a problem at the nested key that keys names.
 func (c *checker) add(keys []string, format string, args ...any) {
 	c.problems = append(c.problems, Problem{
 		File:    c.name,
@@ -75,6 +77,8 @@
 	}
 }
 
+// workspace checks one workspace. The map hashes holds the workspace of each API
+// key hash seen so far, as no two workspaces may share a key.
 func (c *checker) workspace(f File, ws string, hashes map[string]string) {
 	at := []string{"workspaces", ws}
 	c.checkName(at)
@@ -107,6 +111,7 @@
 	}
 }
 
+// values checks the values of one node; at holds the keys of the node in the file.
 func (c *checker) values(f File, at []string, v Values) {
 	for _, k := range keys {
 		if msg := k.check(v); msg != "" {
@@ -120,8 +125,9 @@
 	}
 }
 
-// allowed reports chat workloads that are left with no version they could run
-// on: none allowed, all withdrawn, or a target that none meets.
+// allowed reports the enabled chat workloads and districts that no version can
+// serve: none is allowed, none of the allowed ones is eligible, or none of these
+// meets the quality target.
 func (c *checker) allowed(f File) {
 	s, err := snapshotOf(f.Nodes())
 	if err != nil {
@@ -142,6 +148,8 @@
 	}
 }
 
+// unserved returns why none of candidates can serve all requests under e, or "".
+// Eligible versions are serving, cost at most maxCost and are fully rolled out.
 func unserved(e *Effective, candidates []Candidate) string {
 	best := -1.0
 	serving := 0
@@ -164,6 +172,7 @@
 	return ""
 }
 
+// yamlKeys returns the keys of a workload or district in a File.
 func yamlKeys(path string) []string {
 	p := strings.Split(path, "/")
 	out := []string{"workspaces", p[0], "workloads", p[1]}
@@ -173,6 +182,7 @@
 	return out
 }
 
+// snapshotOf returns a snapshot of nodes as revision 1.
 func snapshotOf(nodes map[string]Node) (*Snapshot, error) {
 	head := Head{Revision: 1, Nodes: make(map[string]Ref)}
 	bodies := make(map[string][]byte)
@@ -184,8 +194,9 @@
 	return Build(head, bodies)
 }
 
-// CheckNodes checks a whole tree that did not come from a file. The error is
-// Problems, whose keys are those a file would have.
+// CheckNodes checks a whole tree that was not read from a file. The error is
+// Problems: they carry name as the file, the keys that a File would have, and
+// line 1.
 func CheckNodes(name string, nodes map[string]Node) error {
 	c := checker{name: name}
 	c.file(FileOf(nodes))
@@ -195,5 +206,6 @@
 	return nil
 }
 
-// Preview returns the tree that nodes would make, as revision 1.
+// Preview returns the snapshot that nodes would make, as revision 1, without
+// checking them. It returns an error if a node does not decode again.
 func Preview(nodes map[string]Node) (*Snapshot, error) { return snapshotOf(nodes) }
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -55,20 +55,21 @@
 	}
 }
 
-// TestProblems names file, line, key and what is allowed for each fault.
+// TestProblems checks that each error in a file is reported with file, line, key
+// and what is allowed.
 func TestProblems(t *testing.T) {
 	tests := []struct{ name, old, new, want string }{
 		{"unknown key", "answerWithin: 10s", "answerWithn: 10s", "tree:8: answerWithn:"},
 		{"wrong type", "cost: 1,", "cost: dear,", "tree:4: dear:"},
 		{"impossible value", "quality: 0.5", "quality: 7", "tree:4: models.m.versions.1.quality: 7 is not allowed; allowed: 0 to 1"},
-		{"length of time", "answerWithin: 10s", "answerWithin: soon", "tree:8: values.answerWithin: a length of time"},
+		{"invalid length of time", "answerWithin: 10s", "answerWithin: soon", "tree:8: values.answerWithin: a length of time"},
 		{"out of range", "answerWithin: 10s", "answerWithin: 1ms", "tree:8: values.answerWithin: 1ms is not allowed; allowed: 10ms to 24h"},
 		{"unknown model", "allow: [m]", "allow: [n]", `"n" names no model`},
 		{"unknown service", "      l:\n", "      l:\n        serves: x\n", `"x" is not allowed; allowed: chat or one of services`},
-		{"target nobody can meet", "qualityTarget: 0.8", "qualityTarget: 0.95", "tree:13: workspaces.w.workloads.l: qualityTarget 0.95 cannot be met"},
-		{"withdrawn everywhere", "quality: 0.9}", "quality: 0.9, state: withdrawn}", "every allowed version is withdrawn"},
-		{"short key hash", "sha256:aaaa", "sha256:a", "64 hexadecimal digits"},
-		{"doubled key", "services:", "models: {}\nservices:", "models"},
+		{"quality target that no version meets", "qualityTarget: 0.8", "qualityTarget: 0.95", "tree:13: workspaces.w.workloads.l: qualityTarget 0.95 cannot be met"},
+		{"only allowed version withdrawn", "quality: 0.9}", "quality: 0.9, state: withdrawn}", "every allowed version is withdrawn"},
+		{"short API key hash", "sha256:aaaa", "sha256:a", "64 hexadecimal digits"},
+		{"duplicate key", "services:", "models: {}\nservices:", "models"},
 	}
 	for _, tt := range tests {
 		text := strings.Replace(tree, tt.old, tt.new, 1)
@@ -104,7 +105,7 @@
 	for path, n := range a {
 		_, want := n.Encode()
 		if _, got := b[path].Encode(); got != want {
-			t.Errorf("%s: got another node back", path)
+			t.Errorf("%s: the node has another hash after the round trip", path)
 		}
 	}
 }
--- a/pkg/config/effective.go
+++ b/pkg/config/effective.go
@@ -5,18 +5,22 @@
 
 import "reflect"
 
-// Origin says where an effective value comes from.
+// Origin is the node that set an effective value. For a default it has the
+// level LevelDefault, the empty path and revision 0.
 type Origin struct {
-	Level    Level  `json:"level"`
-	Path     string `json:"path"`
-	Revision int64  `json:"revision"`
+	Level Level  `json:"level"`
+	Path  string `json:"path"`
+	// Revision is the revision at which the node last changed.
+	Revision int64 `json:"revision"`
 }
 
-// Effective holds the settings in force for one path.
+// Effective holds the settings in force for one path. It must not be changed, as
+// all requests of the path share it.
 type Effective struct {
-	// Path is the path asked for.
+	// Path is the path of the node that the settings are of: the one at the
+	// path itself, or at the nearest level above that has a node.
 	Path string
-	// Values has no nil field, except that an empty list may be nil.
+	// Values has every field set; only an empty list may be nil.
 	Values Values
 	// origins has one entry for each of Keys, in that order.
 	origins []Origin
@@ -24,12 +28,15 @@
 
 // Setting is one effective value with its origin, as explain prints it.
 type Setting struct {
-	Key    string `json:"key"`
+	// Key is the name of the setting, such as answerWithin.
+	Key string `json:"key"`
+	// Value is the value as text.
 	Value  string `json:"value"`
 	Origin Origin `json:"origin"`
 }
 
-// Setting returns the named value with its origin.
+// Setting returns the setting named key with its origin; for an unknown name,
+// value and origin are empty.
 func (e *Effective) Setting(key string) Setting {
 	for i, k := range keys {
 		if k.Name == key {
@@ -39,7 +46,7 @@
 	return Setting{Key: key}
 }
 
-// All returns every effective value in the order of Keys.
+// All returns every setting with its origin, in the order of Keys.
 func (e *Effective) All() []Setting {
 	out := make([]Setting, len(keys))
 	for i, k := range keys {
@@ -48,6 +55,7 @@
 	return out
 }
 
+// defaultEffective returns the settings in force where no node sets any.
 func defaultEffective() *Effective {
 	e := &Effective{Values: defaults, origins: make([]Origin, len(keys))}
 	for i := range e.origins {
@@ -56,7 +64,8 @@
 	return e
 }
 
-// override returns a copy of e with what v sets.
+// override returns a copy of e in which the fields that v sets replace those of
+// e, with the node at path, last changed at revision, as their origin.
 func (e *Effective) override(path string, revision int64, v Values) *Effective {
 	out := &Effective{Path: path, Values: e.Values, origins: append([]Origin(nil), e.origins...)}
 	src := reflect.ValueOf(v)
--- a/pkg/config/err.go
+++ b/pkg/config/err.go
@@ -5,7 +5,9 @@
 
 import "github.com/traildrift/traildrift/pkg/fault"
 
-// Errors of this package.
+// Errors of this package. ErrSpan is returned by Span.UnmarshalText, ErrRevision
+// by Snapshot.Advance, ErrMissing by Build, and ErrCorrupt by DecodeNode and
+// Build.
 const (
 	ErrSpan     fault.Const = "a length of time such as 30s, 1.5h or 200ms is allowed"
 	ErrRevision fault.Const = "config: the revision would go back"
--- a/pkg/config/file.go
+++ b/pkg/config/file.go
@@ -16,7 +16,7 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// File is the tree as operators write it.
+// File is the tree as operators write it in YAML.
 type File struct {
 	Models     map[string]Model         `yaml:"models"`
 	Services   map[string]Service       `yaml:"services,omitempty"`
@@ -24,42 +24,48 @@
 	Workspaces map[string]WorkspaceNode `yaml:"workspaces"`
 }
 
-// WorkspaceNode is a workspace as operators write it.
+// WorkspaceNode is a workspace in a File.
 type WorkspaceNode struct {
+	// KeyHashes holds the hashes of the workspace's API keys; see KeyHash.
 	KeyHashes []string                `yaml:"keyHashes"`
 	Values    Values                  `yaml:"values,omitempty"`
 	Workloads map[string]WorkloadNode `yaml:"workloads,omitempty"`
 }
 
-// WorkloadNode is a workload as operators write it.
+// WorkloadNode is a workload in a File.
 type WorkloadNode struct {
+	// Serves is ServesChat, empty for the same, or the name of a plain service.
 	Serves    string                  `yaml:"serves,omitempty"`
 	Values    Values                  `yaml:"values,omitempty"`
 	Districts map[string]DistrictNode `yaml:"districts,omitempty"`
 }
 
-// DistrictNode is a district as operators write it.
+// DistrictNode is a district in a File.
 type DistrictNode struct {
 	Values Values `yaml:"values,omitempty"`
 }
 
-// Problem is one fault of a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
-	File    string
-	Line    int
-	Key     string
+	File string
+	// Line counts from 1; it is 1 also where the line is not known.
+	Line int
+	// Key is the dotted path of the key, such as values.answerWithin. For a
+	// syntax error or an unknown key it is the token that the parser names.
+	Key string
+	// Message says what is wrong and what is allowed.
 	Message string
 }
 
-// Error returns file, line, key and what is allowed.
+// Error returns file, line, key and message.
 func (p Problem) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Message)
 }
 
-// Problems are all faults of a settings file.
+// Problems lists all errors in a settings file.
 type Problems []Problem
 
-// Error returns one line for each fault.
+// Error returns one line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -68,9 +74,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// Decode reads one YAML document into dst, which must be a pointer to a
-// struct. Unknown keys and wrong types are Problems, all of them, with their
-// lines; dst then holds the plain values of the top level that are right.
+// Decode decodes one YAML document into dst, which must be a pointer to a
+// struct; name is the file name in errors. The error is Problems and lists all
+// unknown keys and values of a wrong type with their lines. With an error, dst
+// still holds the scalar values of the top level that decoded.
 func Decode(name string, text []byte, dst any) error {
 	err := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(dst)
 	if err == nil {
@@ -93,14 +100,17 @@
 	return ps
 }
 
-// leaf is one value of a document that is no mapping.
+// leaf is one value of a document that is not a mapping with entries.
 type leaf struct {
+	// keys are the nested keys of the value, from the top level down.
 	keys []string
+	// line is the line of the innermost key, counted from 1.
 	line int
+	// text is the value as YAML.
 	text string
 }
 
-// leaves lists the values of the document.
+// leaves returns the leaves of the document in order.
 func (l Lines) leaves() []leaf { return appendLeaves(nil, l.root, nil) }
 
 func appendLeaves(dst []leaf, n ast.Node, keys []string) []leaf {
@@ -116,9 +126,10 @@
 	return dst
 }
 
-// decode decodes a document that holds nothing but the leaf and returns what is
-// wrong. A leaf of the top level goes into dst, so that what is right can still be
-// checked; others go into a fresh value, as they would replace their neighbours.
+// decode decodes a document that consists of the leaf alone and returns the error
+// message, or "". A leaf of the top level is decoded into dst, so that the caller
+// can still check the valid ones. A nested leaf is decoded into a new value, as in
+// dst it would overwrite the other keys of its parent.
 func (l leaf) decode(dst any) string {
 	var doc strings.Builder
 	for depth, key := range l.keys {
@@ -142,6 +153,7 @@
 	return err.Error()
 }
 
+// asYAML finds the first yaml.Error that err wraps and stores it in dst.
 func asYAML(err error, dst *yaml.Error) bool {
 	for err != nil {
 		if e, ok := err.(yaml.Error); ok {
@@ -157,12 +169,13 @@
 	return false
 }
 
-// Lines finds the line of a key in a YAML document.
+// Lines finds the lines of keys in a YAML document, counted from 1.
 type Lines struct {
 	root ast.Node
 }
 
-// NewLines parses text; a document that does not parse has line 1 everywhere.
+// NewLines returns the lines of a document. If text does not parse, every key has
+// line 1.
 func NewLines(text []byte) Lines {
 	f, err := parser.ParseBytes(text, 0)
 	if err != nil || len(f.Docs) == 0 {
@@ -171,7 +184,9 @@
 	return Lines{root: f.Docs[0].Body}
 }
 
-// Of returns the line of the nested key, or of the nearest key above it.
+// Of returns the line of a nested key, whose keys are given from the top level
+// down. If the document lacks it, Of returns the line of the innermost one that it
+// has, or 1.
 func (l Lines) Of(keys ...string) int {
 	line := 1
 	n := l.root
@@ -181,7 +196,7 @@
 	return line
 }
 
-// entriesOf returns the entries of a mapping, and none of anything else.
+// entriesOf returns the entries of a mapping, or nil for any other node.
 func entriesOf(n ast.Node) []*ast.MappingValueNode {
 	switch m := n.(type) {
 	case *ast.MappingNode:
@@ -193,6 +208,8 @@
 	}
 }
 
+// child returns the value of key in the mapping n and stores the line of key in
+// line. It returns nil and does not change line if n has no such key.
 func child(n ast.Node, key string, line *int) ast.Node {
 	for _, e := range entriesOf(n) {
 		if t := e.Key.GetToken(); t.Value == key {
@@ -203,7 +220,8 @@
 	return nil
 }
 
-// ParseFile reads and checks a whole tree. The error is Problems.
+// ParseFile decodes and checks a whole tree; name is the file name in errors. The
+// error is Problems.
 func ParseFile(name string, text []byte) (File, error) {
 	var f File
 	if err := Decode(name, text, &f); err != nil {
@@ -217,7 +235,7 @@
 	return f, nil
 }
 
-// Nodes returns the tree by path.
+// Nodes returns the nodes of the tree by path.
 func (f File) Nodes() map[string]Node {
 	out := map[string]Node{"": {Models: f.Models, Services: f.Services, Values: f.Values}}
 	for ws, w := range f.Workspaces {
@@ -232,7 +250,8 @@
 	return out
 }
 
-// FileOf returns the tree as operators write it.
+// FileOf returns the tree of nodes as a File. It is the inverse of File.Nodes.
+// Every node but the fleet's must have its parent in nodes.
 func FileOf(nodes map[string]Node) File {
 	fleet := nodes[""]
 	f := File{Models: fleet.Models, Services: fleet.Services, Values: fleet.Values, Workspaces: map[string]WorkspaceNode{}}
--- a/pkg/config/head.go
+++ b/pkg/config/head.go
@@ -9,40 +9,45 @@
 	"time"
 )
 
-// historyKept is how many changes a head lists, so that a lost answer of a
-// write is settled by reading the head.
+// historyKept is the maximum number of changes that a head lists. A writer that
+// got no response to its write reads the head to find out whether its change is
+// among them.
 const historyKept = 64
 
-// Ref names a node as the head has it.
+// Ref is the entry of a node in a head.
 type Ref struct {
-	// Hash names the node object.
+	// Hash is the hash of the node's stored form, which names its object.
 	Hash string `json:"hash"`
-	// Revision is the one at which the node last changed.
+	// Revision is the revision at which the node last changed.
 	Revision int64 `json:"revision"`
 }
 
-// Change is one accepted change.
+// Change is one accepted change of the tree.
 type Change struct {
-	ID       string    `json:"id"`
-	Revision int64     `json:"revision"`
-	Author   string    `json:"author"`
-	At       time.Time `json:"at"`
-	Reason   string    `json:"reason"`
-	Paths    []string  `json:"paths"`
+	// ID is the ID that the author's client gave the change, Revision the
+	// revision that it made.
+	ID       string `json:"id"`
+	Revision int64  `json:"revision"`
+	// Author, At and Reason are as stated by the author.
+	Author string    `json:"author"`
+	At     time.Time `json:"at"`
+	Reason string    `json:"reason"`
+	// Paths are the paths whose nodes changed, sorted.
+	Paths []string `json:"paths"`
 }
 
-// Head names the revision in force and its nodes. A change is accepted once
-// the head has moved.
+// Head is the root object of the tree: it names the current revision and its
+// nodes. A change is accepted once the head that includes it is written.
 type Head struct {
-	// Revision counts the accepted changes; it never goes back.
+	// Revision is the number of accepted changes; it never decreases.
 	Revision int64 `json:"revision"`
-	// Nodes holds the node of each path.
+	// Nodes holds the reference of the node at each path.
 	Nodes map[string]Ref `json:"nodes"`
-	// Changes lists the last changes, newest first.
+	// Changes lists the last accepted changes, newest first.
 	Changes []Change `json:"changes"`
 }
 
-// Has reports whether the change of the given ID is listed.
+// Has returns the change of the given ID and whether the head lists it.
 func (h Head) Has(changeID string) (Change, bool) {
 	for _, c := range h.Changes {
 		if c.ID == changeID {
@@ -52,8 +57,9 @@
 	return Change{}, false
 }
 
-// Next returns the head that follows h when the paths of edits get new nodes;
-// an empty hash removes the path. The change gets its revision and paths.
+// Next returns the head of the next revision; edits maps each path that changes
+// to the hash of its new node; an empty hash removes the path. The head lists c
+// as its newest change, with Revision and Paths set.
 func (h Head) Next(edits map[string]string, c Change) Head {
 	next := Head{Revision: h.Revision + 1, Nodes: maps.Clone(h.Nodes)}
 	if next.Nodes == nil {
--- a/pkg/config/keys.go
+++ b/pkg/config/keys.go
@@ -12,19 +12,25 @@
 	"time"
 )
 
-// Key describes one inheritable setting, for checks and pages.
+// Key describes one inheritable setting: a field of Values and its tags. The
+// exported fields are the columns of docs/SETTINGS.md.
 type Key struct {
 	Name, Type, Unit, Default, Allowed, Doc string
-	index                                   int
-	min, max                                string
-	words                                   []string
+	// index is the index of the field in Values.
+	index int
+	// min and max are the bounds of a number or Span as text; empty without
+	// bounds.
+	min, max string
+	// words are the allowed values of a string.
+	words []string
 }
 
-// Keys lists every inheritable setting in the order of Values.
+// Keys returns every inheritable setting in the order of the fields of Values.
 func Keys() []Key { return slices.Clone(keys) }
 
 var (
-	keys     = readKeys()
+	keys = readKeys()
+	// defaults has every field of Values set to the default in its tag.
 	defaults = readDefaults()
 )
 
@@ -44,6 +50,7 @@
 	return out
 }
 
+// typeName returns the name of a field's type in docs/SETTINGS.md.
 func typeName(t reflect.Type) string {
 	switch t {
 	case reflect.TypeFor[*bool]():
@@ -61,6 +68,7 @@
 	}
 }
 
+// allowed returns the allowed values as text.
 func (k Key) allowed() string {
 	if len(k.words) > 0 {
 		return strings.Join(k.words, ", ")
@@ -86,6 +94,7 @@
 	return v
 }
 
+// setText parses text, the default of a setting, into dst.
 func setText(dst reflect.Value, text string) {
 	var err error
 	switch p := dst.Addr().Interface().(type) {
@@ -101,11 +110,12 @@
 		*p = text
 	}
 	if err != nil {
-		panic("config: a default does not parse: " + text)
+		panic("config: invalid default in a tag of Values: " + text)
 	}
 }
 
-// check returns what is wrong with the value of k in v, or "".
+// check returns the error message for the value of k in v, or "" if it is allowed
+// or not set.
 func (k Key) check(v Values) string {
 	f := reflect.ValueOf(v).Field(k.index)
 	if f.IsNil() || f.Kind() == reflect.Slice {
@@ -143,7 +153,7 @@
 	return float64(d)
 }
 
-// text returns the value of k in v as an operator reads it.
+// text returns the value of k in v as it is shown to operators.
 func (k Key) text(v Values) string {
 	f := reflect.ValueOf(v).Field(k.index)
 	if f.Kind() == reflect.Slice {
--- a/pkg/config/node.go
+++ b/pkg/config/node.go
@@ -10,10 +10,11 @@
 	"strings"
 )
 
-// Level is the depth of a node in the tree.
+// Level names a level of the tree.
 type Level string
 
-// The levels, from the widest to the narrowest.
+// The levels, from the widest to the narrowest. LevelDefault stands for values
+// that no node sets.
 const (
 	LevelDefault   Level = "default"
 	LevelFleet     Level = "fleet"
@@ -22,7 +23,7 @@
 	LevelDistrict  Level = "district"
 )
 
-// Version states.
+// States of a Version.
 const (
 	StateServing   = "serving"
 	StateWithdrawn = "withdrawn"
@@ -30,20 +31,21 @@
 
 // Version is one version of a model.
 type Version struct {
-	// Pool names the endpoints that run it.
+	// Pool names the pool of endpoints that run the version.
 	Pool string `yaml:"pool" json:"pool"`
-	// Cost is per million tokens, in the operator's own unit.
+	// Cost is the cost per million tokens, in a unit that the operator chooses.
 	Cost float64 `yaml:"cost" json:"cost"`
-	// Quality is the share of good answers expected before there is evidence.
+	// Quality is the share of good answers, 0 to 1, that the operator expects
+	// before any are measured.
 	Quality float64 `yaml:"quality" json:"quality"`
 	// State is serving (also when empty) or withdrawn.
 	State string `yaml:"state,omitempty" json:"state,omitempty"`
-	// Share is the share of requests that may go to it while it is rolled
-	// out; nil counts as 1.
+	// Share is the share of requests, 0 to 1, that may go to the version
+	// during its roll-out; nil means 1.
 	Share *float64 `yaml:"share,omitempty" json:"share,omitempty"`
 }
 
-// Exposure returns the share of requests that may go to the version.
+// Exposure returns the share of requests, 0 to 1, that may go to the version.
 func (v Version) Exposure() float64 {
 	if v.Share == nil {
 		return 1
@@ -51,29 +53,35 @@
 	return *v.Share
 }
 
-// Model holds the versions of a model by name.
+// Model holds the versions of a model, by the name of the version.
 type Model struct {
 	Versions map[string]Version `yaml:"versions" json:"versions"`
 }
 
-// Service is a plain service that is routed to as well.
+// Service is a plain service: one that is no model and has no versions.
 type Service struct {
-	// Pool names the endpoints that serve it.
+	// Pool names the pool of endpoints that serve it.
 	Pool string `yaml:"pool" json:"pool"`
 }
 
-// Node is one node of the tree. Models and Services stand at the fleet level,
-// KeyHashes at the workspace level and Serves at the workload level only.
+// Node is one node of the tree as it is stored.
 type Node struct {
-	Models    map[string]Model   `yaml:"models,omitempty" json:"models,omitempty"`
-	Services  map[string]Service `yaml:"services,omitempty" json:"services,omitempty"`
-	KeyHashes []string           `yaml:"keyHashes,omitempty" json:"keyHashes,omitempty"`
-	Serves    string             `yaml:"serves,omitempty" json:"serves,omitempty"`
-	Values    Values             `yaml:"values,omitempty" json:"values,omitzero"`
+	// Models and Services are set at the fleet level only.
+	Models   map[string]Model   `yaml:"models,omitempty" json:"models,omitempty"`
+	Services map[string]Service `yaml:"services,omitempty" json:"services,omitempty"`
+	// KeyHashes holds the hashes of the workspace's API keys, as KeyHash
+	// returns them; workspace level only.
+	KeyHashes []string `yaml:"keyHashes,omitempty" json:"keyHashes,omitempty"`
+	// Serves is ServesChat, empty for the same, or the name of a plain
+	// service; workload level only.
+	Serves string `yaml:"serves,omitempty" json:"serves,omitempty"`
+	// Values holds what the node overrides; every level.
+	Values Values `yaml:"values,omitempty" json:"values,omitzero"`
 }
 
-// Path joins workspace, workload and district to the path of a node. The
-// fleet has the empty path.
+// Path returns the path of a node, such as workspace/workload/district, from
+// the names of its levels. Empty names at the end are dropped. The fleet has
+// the empty path.
 func Path(parts ...string) string {
 	for len(parts) > 0 && parts[len(parts)-1] == "" {
 		parts = parts[:len(parts)-1]
@@ -81,7 +89,8 @@
 	return strings.Join(parts, "/")
 }
 
-// PathName returns a path as operators read it.
+// PathName returns path as it is shown to operators: the fleet's, which is empty,
+// has a name.
 func PathName(path string) string {
 	if path == "" {
 		return "(fleet)"
@@ -104,7 +113,7 @@
 	}
 }
 
-// Parent returns the path one level up; the fleet's parent is the fleet.
+// Parent returns the path one level up, or the empty path for the fleet.
 func Parent(path string) string {
 	i := strings.LastIndexByte(path, '/')
 	if i < 0 {
@@ -113,23 +122,24 @@
 	return path[:i]
 }
 
-// Encode returns the stored form of a node and its hash.
+// Encode returns the stored form of n, which is JSON, and its hash.
 func (n Node) Encode() (body []byte, hash string) {
 	body, err := json.Marshal(n)
 	if err != nil {
-		panic("config: a node is always encodable: " + err.Error())
+		panic("config: encode node: " + err.Error())
 	}
 	return body, HashOf(body)
 }
 
-// HashOf returns the hash that names a stored node.
+// HashOf returns the hash that names a stored node: the first 16 bytes of the
+// SHA-256 of its stored form, in hexadecimal.
 func HashOf(body []byte) string {
 	h := sha256.Sum256(body)
 	return hex.EncodeToString(h[:16])
 }
 
-// DecodeNode decodes a stored node and returns ErrCorrupt if it does not
-// match its hash.
+// DecodeNode decodes the stored form of a node. It returns ErrCorrupt if body
+// does not have the given hash or does not decode.
 func DecodeNode(hash string, body []byte) (Node, error) {
 	var n Node
 	if HashOf(body) != hash {
@@ -141,7 +151,8 @@
 	return n, nil
 }
 
-// KeyHash returns the hash of an API key as settings hold it.
+// KeyHash returns the hash of an API key in the form that keyHashes has:
+// "sha256:" and 64 hexadecimal digits.
 func KeyHash(key string) string {
 	h := sha256.Sum256([]byte(key))
 	return "sha256:" + hex.EncodeToString(h[:])
--- a/pkg/config/snapshot.go
+++ b/pkg/config/snapshot.go
@@ -9,20 +9,22 @@
 	"strings"
 )
 
-// Snapshot is the tree at one revision, ready for decisions. It never changes
-// once built.
+// Snapshot is the tree at one revision, with the settings in force at every path
+// computed. It does not change after Build.
 type Snapshot struct {
-	// Head is what the snapshot was built from.
+	// Head is the head that the snapshot was built from.
 	Head Head
-	// nodes holds the node of every path of Head.
+	// nodes holds the node at every path of Head.
 	nodes map[string]Node
 	// bodies holds the stored form of every node, by hash.
 	bodies map[string][]byte
-	// effective holds the settings in force for every path.
+	// effective holds the settings in force at every path of Head, and at the
+	// empty path also if Head has no node there.
 	effective map[string]*Effective
-	// workspaces finds the workspace of a key's hash.
+	// workspaces maps the hash of an API key to its workspace.
 	workspaces map[string]string
-	// candidates holds the versions each path's allow list expands to.
+	// candidates holds the versions that the allow list in force at each path
+	// expands to.
 	candidates map[string][]Candidate
 }
 
@@ -31,20 +33,23 @@
 	Model, Version string
 	// Name is model@version.
 	Name string
+	// Spec is the version as the fleet node has it.
 	Spec Version
 }
 
-// Empty returns the snapshot of revision 0, which allows nothing.
+// Empty returns the snapshot of revision 0, which has no nodes and allows no
+// version.
 func Empty() *Snapshot {
 	s, err := Build(Head{}, nil)
 	if err != nil {
-		panic("config: the empty head builds: " + err.Error())
+		panic("config: build the empty snapshot: " + err.Error())
 	}
 	return s
 }
 
-// Build returns the snapshot of head. Nodes are taken from bodies, by hash. It
-// returns ErrMissing if one is not there and ErrCorrupt if one is damaged.
+// Build returns the snapshot of head; bodies holds the stored form of the nodes by
+// hash, and may hold others. Build returns ErrMissing if a node is not in bodies
+// and ErrCorrupt if one does not match its hash or does not decode.
 func Build(head Head, bodies map[string][]byte) (*Snapshot, error) {
 	s := &Snapshot{
 		Head:       head,
@@ -70,6 +75,8 @@
 	return s, nil
 }
 
+// inherit computes the settings in force and the candidates at every path, from
+// the fleet down, and the index of API keys.
 func (s *Snapshot) inherit() {
 	fleet := s.nodes[""]
 	s.effective[""] = defaultEffective().override("", s.Head.Nodes[""].Revision, fleet.Values)
@@ -89,8 +96,8 @@
 	}
 }
 
-// inherited returns what is in force at path, or at the nearest level above
-// that has a node.
+// inherited returns the settings in force at path: those of its node, or of the
+// nearest level above that has a node.
 func (s *Snapshot) inherited(path string) *Effective {
 	for {
 		if e, ok := s.effective[path]; ok {
@@ -100,8 +107,9 @@
 	}
 }
 
-// Expand returns the versions that an allow list names, in the order of
-// model and version. An entry is model or model@version.
+// Expand returns the versions that an allow list names, sorted by model and
+// version. An entry of the list is model, for all its versions, or model@version;
+// entries that name no version of models are ignored.
 func Expand(models map[string]Model, allow []string) []Candidate {
 	var out []Candidate
 	for _, name := range slices.Sorted(maps.Keys(models)) {
@@ -114,22 +122,24 @@
 	return out
 }
 
-// Effective returns the settings in force for a workspace, workload and
-// district; empty names and unknown ones fall back to the level above.
+// Effective returns the settings in force for a workspace, workload and district.
+// For an empty or unknown name, those of the level above are in force.
 func (s *Snapshot) Effective(workspace, workload, district string) *Effective {
 	return s.inherited(Path(workspace, workload, district))
 }
 
-// Candidates returns the versions allowed at the path of e.
+// Candidates returns the versions that are allowed at the path of e, sorted by
+// model and version. The caller must not change them.
 func (s *Snapshot) Candidates(e *Effective) []Candidate { return s.candidates[e.Path] }
 
-// Workspace returns the workspace that an API key belongs to.
+// Workspace returns the workspace that an API key belongs to and whether there is
+// one; key is the API key itself, not its hash.
 func (s *Snapshot) Workspace(key string) (string, bool) {
 	w, ok := s.workspaces[KeyHash(key)]
 	return w, ok
 }
 
-// Serves returns what a workload serves: "chat", the name of a plain service,
+// Serves returns what a workload serves: ServesChat, the name of a plain service,
 // or "" for an unknown workload.
 func (s *Snapshot) Serves(workspace, workload string) string {
 	n, ok := s.nodes[Path(workspace, workload)]
@@ -142,28 +152,29 @@
 	return n.Serves
 }
 
-// ServesChat is what a workload serves that names no plain service.
+// ServesChat is the value of Node.Serves for a workload that serves chat requests
+// with models. An empty value means the same.
 const ServesChat = "chat"
 
-// Version returns a version of a model and whether there is one.
+// Version returns a version of a model and whether it exists.
 func (s *Snapshot) Version(model, version string) (Version, bool) {
 	v, ok := s.nodes[""].Models[model].Versions[version]
 	return v, ok
 }
 
-// Service returns a plain service and whether there is one.
+// Service returns a plain service and whether it exists.
 func (s *Snapshot) Service(name string) (Service, bool) {
 	v, ok := s.nodes[""].Services[name]
 	return v, ok
 }
 
-// Body returns the stored form of a node.
+// Body returns the stored form of the node of the given hash and whether s has it.
 func (s *Snapshot) Body(hash string) ([]byte, bool) {
 	b, ok := s.bodies[hash]
 	return b, ok
 }
 
-// Missing returns the hashes that head names and s does not hold.
+// Missing returns the hashes of the nodes of head that s does not have, sorted.
 func (s *Snapshot) Missing(head Head) []string {
 	var out []string
 	for _, ref := range head.Nodes {
@@ -175,9 +186,10 @@
 	return out
 }
 
-// Advance returns the snapshot of head, built from the nodes of s and the
-// additional ones. It returns ErrRevision unless head is newer than s: this is
-// the one place where a revision is taken over.
+// Advance returns the snapshot of head, built from the nodes of s and the stored
+// forms in added, by hash. It returns ErrRevision unless the revision of head is
+// higher than that of s, and the errors of Build. Every change of the revision in
+// force goes through Advance, so that the revision never decreases.
 func (s *Snapshot) Advance(head Head, added map[string][]byte) (*Snapshot, error) {
 	if head.Revision <= s.Head.Revision {
 		return nil, ErrRevision
@@ -187,11 +199,11 @@
 	return Build(head, bodies)
 }
 
-// Nodes returns the nodes by path; the map is a copy.
+// Nodes returns the nodes by path, in a new map.
 func (s *Snapshot) Nodes() map[string]Node { return maps.Clone(s.nodes) }
 
-// Names returns the chat workloads of a workspace and the models it allows,
-// in alphabetical order.
+// Names returns the model names that are offered to the callers of a workspace: its
+// chat workloads and the models that it allows, sorted.
 func (s *Snapshot) Names(workspace string) []string {
 	var out []string
 	for path := range s.nodes {
@@ -207,5 +219,5 @@
 	return slices.Compact(out)
 }
 
-// At returns the settings in force at a path.
+// At returns the settings in force at a path as Path returns it.
 func (s *Snapshot) At(path string) *Effective { return s.inherited(path) }
--- a/pkg/config/span.go
+++ b/pkg/config/span.go
@@ -8,20 +8,22 @@
 	"time"
 )
 
-// Span is a length of time as an operator writes it, such as "30s". State
-// never holds a Span: it becomes a deadline when it is taken over.
+// Span is a duration that is written as text in settings and JSON, such as
+// "30s". Spans are for settings and constants; state holds the deadlines that
+// After computes from them.
 type Span time.Duration
 
-// After returns the deadline that lies s after now.
+// After returns the time that is s after now.
 func (s Span) After(now time.Time) time.Time { return now.Add(time.Duration(s)) }
 
-// String returns s as an operator writes it.
+// String returns s in the form of time.Duration.String.
 func (s Span) String() string { return time.Duration(s).String() }
 
-// MarshalText writes s as an operator writes it.
+// MarshalText encodes s as String does.
 func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads what an operator wrote.
+// UnmarshalText decodes what time.ParseDuration accepts and returns ErrSpan for
+// anything else.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -31,5 +33,5 @@
 	return nil
 }
 
-// MarshalJSON writes s as a JSON string.
+// MarshalJSON encodes s as a JSON string.
 func (s Span) MarshalJSON() ([]byte, error) { return json.Marshal(s.String()) }
--- a/pkg/fault/const.go
+++ b/pkg/fault/const.go
@@ -3,8 +3,8 @@
 
 package fault
 
-// Const is a sentinel error that is a constant, for the errors that a package
-// keeps to itself. What callers are told is a Kind.
+// Const is a constant sentinel error, for errors that pass between packages
+// of a process. Errors that are returned to callers are of type Kind or Error.
 type Const string
 
 // Error returns the text of the sentinel.
--- a/pkg/fault/error.go
+++ b/pkg/fault/error.go
@@ -9,41 +9,41 @@
 	"time"
 )
 
-// Run says what is known about whether a request ran.
+// Run states whether a request ran, as far as that is known.
 type Run string
 
-// What can be known about whether a request ran. NotRun is said from evidence
-// only and stays true once said.
+// The run states. NotRun is returned on evidence only, never on a guess, and
+// holds for good: the request does not run later either.
 const (
 	NotRun     Run = "notRun"
 	MayHaveRun Run = "mayHaveRun"
 	Ran        Run = "ran"
 )
 
-// Error is a failure as the caller hears it.
+// Error is a failure as it is returned to the caller.
 type Error struct {
 	// Kind is from the closed list.
 	Kind Kind `json:"kind"`
-	// Run is what is known about whether the request ran.
+	// Run states whether the request ran.
 	Run Run `json:"run"`
 	// Message is one sentence for a person.
 	Message string `json:"message"`
-	// RetryAt is when to come back; zero if coming back makes no sense.
+	// RetryAt is when the caller may retry; zero if a retry makes no sense.
 	RetryAt time.Time `json:"retryAt,omitzero"`
 }
 
-// Body is the body of every answer that tells a failure.
+// Body is the JSON body of every failed response.
 type Body struct {
 	Error *Error `json:"error"`
 }
 
 // New returns an Error of the given kind and run state with a formatted
-// message.
+// message and no retry time.
 func New(k Kind, run Run, format string, args ...any) *Error {
 	return &Error{Kind: k, Run: run, Message: fmt.Sprintf(format, args...)}
 }
 
-// At sets the time to come back and returns e.
+// At sets RetryAt and returns e.
 func (e *Error) At(t time.Time) *Error {
 	e.RetryAt = t
 	return e
@@ -54,12 +54,13 @@
 	return fmt.Sprintf("%s (%s): %s", e.Kind, e.Run, e.Message)
 }
 
-// Is reports whether target is the kind of e, so that errors.Is works with
-// the constants of the closed list.
+// Is reports whether target is the kind of e, so that errors.Is matches an
+// Error with the constants of the closed list.
 func (e *Error) Is(target error) bool { return target == error(e.Kind) }
 
-// From returns the Error inside err. Any other error becomes Internal with
-// the given run state.
+// From returns the Error that err wraps. A wrapped Kind becomes an Error with
+// the given run state and the kind's advice as message; any other error
+// becomes an Error of kind Internal with the given run state.
 func From(err error, run Run) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/pkg/fault/fault_test.go
+++ b/pkg/fault/fault_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// TestErrorsPage holds docs/ERRORS.md to the table.
+// TestErrorsPage checks that docs/ERRORS.md has exactly the rows of the table.
 func TestErrorsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/ERRORS.md")
 	if err != nil {
--- a/pkg/fault/kind.go
+++ b/pkg/fault/kind.go
@@ -8,54 +8,55 @@
 	"sort"
 )
 
-// Kind is one entry of the closed list of error kinds.
+// Kind is one of the error kinds of the closed list. Its text is the wire name.
 type Kind string
 
 // Error returns the name of the kind.
 func (k Kind) Error() string { return string(k) }
 
-// The closed list of error kinds.
+// The closed list of error kinds, with the condition that each reports.
 const (
-	BadRequest       Kind = "badRequest"
-	Unauthorized     Kind = "unauthorized"
-	NotAllowed       Kind = "notAllowed"
-	NotFound         Kind = "notFound"
-	TooLarge         Kind = "tooLarge"
-	RateLimited      Kind = "rateLimited"
-	Overloaded       Kind = "overloaded"
-	DeadlineTooSoon  Kind = "deadlineTooSoon"
-	DeadlinePassed   Kind = "deadlinePassed"
-	NoVersion        Kind = "noVersion"
-	VersionWithdrawn Kind = "versionWithdrawn"
-	NotCutOver       Kind = "notCutOver"
-	SessionInvalid   Kind = "sessionInvalid"
-	SessionEnded     Kind = "sessionEnded"
-	KeyReused        Kind = "keyReused"
-	KeyUnsettled     Kind = "keyUnsettled"
-	KeyInvalid       Kind = "keyInvalid"
-	AlreadyRan       Kind = "alreadyRan"
-	PlatformDown     Kind = "platformDown"
-	StaleSettings    Kind = "staleSettings"
-	Stopping         Kind = "stopping"
-	EndpointLost     Kind = "endpointLost"
-	EndpointFailed   Kind = "endpointFailed"
-	Quarantined      Kind = "quarantined"
-	NotWhole         Kind = "notWhole"
-	CallerGone       Kind = "callerGone"
-	Internal         Kind = "internal"
+	BadRequest       Kind = "badRequest"       // the request is malformed
+	Unauthorized     Kind = "unauthorized"     // the API key or link key is missing or unknown
+	NotAllowed       Kind = "notAllowed"       // the workspace may not use the model, version or workload
+	NotFound         Kind = "notFound"         // there is no such path, workload or method
+	TooLarge         Kind = "tooLarge"         // the request or its answer exceeds a size limit
+	RateLimited      Kind = "rateLimited"      // the workspace's rate or concurrency limit is reached
+	Overloaded       Kind = "overloaded"       // the process or endpoint has no room for the request
+	DeadlineTooSoon  Kind = "deadlineTooSoon"  // the expected wait in the queue exceeds the time left
+	DeadlinePassed   Kind = "deadlinePassed"   // the deadline passed before the answer was complete
+	NoVersion        Kind = "noVersion"        // no eligible version, or no plain service, has a usable endpoint
+	VersionWithdrawn Kind = "versionWithdrawn" // the version that the session keeps is withdrawn
+	NotCutOver       Kind = "notCutOver"       // requests of the district are not enabled
+	SessionInvalid   Kind = "sessionInvalid"   // the token or name of the session is not valid
+	SessionEnded     Kind = "sessionEnded"     // the session has ended
+	KeyReused        Kind = "keyReused"        // the idempotency key is bound to another request
+	KeyUnsettled     Kind = "keyUnsettled"     // it is not known whether the request of the idempotency key ran
+	KeyInvalid       Kind = "keyInvalid"       // the ticket, an idempotency key issued by an entry, is not valid or has ended
+	AlreadyRan       Kind = "alreadyRan"       // the request ran before, and its answer is not available
+	PlatformDown     Kind = "platformDown"     // the platform did not accept a write that the request depends on
+	StaleSettings    Kind = "staleSettings"    // the settings or API keys are missing or may be out of date
+	Stopping         Kind = "stopping"         // the process or endpoint is stopping
+	EndpointLost     Kind = "endpointLost"     // the connection to the endpoint broke, or the endpoint did not answer
+	EndpointFailed   Kind = "endpointFailed"   // the endpoint answered with an error or an invalid answer
+	Quarantined      Kind = "quarantined"      // too many endpoints crashed while they ran the request
+	NotWhole         Kind = "notWhole"         // the answer is truncated
+	CallerGone       Kind = "callerGone"       // the caller closed its connection
+	Internal         Kind = "internal"         // any other failure
 )
 
-// Answer is what a caller is told for a kind.
+// Answer is the row of a kind in the table.
 type Answer struct {
-	// Status is the HTTP status code.
+	// Status is the HTTP status code of the response.
 	Status int
-	// ComeBack says whether coming back later makes sense, so that the answer
-	// carries a time for it.
+	// ComeBack says whether a later retry by the caller makes sense, so that
+	// the response carries a retry time.
 	ComeBack bool
-	// Again says whether an entry may send the request to another endpoint
-	// when the kind came with the run state NotRun.
+	// Again says whether an entry or router may send the request to another
+	// endpoint. If the run state is not NotRun, the request must also be
+	// repeatable or resumable.
 	Again bool
-	// Advice is what the caller should do, in a sentence.
+	// Advice tells the caller what to do, in one sentence.
 	Advice string
 }
 
@@ -89,8 +90,8 @@
 	Internal:         {http.StatusInternalServerError, false, false, "Report the request ID to the operator."},
 }
 
-// Answer returns the row of k in the table; an unknown kind has the row of
-// Internal.
+// Answer returns the row of k in the table, or that of Internal if k is not in
+// the closed list.
 func (k Kind) Answer() Answer {
 	a, ok := answers[k]
 	if !ok {
--- a/pkg/fault/retry.go
+++ b/pkg/fault/retry.go
@@ -10,12 +10,13 @@
 	"time"
 )
 
-// RetryMost bounds the time for which a refusal may keep its sender away: after that one request finds
-// out whether so long was meant.
+// RetryMost caps the time that a Retry-After header may ask for. A longer time may be an error of the
+// sender; after the cap, one request shows whether the sender still refuses.
 const RetryMost = time.Hour
 
-// RetryAt returns when a refusal that came at now asks to come back, by the text of its Retry-After in
-// seconds, fractions too; zero for a text that asks for nothing or is no such number.
+// RetryAt returns the time at which a refusal received at now allows a retry; text is the value of its
+// Retry-After header, a number of seconds that may have a fraction. The result is zero if text is not a
+// positive, finite number; the HTTP date form is not supported.
 func RetryAt(text string, now time.Time) time.Time {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
--- a/pkg/route/decide.go
+++ b/pkg/route/decide.go
@@ -8,10 +8,11 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Reason says what became of a candidate version.
+// Reason says why a candidate version was or was not chosen.
 type Reason string
 
-// The closed list of reasons.
+// The closed list of reasons. Chosen and Dearer are for eligible versions, the
+// others say why a version is not eligible.
 const (
 	Chosen       Reason = "chosen"
 	Dearer       Reason = "higherScore"
@@ -24,7 +25,7 @@
 	NoEndpoint   Reason = "noUsableEndpoint"
 )
 
-// settingOf names the setting that decides each reason.
+// settingOf names the setting that decides for each reason.
 var settingOf = map[Reason]string{
 	Chosen:       "weightCost",
 	Dearer:       "weightCost",
@@ -37,57 +38,69 @@
 	OverShare:    "allow",
 }
 
-// Setting names the setting that decides the reason.
+// Setting returns the name of the setting that decides whether the reason
+// applies, so that explain can show its value and origin.
 func (r Reason) Setting() string { return settingOf[r] }
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that a decision depends on.
 type Request struct {
-	// Model and Version restrict the choice; empty ones do not.
+	// Model and Version restrict the choice to a model and a version; an empty
+	// one does not restrict it.
 	Model, Version string
-	// Pinned says that Model and Version are those of a session.
+	// Pinned says that Model and Version are those that a session keeps.
 	Pinned bool
-	// AvailabilityZone is where the deciding entry is.
+	// AvailabilityZone is the zone of the entry that decides.
 	AvailabilityZone string
-	// Seed is the source of the random choices.
+	// Seed determines the random choice of endpoints.
 	Seed uint64
-	// Draw is uniform in [0, 1), the same for every attempt of a request: a
-	// version that is rolled out to a share is open to draws below it.
+	// Draw is a random number, uniform in [0, 1), the same for every attempt
+	// of a request. A version that is rolled out to a share of the requests
+	// takes those whose draw is less than the share.
 	Draw float64
-	// Avoid holds the indices of endpoints that were tried already.
+	// Avoid holds the indices in the view of endpoints that must not be
+	// chosen, as earlier attempts were sent to them.
 	Avoid []int
 }
 
-// Candidate is one version and what became of it.
+// Candidate is the evaluation of one version.
 type Candidate struct {
-	Model   string  `json:"model"`
-	Version string  `json:"version"`
+	Model   string `json:"model"`
+	Version string `json:"version"`
+	// Cost and Quality are those of config.Version.
 	Cost    float64 `json:"cost"`
 	Quality float64 `json:"quality"`
-	// Wait is the expected wait in turns of the pool's slots.
+	// Wait is the expected wait: the mean over the usable endpoints of the
+	// pool of their requests per slot. It is 0 if the version was rejected.
 	Wait float64 `json:"wait"`
-	// Score is what the chosen candidate has the least of.
+	// Score is weightCost * Cost + weightLatency * Wait; the eligible version
+	// with the lowest score is chosen, the first one of several.
 	Score  float64 `json:"score"`
 	Reason Reason  `json:"reason"`
 }
 
-// Decision is where a request goes, and why.
+// Decision is the version and endpoint that a request is sent to, with the
+// evaluation of every candidate.
 type Decision struct {
-	// Kind is empty for a choice, else why there is none.
+	// Kind is empty if a version was chosen, else the error kind that says why
+	// none was.
 	Kind fault.Kind `json:"kind,omitempty"`
-	// Model, Version and Pool are the choice.
+	// Model, Version and Pool are those of the chosen version, Cost its cost per
+	// million tokens. For a plain service only Pool is set.
 	Model   string  `json:"model,omitempty"`
 	Version string  `json:"version,omitempty"`
 	Pool    string  `json:"pool"`
 	Cost    float64 `json:"cost"`
-	// Endpoint is an index of the view's endpoints; -1 without a choice.
+	// Endpoint is the index of the endpoint in the view, or -1 if none was
+	// chosen.
 	Endpoint int `json:"-"`
-	// Candidates holds every version of the allow list.
+	// Candidates holds every version of the allow list, in the order given to
+	// Decide.
 	Candidates []Candidate `json:"candidates,omitempty"`
 }
 
-// Decide chooses a version and an endpoint from candidates under the settings
-// of e, and writes the choice to dst, whose slices are reused. It does not
-// allocate once dst has grown.
+// Decide chooses a version from candidates and one of its endpoints in v, under
+// the settings of e, and writes the decision to dst. It reuses the slice of dst
+// and does not allocate once that has the capacity.
 func Decide(dst *Decision, e *config.Effective, candidates []config.Candidate, req *Request, v *View) {
 	*dst = Decision{Endpoint: -1, Candidates: dst.Candidates[:0]}
 	best := -1
@@ -109,8 +122,8 @@
 	dst.Endpoint = v.pick(spec.Pool, candidates[best].Name, req)
 }
 
-// judge scores one version. A version that could be taken has the reason
-// Dearer until it is chosen.
+// judge rejects or scores one version. An eligible version gets the reason
+// Dearer, which Decide replaces for the one that it chooses.
 func judge(e *config.Effective, c *config.Candidate, req *Request, v *View) Candidate {
 	out := Candidate{Model: c.Model, Version: c.Version, Cost: c.Spec.Cost, Quality: c.Spec.Quality}
 	out.Reason = reject(e, c, req)
@@ -128,13 +141,14 @@
 	return out
 }
 
-// asks reports whether the request leaves a version open.
+// asks reports whether the request's model and version admit the candidate.
 func (req *Request) asks(c *config.Candidate) bool {
 	return (req.Model == "" || req.Model == c.Model) && (req.Version == "" || req.Version == c.Version)
 }
 
-// reject returns why a version may not be taken, or "". A session keeps its
-// version whatever cost, quality and share the settings ask of new work.
+// reject returns why a version is not eligible, or "". The cost limit, quality
+// target and roll-out share apply to new work only: a session keeps its version
+// regardless of them.
 func reject(e *config.Effective, c *config.Candidate, req *Request) Reason {
 	switch {
 	case !req.asks(c) && req.Pinned:
@@ -150,7 +164,8 @@
 	}
 }
 
-// unfit returns why a version is not for new work, or "".
+// unfit returns why a version is not eligible for requests outside a session,
+// or "".
 func unfit(e *config.Effective, c *config.Candidate, req *Request) Reason {
 	switch {
 	case c.Spec.Cost > *e.Values.MaxCost:
@@ -164,7 +179,8 @@
 	}
 }
 
-// noChoice returns the kind that says best why nothing could be chosen.
+// noChoice returns the error kind of a decision that chose none of cs. A
+// version that lacks only a usable endpoint takes precedence over the others.
 func noChoice(cs []Candidate, req *Request) fault.Kind {
 	asked, noEndpoint := false, false
 	for _, c := range cs {
@@ -183,7 +199,9 @@
 	}
 }
 
-// DecideService chooses an endpoint of a plain service's pool.
+// DecideService chooses an endpoint in v for a request to a plain service, whose
+// endpoints form pool, and writes the decision to dst. Without a usable endpoint
+// its kind is NoVersion.
 func DecideService(dst *Decision, pool string, req *Request, v *View) {
 	*dst = Decision{Endpoint: v.pick(pool, "", req), Pool: pool, Candidates: dst.Candidates[:0]}
 	if dst.Endpoint < 0 {
--- a/pkg/route/decide_test.go
+++ b/pkg/route/decide_test.go
@@ -23,7 +23,7 @@
 
 func share(x float64) *float64 { return &x }
 
-// versions are the candidates of the tests.
+// versions returns the candidates of the tests, in the order of Expand.
 func versions() []config.Candidate {
 	specs := []struct {
 		model, version string
@@ -42,7 +42,7 @@
 	return out
 }
 
-// settings returns effective settings with the given values of the workload.
+// settings returns the effective settings of a workload with the given values.
 func settings(t testing.TB, values string) *config.Effective {
 	t.Helper()
 	f, err := config.ParseFile("t", []byte("models: {m: {versions: {\"1\": {pool: p, cost: 1, quality: 1}}}}\nworkspaces: {w: {keyHashes: [], values: {allow: [m]}, workloads: {l: {values: {"+values+"}}}}}\n"))
@@ -73,19 +73,19 @@
 		kind   fault.Kind
 		reason Reason
 	}{
-		{"the cheapest that is good enough", "qualityTarget: 0.8", Request{Draw: 0.5}, all, "middle@1", "", TooPoor},
-		{"a lower target", "qualityTarget: 0.5", Request{Draw: 0.5}, all, "cheap@1", "", Chosen},
-		{"a higher target", "qualityTarget: 0.9", Request{Draw: 0.5}, all, "dear@1", "", TooPoor},
-		{"a draw below the share", "qualityTarget: 0.8", Request{Draw: 0.2}, all, "middle@2", "", TooPoor},
-		{"a cost limit", "qualityTarget: 0.9, maxCost: 5", Request{Draw: 0.5}, all, "", fault.NoVersion, TooPoor},
-		{"a model asked for", "qualityTarget: 0.5", Request{Model: "dear", Draw: 0.5}, all, "dear@1", "", NotAsked},
-		{"a model that is not allowed", "qualityTarget: 0.5", Request{Model: "other"}, all, "", fault.NotAllowed, NotAsked},
-		{"a session below the target", "qualityTarget: 0.9", Request{Model: "cheap", Version: "1", Pinned: true}, all, "cheap@1", "", Chosen},
-		{"a session beyond the share", "qualityTarget: 0.5", Request{Model: "middle", Version: "2", Pinned: true, Draw: 0.9}, all, "middle@2", "", NotInSession},
-		{"a session's version withdrawn", "qualityTarget: 0.5", Request{Model: "dear", Version: "2", Pinned: true}, all, "", fault.VersionWithdrawn, NotInSession},
-		{"no endpoint", "qualityTarget: 0.9", Request{Draw: 0.5}, noB, "", fault.NoVersion, TooPoor},
-		{"a version that no endpoint has", "qualityTarget: 0.8", Request{Draw: 0.1}, lacks, "middle@1", "", TooPoor},
-		{"latency weighs", "qualityTarget: 0.5, weightLatency: 100", Request{Draw: 0.5}, NewView([]Endpoint{endpoint("a1", "a", 9), endpoint("c1", "c", 0)}), "middle@1", "", Dearer},
+		{"lowest cost that meets the quality target", "qualityTarget: 0.8", Request{Draw: 0.5}, all, "middle@1", "", TooPoor},
+		{"lower quality target", "qualityTarget: 0.5", Request{Draw: 0.5}, all, "cheap@1", "", Chosen},
+		{"higher quality target", "qualityTarget: 0.9", Request{Draw: 0.5}, all, "dear@1", "", TooPoor},
+		{"draw below the roll-out share", "qualityTarget: 0.8", Request{Draw: 0.2}, all, "middle@2", "", TooPoor},
+		{"cost limit", "qualityTarget: 0.9, maxCost: 5", Request{Draw: 0.5}, all, "", fault.NoVersion, TooPoor},
+		{"request names a model", "qualityTarget: 0.5", Request{Model: "dear", Draw: 0.5}, all, "dear@1", "", NotAsked},
+		{"request names a model that is not allowed", "qualityTarget: 0.5", Request{Model: "other"}, all, "", fault.NotAllowed, NotAsked},
+		{"session below the quality target", "qualityTarget: 0.9", Request{Model: "cheap", Version: "1", Pinned: true}, all, "cheap@1", "", Chosen},
+		{"session beyond the roll-out share", "qualityTarget: 0.5", Request{Model: "middle", Version: "2", Pinned: true, Draw: 0.9}, all, "middle@2", "", NotInSession},
+		{"version of the session withdrawn", "qualityTarget: 0.5", Request{Model: "dear", Version: "2", Pinned: true}, all, "", fault.VersionWithdrawn, NotInSession},
+		{"pool without endpoints", "qualityTarget: 0.9", Request{Draw: 0.5}, noB, "", fault.NoVersion, TooPoor},
+		{"version that no endpoint has loaded", "qualityTarget: 0.8", Request{Draw: 0.1}, lacks, "middle@1", "", TooPoor},
+		{"latency weight", "qualityTarget: 0.5, weightLatency: 100", Request{Draw: 0.5}, NewView([]Endpoint{endpoint("a1", "a", 9), endpoint("c1", "c", 0)}), "middle@1", "", Dearer},
 	}
 	for _, tt := range tests {
 		var d Decision
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestSame holds that a decision is a function of its inputs, and that it never
-// takes what the view or the request rules out.
+// TestSame checks that equal inputs give equal decisions, and that a decision
+// never names an endpoint that is unusable, of another pool or to be avoided.
 func TestSame(t *testing.T) {
 	e := settings(t, "qualityTarget: 0.5")
 	rapid.Check(t, func(t *rapid.T) {
@@ -131,17 +131,18 @@
 		p := endpoints[a.Endpoint]
 		for _, i := range req.Avoid {
 			if i == a.Endpoint {
-				t.Fatalf("took endpoint %d, which is to be avoided", i)
+				t.Fatalf("chose endpoint %d, which is to be avoided", i)
 			}
 		}
 		if !p.Usable || p.Pool != a.Pool {
-			t.Fatalf("took %+v for pool %s", p, a.Pool)
+			t.Fatalf("chose endpoint %+v for pool %s, want a usable endpoint of the pool", p, a.Pool)
 		}
 	})
 }
 
-// TestSpread holds that two choices spread equal endpoints about evenly and
-// prefer the idle one.
+// TestSpread checks that requests spread about evenly over equally loaded
+// endpoints and that a loaded one gets fewer: it is chosen only if both draws
+// name it, in 1 of 9 cases.
 func TestSpread(t *testing.T) {
 	v := NewView([]Endpoint{endpoint("1", "p", 0), endpoint("2", "p", 0), endpoint("3", "p", 10)})
 	counts := make([]int, 3)
@@ -156,8 +157,8 @@
 	}
 }
 
-// TestNoAllocation holds that a decision does not allocate once its destination
-// has grown.
+// TestNoAllocation checks that a decision does not allocate once its destination
+// has the capacity.
 func TestNoAllocation(t *testing.T) {
 	e, cs, v := large(t, 64, 100)
 	var d Decision
@@ -167,7 +168,8 @@
 	}
 }
 
-// large returns inputs of a size.
+// large returns inputs of Decide with the given numbers of candidates and
+// endpoints in 8 pools.
 func large(t testing.TB, candidates, endpoints int) (*config.Effective, []config.Candidate, View) {
 	cs := make([]config.Candidate, candidates)
 	for i := range cs {
