--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -211,7 +211,7 @@
 	var left []*op
 	for _, o := range ops {
 		held, ok := b.read.Get(o.record.Key)
-		if ok && !b.read.Fits(o.record) {
+		if ok && !b.read.CanAppend(o.record) {
 			o.done <- result{held: held}
 			continue
 		}
@@ -226,7 +226,7 @@
 	var added []claim.Record
 	var carried []*op
 	for _, o := range ops {
-		if !seen[o.record.Key] && b.read.Fits(o.record) {
+		if !seen[o.record.Key] && b.read.CanAppend(o.record) {
 			seen[o.record.Key] = true
 			added = append(added, o.record)
 			carried = append(carried, o)
@@ -235,7 +235,7 @@
 	if !assert.That(len(added) > 0, "claimBatchIsNotEmpty") {
 		return store.ErrDown
 	}
-	slice, version, records, body := b.read.Append(added)
+	slice, version, records, body := b.read.EncodeAppend(added)
 	call, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	l.Writes.Add(1)
@@ -249,7 +249,7 @@
 	}
 	assert.That(next > version, "objectVersionsGrow")
 	l.Claims.Add(int64(len(added)))
-	b.read.Written(slice, next, records)
+	b.read.ApplyWritten(slice, next, records)
 	return nil
 }
 
@@ -263,7 +263,7 @@
 			return errors.Mark(err, store.ErrDown)
 		}
 	}
-	slice, _ := b.read.Next()
+	slice, _ := b.read.NextSlice()
 	for {
 		l.Reads.Add(1)
 		o, err := l.store.Get(call, Kind, sliceName(b.n, slice))
@@ -274,10 +274,10 @@
 		if err != nil {
 			return errors.Mark(err, store.ErrDown)
 		}
-		if err := b.read.Take(slice, o.Version, o.Value); err != nil {
+		if err := b.read.ApplyRead(slice, o.Version, o.Value); err != nil {
 			return errors.Mark(err, store.ErrDown)
 		}
-		next, version := b.read.Next()
+		next, version := b.read.NextSlice()
 		if version != 0 {
 			b.fresh = true
 			return nil
@@ -297,7 +297,7 @@
 		if o.Name != sliceName(b.n, i) {
 			return errors.Newf("claims: slice %d of bucket %d is missing", i, b.n)
 		}
-		if err := b.read.Take(i, o.Version, o.Value); err != nil {
+		if err := b.read.ApplyRead(i, o.Version, o.Value); err != nil {
 			return err
 		}
 	}
--- a/internal/claims/log_test.go
+++ b/internal/claims/log_test.go
@@ -200,7 +200,7 @@
 func TestManySlices(t *testing.T) {
 	_, addr := startObjects(t, 1)
 	l := startLog(t, addr)
-	const claimed = claim.SliceFull * Buckets * 2
+	const claimed = claim.FullSliceRecords * Buckets * 2
 	var wg sync.WaitGroup
 	for i := range claimed {
 		wg.Add(1)
--- a/internal/desk/diff.go
+++ b/internal/desk/diff.go
@@ -28,7 +28,7 @@
 
 func diffPath(path string, a, b *config.Snapshot) []string {
 	var out []string
-	ea, eb := a.At(path), b.At(path)
+	ea, eb := a.EffectiveAt(path), b.EffectiveAt(path)
 	for i, sb := range eb.All() {
 		if sa := ea.All()[i]; sa.Value != sb.Value {
 			out = append(out, fmt.Sprintf("%s: %s: %s -> %s (set at %s)", config.PathName(path), sb.Key, sa.Value, sb.Value, originName(sb.Origin)))
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -83,7 +83,7 @@
 // follow makes r follow the run that a claim names. It returns errClosed if
 // that run did not and will not run.
 func (e *Entry) follow(r *request, body string, held *claim.Record) *fault.Error {
-	if held.Body != body {
+	if held.BodyHash != body {
 		return fault.New(fault.KeyReused, fault.NotRun, "The key was used with another request.")
 	}
 	if held.Owner != e.Identity.Incarnation {
@@ -97,7 +97,7 @@
 }
 
 func (e *Entry) unsettled(message string) *fault.Error {
-	return fault.New(fault.KeyUnsettled, fault.MayHaveRun, "%s", message).At(unsettledBack.After(e.Now()))
+	return fault.New(fault.KeyUnsettled, fault.MayHaveRun, "%s", message).WithRetryAt(unsettledBack.After(e.Now()))
 }
 
 // claim enters the claim of r and returns the one that stands. If it fails the
@@ -111,7 +111,7 @@
 		Key:        claims.KeyOf(r.call.Workspace, r.key),
 		Generation: generation,
 		Run:        r.id,
-		Body:       body,
+		BodyHash:   body,
 		Owner:      e.Identity.Incarnation,
 		Link:       e.Identity.Link,
 	})
@@ -121,5 +121,5 @@
 	if errors.Is(err, claims.ErrNotWritten) {
 		e.keyed.drop(r.id)
 	}
-	return held, fault.New(fault.PlatformDown, fault.NotRun, "The platform does not take the claim on the key.").At(comeBackAfter.After(e.Now()))
+	return held, fault.New(fault.PlatformDown, fault.NotRun, "The platform does not take the claim on the key.").WithRetryAt(comeBackAfter.After(e.Now()))
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -64,8 +64,8 @@
 	step := trail.Step{Attempt: len(r.record.Steps) + 1, At: now, Revision: snap.Head.Revision, Model: d.Model, Version: d.Version, Candidates: d.Candidates}
 	if d.Kind != "" {
 		step.Err = fault.New(d.Kind, fault.NotRun, "%s", d.Kind.Answer().Advice)
-		if d.Kind.Answer().ComeBack {
-			step.Err.At(comeBackAfter.After(now))
+		if d.Kind.Answer().RetryLater {
+			step.Err.WithRetryAt(comeBackAfter.After(now))
 		}
 		r.record.Steps = append(r.record.Steps, step)
 		return 0, step.Err
@@ -130,7 +130,7 @@
 	if *eff.Values.OnStale != config.Refuse || now.Before(eff.Values.StaleAfter.After(e.Holder.HeardAt())) {
 		return nil
 	}
-	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").At(comeBackAfter.After(now))
+	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").WithRetryAt(comeBackAfter.After(now))
 }
 
 func (e *Entry) decide(r *request, snap *config.Snapshot, eff *config.Effective, v *route.View, list []*peer, tried []string) route.Decision {
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -141,7 +141,7 @@
 		return
 	}
 	list := modelList{Object: "list", Data: []model{}}
-	for _, id := range e.Holder.Current().Names(workspace) {
+	for _, id := range e.Holder.Current().ModelNames(workspace) {
 		list.Data = append(list.Data, model{ID: id, Object: "model", OwnedBy: workspace})
 	}
 	writeJSON(ctx, list)
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -67,15 +67,15 @@
 	w := l.of(workspace)
 	w.setRate(now, *v.RequestRate)
 	if w.under >= *v.Concurrency {
-		return fault.New(fault.RateLimited, fault.NotRun, "The workspace has %d requests under way.", w.under).At(comeBackAfter.After(now))
+		return fault.New(fault.RateLimited, fault.NotRun, "The workspace has %d requests under way.", w.under).WithRetryAt(comeBackAfter.After(now))
 	}
 	r := w.rate.ReserveN(now, 1)
 	if !r.OK() {
-		return fault.New(fault.RateLimited, fault.NotRun, "The workspace may send no requests.").At(comeBackAfter.After(now))
+		return fault.New(fault.RateLimited, fault.NotRun, "The workspace may send no requests.").WithRetryAt(comeBackAfter.After(now))
 	}
 	if wait := r.DelayFrom(now); wait > 0 {
 		r.CancelAt(now)
-		return fault.New(fault.RateLimited, fault.NotRun, "The workspace sends too many requests.").At(now.Add(wait))
+		return fault.New(fault.RateLimited, fault.NotRun, "The workspace sends too many requests.").WithRetryAt(now.Add(wait))
 	}
 	w.under++
 	w.budget = min(w.budget+*v.RetryShare, retryBurst)
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -36,7 +36,7 @@
 // authorize finds the workspace of the API key.
 func (e *Entry) authorize(ctx *fasthttp.RequestCtx) (string, *fault.Error) {
 	if e.Holder.Revision() == 0 {
-		return "", fault.New(fault.StaleSettings, fault.NotRun, "The entry has no settings yet.").At(comeBackAfter.After(e.Now()))
+		return "", fault.New(fault.StaleSettings, fault.NotRun, "The entry has no settings yet.").WithRetryAt(comeBackAfter.After(e.Now()))
 	}
 	auth := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 	key, ok := strings.CutPrefix(auth, "Bearer ")
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -189,7 +189,7 @@
 			Slots:            p.load.Slots,
 			Running:          p.load.Running,
 			Queued:           p.load.Queued,
-			Sent:             p.sent,
+			InFlight:         p.sent,
 			Versions:         p.load.Versions,
 			Usable:           p.usable(now),
 		}
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -63,7 +63,7 @@
 	if len(r.attempts) > 0 {
 		run = fault.MayHaveRun
 	}
-	return fault.New(fault.Quarantined, run, "%d endpoints or more crashed under request %v; it is not sent to another.", len(v.Crashes), p).At(v.Until)
+	return fault.New(fault.Quarantined, run, "%d endpoints or more crashed under request %v; it is not sent to another.", len(v.Crashes), p).WithRetryAt(v.Until)
 }
 
 // judge quarantines the suspects that are due; quarantine.mu is held.
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -64,7 +64,7 @@
 		return fault.New(fault.NotCutOver, fault.NotRun, "Requests are not served here: enabled is false at %q.", eff.Setting("enabled").Origin.Path)
 	}
 	if held, _ := e.bills.Held(); held >= e.settings.RecordsHeld && *eff.Values.OnBillsFull == config.Refuse {
-		return fault.New(fault.PlatformDown, fault.NotRun, "%d bill lines wait for the platform.", held).At(comeBackAfter.After(e.Now()))
+		return fault.New(fault.PlatformDown, fault.NotRun, "%d bill lines wait for the platform.", held).WithRetryAt(comeBackAfter.After(e.Now()))
 	}
 	return e.limits.enter(e.Now(), call.Workspace, &eff.Values)
 }
@@ -100,5 +100,5 @@
 		return nil
 	}
 	e.under.Add(-1)
-	return fault.New(fault.Overloaded, fault.NotRun, "The entry has too many requests under way.").At(comeBackAfter.After(e.Now()))
+	return fault.New(fault.Overloaded, fault.NotRun, "The entry has too many requests under way.").WithRetryAt(comeBackAfter.After(e.Now()))
 }
--- a/internal/entry/ticket.go
+++ b/internal/entry/ticket.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if e.stopping.Load() {
-		e.refuse(ctx, fault.New(fault.Stopping, fault.NotRun, "The entry is stopping.").At(comeBackAfter.After(e.Now())))
+		e.refuse(ctx, fault.New(fault.Stopping, fault.NotRun, "The entry is stopping.").WithRetryAt(comeBackAfter.After(e.Now())))
 		return
 	}
 	t := ticket{
--- a/internal/gauge/capacity.go
+++ b/internal/gauge/capacity.go
@@ -259,7 +259,7 @@
 	var b strings.Builder
 	b.WriteString(strings.TrimRight(settings, "\n") + "\n")
 	for w := 0; w*10 < n; w++ {
-		_, _ = fmt.Fprintf(&b, "  w%d:\n    keyHashes: [%q]\n    values: {allow: [m]}\n    workloads:\n", w, config.KeyHash(fmt.Sprint(w)))
+		_, _ = fmt.Fprintf(&b, "  w%d:\n    keyHashes: [%q]\n    values: {allow: [m]}\n    workloads:\n", w, config.APIKeyHash(fmt.Sprint(w)))
 		for l := range 9 {
 			_, _ = fmt.Fprintf(&b, "      l%d: {values: {qualityTarget: 0.%d}}\n", l, l)
 		}
--- a/internal/gauge/path.go
+++ b/internal/gauge/path.go
@@ -31,7 +31,7 @@
 values: {answerWithin: 30s, concurrency: 100000}
 workspaces:
   w:
-    keyHashes: ["` + config.KeyHash(gaugeKey) + `"]
+    keyHashes: ["` + config.APIKeyHash(gaugeKey) + `"]
     values: {allow: [m]}
     workloads:
       chat: {}
--- a/internal/guard/endpoint.go
+++ b/internal/guard/endpoint.go
@@ -229,8 +229,8 @@
 func engineRefusal(status int, resp *fasthttp.Response) *fault.Error {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
-		at := fault.RetryAt(string(resp.Header.Peek(fasthttp.HeaderRetryAfter)), time.Now())
-		return fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").At(at)
+		at := fault.ParseRetryAfter(string(resp.Header.Peek(fasthttp.HeaderRetryAfter)), time.Now())
+		return fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").WithRetryAt(at)
 	case fasthttp.StatusBadRequest, fasthttp.StatusNotFound:
 		return fault.New(fault.BadRequest, fault.NotRun, "The engine refused the request.")
 	default:
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -252,7 +252,7 @@
 	t.Fatalf("there are not %d waiting runs", n)
 }
 
-func check(t *testing.T, what string, got wire.RunReply, kind fault.Kind, run fault.Run) {
+func check(t *testing.T, what string, got wire.RunReply, kind fault.Kind, run fault.RunState) {
 	t.Helper()
 	if kind == "" {
 		if got.Err != nil {
--- a/internal/guard/handle.go
+++ b/internal/guard/handle.go
@@ -91,7 +91,7 @@
 		Deadline: p.Work.Deadline,
 	})
 	if v.Refused != "" {
-		refused := fault.New(v.Refused, fault.NotRun, "The endpoint has no room.").At(v.RetryAt)
+		refused := fault.New(v.Refused, fault.NotRun, "The endpoint has no room.").WithRetryAt(v.RetryAt)
 		g.tombstone(r, wire.RunReply{Err: refused})
 		return nil, refused
 	}
--- a/internal/guard/rest.go
+++ b/internal/guard/rest.go
@@ -28,5 +28,5 @@
 	if !now.Before(g.restsUntil) {
 		return nil
 	}
-	return fault.New(fault.Overloaded, fault.NotRun, "The engine has asked for rest.").At(g.restsUntil)
+	return fault.New(fault.Overloaded, fault.NotRun, "The engine has asked for rest.").WithRetryAt(g.restsUntil)
 }
--- a/internal/guard/rest_test.go
+++ b/internal/guard/rest_test.go
@@ -65,7 +65,7 @@
 			close(begun)
 		}
 		<-refuse
-		return wire.Usage{}, fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").At(until)
+		return wire.Usage{}, fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").WithRetryAt(until)
 	}
 	c := b.dial(t)
 	first := b.later(t, c, "first")
@@ -92,7 +92,7 @@
 	told := make(chan wire.Load, 4)
 	link.Inline(b.local.Mux, wire.MethodLoad, func(_ *link.Conn, n wire.LoadNotice) { told <- n.Load })
 	b.g.endpoint.Run = func(context.Context, wire.RunKey, *wire.Work, *stream.Buffer) (wire.Usage, *fault.Error) {
-		return wire.Usage{}, fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").At(time.Now().Add(time.Minute))
+		return wire.Usage{}, fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").WithRetryAt(time.Now().Add(time.Minute))
 	}
 	c := b.dial(t)
 	b.run(t, c, "run", 1)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -64,7 +64,7 @@
 	l := local(t, "server")
 	On(l.Mux, "echo", func(_ context.Context, _ *Conn, p wire.Cancel) (wire.Cancel, error) { return p, nil })
 	On(l.Mux, "fail", func(context.Context, *Conn, wire.Empty) (wire.Empty, error) {
-		return wire.Empty{}, fault.New(fault.Overloaded, fault.NotRun, "full").At(time.Unix(7, 0))
+		return wire.Empty{}, fault.New(fault.Overloaded, fault.NotRun, "full").WithRetryAt(time.Unix(7, 0))
 	})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -66,7 +66,7 @@
 	if v == nil {
 		return nil
 	}
-	return fault.New(fault.Quarantined, fault.NotRun, "%d endpoints or more crashed under request %v; it is not sent to another.", len(v.Crashes), p).At(v.Until)
+	return fault.New(fault.Quarantined, fault.NotRun, "%d endpoints or more crashed under request %v; it is not sent to another.", len(v.Crashes), p).WithRetryAt(v.Until)
 }
 
 // awaitJudgement returns once it is known whether the request is quarantined: one under which
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -164,7 +164,7 @@
 func (x *run) judge(reply *Reply) *fault.Error {
 	switch {
 	case reply.NotRun:
-		return fault.New(fault.Overloaded, fault.NotRun, "The endpoint refused with status %d.", reply.Status).At(soon.After(x.e.Now()))
+		return fault.New(fault.Overloaded, fault.NotRun, "The endpoint refused with status %d.", reply.Status).WithRetryAt(soon.After(x.e.Now()))
 	case !reply.Ours:
 		return fault.New(fault.EndpointFailed, fault.MayHaveRun, "The endpoint answered another request.")
 	case reply.Encoded || !reply.Whole && reply.Status < 300:
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -78,7 +78,7 @@
 	t := e.table.Load()
 	now := e.Now()
 	if t == nil {
-		return nil, nil, fault.New(fault.StaleSettings, fault.NotRun, "The router knows no configuration yet.").At(soon.After(now))
+		return nil, nil, fault.New(fault.StaleSettings, fault.NotRun, "The router knows no configuration yet.").WithRetryAt(soon.After(now))
 	}
 	if r.ID == "" {
 		return nil, nil, fault.New(fault.BadRequest, fault.NotRun, "The request has no ID.")
@@ -93,13 +93,13 @@
 		return nil, nil, denied(known, fault.NotFound, now, "No route of this host begins the path.")
 	}
 	if e.late(route, now) {
-		return route, nil, fault.New(fault.Stopping, fault.NotRun, "The router is stopping.").At(now)
+		return route, nil, fault.New(fault.Stopping, fault.NotRun, "The router is stopping.").WithRetryAt(now)
 	}
 	if !t.Keyed() || route.Anonymous {
 		return route, nil, nil
 	}
 	if most := e.provenMost(); most > 0 && age > most {
-		return route, nil, fault.New(fault.StaleSettings, fault.NotRun, "The API keys were last confirmed %d ms ago.", age.Milliseconds()).At(soon.After(now))
+		return route, nil, fault.New(fault.StaleSettings, fault.NotRun, "The API keys were last confirmed %d ms ago.", age.Milliseconds()).WithRetryAt(soon.After(now))
 	}
 	ws := t.ByKey(r.Key)
 	if ws == nil {
@@ -114,7 +114,7 @@
 	if known {
 		return fault.New(k, fault.NotRun, "%s", message)
 	}
-	return fault.New(fault.StaleSettings, fault.NotRun, "%s The configuration may be old.", message).At(soon.After(now))
+	return fault.New(fault.StaleSettings, fault.NotRun, "%s The configuration may be old.", message).WithRetryAt(soon.After(now))
 }
 
 // soon is when a caller is asked to come back where nothing better is known: a
--- a/internal/relay/zones.go
+++ b/internal/relay/zones.go
@@ -92,10 +92,10 @@
 		if l.At.After(at) {
 			at = l.At
 		}
-		return fault.New(fault.NoVersion, fault.NotRun, "The endpoints of the service that take requests are warming up: %d, have named a limit that is used up: %d, or have asked for rest: %d; in closed availability zones: %d.", l.Warming, l.Limited, l.Resting, l.Closed).At(at)
+		return fault.New(fault.NoVersion, fault.NotRun, "The endpoints of the service that take requests are warming up: %d, have named a limit that is used up: %d, or have asked for rest: %d; in closed availability zones: %d.", l.Warming, l.Limited, l.Resting, l.Closed).WithRetryAt(at)
 	case l.Closed > 0:
-		return fault.New(fault.NoVersion, fault.NotRun, "All endpoints of the service are in closed availability zones: %d.", l.Closed).At(closedFor.After(now))
+		return fault.New(fault.NoVersion, fault.NotRun, "All endpoints of the service are in closed availability zones: %d.", l.Closed).WithRetryAt(closedFor.After(now))
 	default:
-		return fault.New(fault.NoVersion, fault.NotRun, "The service has no endpoint that takes requests.").At(soon.After(now))
+		return fault.New(fault.NoVersion, fault.NotRun, "The service has no endpoint that takes requests.").WithRetryAt(soon.After(now))
 	}
 }
--- a/internal/rig/pages_test.go
+++ b/internal/rig/pages_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	var want []string
-	for _, k := range config.Keys() {
+	for _, k := range config.SettingSpecs() {
 		want = append(want, fmt.Sprintf("| `%s` | %s | %s | %s | %s | %s |", k.Name, k.Type, k.Unit, k.Default, k.Allowed, k.Doc))
 	}
 	for _, typ := range []reflect.Type{reflect.TypeFor[proc.Common](), reflect.TypeFor[entry.Settings](), reflect.TypeFor[guard.Settings](), reflect.TypeFor[router.Settings]()} {
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -39,7 +39,7 @@
   answerWithin: 20s
 workspaces:
   kahurangi:
-    keyHashes: ["` + config.KeyHash(testKey) + `"]
+    keyHashes: ["` + config.APIKeyHash(testKey) + `"]
     values: {allow: [deedwriter, mapcore]}
     workloads:
       history: {values: {qualityTarget: 0.9}}
@@ -47,7 +47,7 @@
       notes: {serves: register, values: {repeatable: false}}
       fetch: {serves: register}
   lima:
-    keyHashes: ["` + config.KeyHash("lima-key") + `"]
+    keyHashes: ["` + config.APIKeyHash("lima-key") + `"]
     values: {allow: [mapcore]}
     workloads:
       hints: {}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -34,7 +34,7 @@
 values: {answerWithin: 4s}
 workspaces:
   kahurangi:
-    keyHashes: ["` + config.KeyHash(soakKey) + `"]
+    keyHashes: ["` + config.APIKeyHash(soakKey) + `"]
     values: {allow: [mapcore], answerKept: 5m}
     workloads:
       tags: {}
--- a/pkg/claim/bucket.go
+++ b/pkg/claim/bucket.go
@@ -13,10 +13,10 @@
 // ErrCorrupt reports that the body of a slice is not a JSON list of records.
 const ErrCorrupt fault.Const = "claim: a slice does not decode"
 
-// SliceFull is the number of records from which on a slice is full; one update
-// may take a slice beyond it. A full slice never changes again, so an update
+// FullSliceRecords is the number of records from which on a slice is full; one
+// update may take a slice beyond it. A full slice never changes again, so an update
 // rewrites fewer than this many records beside those that it adds.
-const SliceFull = 64
+const FullSliceRecords = 64
 
 // Record is one claim.
 type Record struct {
@@ -28,9 +28,9 @@
 	Generation int `json:"g,omitempty"`
 	// Run is the ID of the request that may run.
 	Run string `json:"r"`
-	// Body is the hash of the request that the key is bound to; empty for a
-	// name that is not bound to a request.
-	Body string `json:"b,omitempty"`
+	// BodyHash is the hash of the request that the key is bound to; empty for
+	// a name that is not bound to a request.
+	BodyHash string `json:"b,omitempty"`
 	// Owner is the incarnation of the entry that may run the request, Link
 	// the address at which other processes connect to it.
 	Owner string         `json:"o"`
@@ -46,12 +46,12 @@
 type Bucket struct {
 	// index holds the claim of the highest generation of each key.
 	index map[string]Record
-	// slices is the number of slices in the copy; only the last one may grow.
-	slices int
-	// tail holds the records of the last slice, version the version of its
+	// sliceCount is the number of slices in the copy; only the last may grow.
+	sliceCount int
+	// tail holds the records of the last slice, tailVersion the version of its
 	// object on the platform.
-	tail    []Record
-	version int64
+	tail        []Record
+	tailVersion int64
 }
 
 // Get returns the claim on a key and whether the copy holds one.
@@ -60,35 +60,35 @@
 	return r, ok
 }
 
-// Next returns the index and the object version of the slice to read or write
-// next: the last one, or a new one with version 0 if the last one is full or
-// there is none.
-func (b *Bucket) Next() (slice int, version int64) {
-	if b.slices == 0 || len(b.tail) >= SliceFull {
-		return b.slices, 0
+// NextSlice returns the index and the object version of the slice to read or
+// write next: the last one, or a new one with version 0 if the last one is full
+// or there is none.
+func (b *Bucket) NextSlice() (slice int, version int64) {
+	if b.sliceCount == 0 || len(b.tail) >= FullSliceRecords {
+		return b.sliceCount, 0
 	}
-	return b.slices - 1, b.version
+	return b.sliceCount - 1, b.tailVersion
 }
 
-// Take updates the copy with a slice that was read from the platform, which
+// ApplyRead updates the copy with a slice that was read from the platform, which
 // becomes the last one. It returns ErrCorrupt, and leaves the copy unchanged,
 // if body does not decode.
-func (b *Bucket) Take(slice int, version int64, body []byte) error {
+func (b *Bucket) ApplyRead(slice int, version int64, body []byte) error {
 	var records []Record
 	if err := json.Unmarshal(body, &records); err != nil {
 		return ErrCorrupt
 	}
-	b.take(slice, version, records)
+	b.apply(slice, version, records)
 	return nil
 }
 
-func (b *Bucket) take(slice int, version int64, records []Record) {
+func (b *Bucket) apply(slice int, version int64, records []Record) {
 	if b.index == nil {
 		b.index = make(map[string]Record)
 	}
-	b.slices = slice + 1
+	b.sliceCount = slice + 1
 	b.tail = records
-	b.version = version
+	b.tailVersion = version
 	for _, r := range records {
 		if old, ok := b.index[r.Key]; !ok || r.Generation >= old.Generation {
 			b.index[r.Key] = r
@@ -96,9 +96,9 @@
 	}
 }
 
-// Fits reports whether r may be appended: its key has no claim and r has
+// CanAppend reports whether r may be appended: its key has no claim and r has
 // generation 0, or the claim on its key has the generation before that of r.
-func (b *Bucket) Fits(r Record) bool {
+func (b *Bucket) CanAppend(r Record) bool {
 	old, ok := b.index[r.Key]
 	if !ok {
 		return r.Generation == 0
@@ -106,12 +106,12 @@
 	return r.Generation == old.Generation+1
 }
 
-// Append returns the update that appends added to the log: the index of the
-// slice, the object version that the update is conditional on, the records of
-// the slice after it, and their encoding. The copy does not change until
-// Written is called.
-func (b *Bucket) Append(added []Record) (slice int, version int64, records []Record, body []byte) {
-	slice, version = b.Next()
+// EncodeAppend returns the update that appends added to the log: the index of
+// the slice, the object version that the update is conditional on, the records
+// of the slice after it, and their encoding. The copy does not change until
+// ApplyWritten is called.
+func (b *Bucket) EncodeAppend(added []Record) (slice int, version int64, records []Record, body []byte) {
+	slice, version = b.NextSlice()
 	if version != 0 {
 		records = append(records, b.tail...)
 	}
@@ -123,6 +123,8 @@
 	return slice, version, records, body
 }
 
-// Written updates the copy with a slice that this process has written, under
+// ApplyWritten updates the copy with a slice that this process has written, under
 // the object version that the platform returned.
-func (b *Bucket) Written(slice int, version int64, records []Record) { b.take(slice, version, records) }
+func (b *Bucket) ApplyWritten(slice int, version int64, records []Record) {
+	b.apply(slice, version, records)
+}
--- a/pkg/claim/doc.go
+++ b/pkg/claim/doc.go
@@ -8,7 +8,7 @@
 //
 // Keys hash to buckets. A bucket is a sequence of slices, and each slice is
 // one object on the platform. Only the last slice of a bucket grows, until it
-// holds at least SliceFull records. A writer whose copy of a bucket is out of
-// date fails the platform's conditional update and reads the bucket again, so
+// holds at least FullSliceRecords records. A writer whose copy of a bucket is out
+// of date fails the platform's conditional update and reads the bucket again, so
 // the log depends on no lease and no clock.
 package claim
--- a/pkg/config/check.go
+++ b/pkg/config/check.go
@@ -28,11 +28,11 @@
 	})
 }
 
-func (c *checker) file(f File) {
+func (c *checker) checkFile(f File) {
 	for _, m := range slices.Sorted(maps.Keys(f.Models)) {
 		c.checkName([]string{"models", m})
 		for _, v := range slices.Sorted(maps.Keys(f.Models[m].Versions)) {
-			c.version([]string{"models", m, "versions", v}, f.Models[m].Versions[v])
+			c.checkVersion([]string{"models", m, "versions", v}, f.Models[m].Versions[v])
 		}
 	}
 	for _, s := range slices.Sorted(maps.Keys(f.Services)) {
@@ -41,13 +41,13 @@
 			c.add([]string{"services", s, "pool"}, "a pool must be named")
 		}
 	}
-	c.values(f, nil, f.Values)
+	c.checkValues(f, nil, f.Values)
 	hashes := make(map[string]string)
 	for _, ws := range slices.Sorted(maps.Keys(f.Workspaces)) {
-		c.workspace(f, ws, hashes)
+		c.checkWorkspace(f, ws, hashes)
 	}
 	if len(c.problems) == 0 {
-		c.allowed(f)
+		c.checkServable(f)
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 }
 
-func (c *checker) version(keys []string, v Version) {
+func (c *checker) checkVersion(keys []string, v Version) {
 	c.checkName(keys)
 	if v.Pool == "" {
 		c.add(append(keys, "pool"), "a pool must be named")
@@ -77,58 +77,58 @@
 	}
 }
 
-// workspace checks one workspace. The map hashes holds the workspace of each API
-// key hash seen so far, as no two workspaces may share a key.
-func (c *checker) workspace(f File, ws string, hashes map[string]string) {
-	at := []string{"workspaces", ws}
-	c.checkName(at)
+// checkWorkspace checks one workspace. The map hashes holds the workspace of each
+// API key hash seen so far, as no two workspaces may share a key.
+func (c *checker) checkWorkspace(f File, ws string, hashes map[string]string) {
+	keyPath := []string{"workspaces", ws}
+	c.checkName(keyPath)
 	w := f.Workspaces[ws]
 	for _, h := range w.KeyHashes {
-		if !strings.HasPrefix(h, "sha256:") || len(h) != len(KeyHash("")) {
-			c.add(append(at, "keyHashes"), "sha256: and 64 hexadecimal digits are allowed")
+		if !strings.HasPrefix(h, "sha256:") || len(h) != len(APIKeyHash("")) {
+			c.add(append(keyPath, "keyHashes"), "sha256: and 64 hexadecimal digits are allowed")
 		}
 		if other, ok := hashes[h]; ok {
-			c.add(append(at, "keyHashes"), "the key also belongs to workspace %s", other)
+			c.add(append(keyPath, "keyHashes"), "the key also belongs to workspace %s", other)
 		}
 		hashes[h] = ws
 	}
-	c.values(f, at, w.Values)
+	c.checkValues(f, keyPath, w.Values)
 	for _, wl := range slices.Sorted(maps.Keys(w.Workloads)) {
-		c.workload(f, append(slices.Clone(at), "workloads", wl), w.Workloads[wl])
+		c.checkWorkload(f, append(slices.Clone(keyPath), "workloads", wl), w.Workloads[wl])
 	}
 }
 
-func (c *checker) workload(f File, at []string, l WorkloadNode) {
-	c.checkName(at)
+func (c *checker) checkWorkload(f File, keyPath []string, l WorkloadNode) {
+	c.checkName(keyPath)
 	if _, ok := f.Services[l.Serves]; !ok && l.Serves != "" && l.Serves != ServesChat {
-		c.add(append(slices.Clone(at), "serves"), "%q is not allowed; allowed: %s or one of services", l.Serves, ServesChat)
+		c.add(append(slices.Clone(keyPath), "serves"), "%q is not allowed; allowed: %s or one of services", l.Serves, ServesChat)
 	}
-	c.values(f, at, l.Values)
+	c.checkValues(f, keyPath, l.Values)
 	for _, d := range slices.Sorted(maps.Keys(l.Districts)) {
-		dat := append(slices.Clone(at), "districts", d)
-		c.checkName(dat)
-		c.values(f, dat, l.Districts[d].Values)
+		districtPath := append(slices.Clone(keyPath), "districts", d)
+		c.checkName(districtPath)
+		c.checkValues(f, districtPath, l.Districts[d].Values)
 	}
 }
 
-// values checks the values of one node; at holds the keys of the node in the file.
-func (c *checker) values(f File, at []string, v Values) {
-	for _, k := range keys {
-		if msg := k.check(v); msg != "" {
-			c.add(append(slices.Clone(at), "values", k.Name), "%s", msg)
+// checkValues checks the values of the node that keyPath leads to in the file.
+func (c *checker) checkValues(f File, keyPath []string, v Values) {
+	for _, spec := range settingSpecs {
+		if msg := spec.check(v); msg != "" {
+			c.add(append(slices.Clone(keyPath), "values", spec.Name), "%s", msg)
 		}
 	}
 	for _, a := range v.Allow {
 		if len(Expand(f.Models, []string{a})) == 0 {
-			c.add(append(slices.Clone(at), "values", "allow"), "%q names no model or model@version of models", a)
+			c.add(append(slices.Clone(keyPath), "values", "allow"), "%q names no model or model@version of models", a)
 		}
 	}
 }
 
-// allowed reports the enabled chat workloads and districts that no version can
-// serve: none is allowed, none of the allowed ones is eligible, or none of these
-// meets the quality target.
-func (c *checker) allowed(f File) {
+// checkServable reports the enabled chat workloads and districts that no version
+// can serve: none is allowed, none of the allowed ones is eligible, or none of
+// these meets the quality target.
+func (c *checker) checkServable(f File) {
 	s, err := snapshotOf(f.Nodes())
 	if err != nil {
 		return
@@ -142,15 +142,15 @@
 		if !*e.Values.Enabled {
 			continue
 		}
-		if msg := unserved(e, s.candidates[path]); msg != "" {
+		if msg := unservableReason(e, s.candidates[path]); msg != "" {
 			c.add(yamlKeys(path), "%s", msg)
 		}
 	}
 }
 
-// unserved returns why none of candidates can serve all requests under e, or "".
-// Eligible versions are serving, cost at most maxCost and are fully rolled out.
-func unserved(e *Effective, candidates []Candidate) string {
+// unservableReason returns why none of candidates can serve all requests under e,
+// or "". Eligible versions are serving, cost at most maxCost and are fully rolled out.
+func unservableReason(e *Effective, candidates []Candidate) string {
 	best := -1.0
 	serving := 0
 	for _, cand := range candidates {
@@ -199,7 +199,7 @@
 // line 1.
 func CheckNodes(name string, nodes map[string]Node) error {
 	c := checker{name: name}
-	c.file(FileOf(nodes))
+	c.checkFile(FileOf(nodes))
 	if len(c.problems) > 0 {
 		return c.problems
 	}
--- a/pkg/config/effective.go
+++ b/pkg/config/effective.go
@@ -22,7 +22,7 @@
 	Path string
 	// Values has every field set; only an empty list may be nil.
 	Values Values
-	// origins has one entry for each of Keys, in that order.
+	// origins has one entry for each of SettingSpecs, in that order.
 	origins []Origin
 }
 
@@ -38,26 +38,26 @@
 // Setting returns the setting named key with its origin; for an unknown name,
 // value and origin are empty.
 func (e *Effective) Setting(key string) Setting {
-	for i, k := range keys {
+	for i, k := range settingSpecs {
 		if k.Name == key {
-			return Setting{Key: key, Value: k.text(e.Values), Origin: e.origins[i]}
+			return Setting{Key: key, Value: k.format(e.Values), Origin: e.origins[i]}
 		}
 	}
 	return Setting{Key: key}
 }
 
-// All returns every setting with its origin, in the order of Keys.
+// All returns every setting with its origin, in the order of SettingSpecs.
 func (e *Effective) All() []Setting {
-	out := make([]Setting, len(keys))
-	for i, k := range keys {
-		out[i] = Setting{Key: k.Name, Value: k.text(e.Values), Origin: e.origins[i]}
+	out := make([]Setting, len(settingSpecs))
+	for i, k := range settingSpecs {
+		out[i] = Setting{Key: k.Name, Value: k.format(e.Values), Origin: e.origins[i]}
 	}
 	return out
 }
 
 // defaultEffective returns the settings in force where no node sets any.
 func defaultEffective() *Effective {
-	e := &Effective{Values: defaults, origins: make([]Origin, len(keys))}
+	e := &Effective{Values: defaults, origins: make([]Origin, len(settingSpecs))}
 	for i := range e.origins {
 		e.origins[i] = Origin{Level: LevelDefault}
 	}
@@ -70,7 +70,7 @@
 	out := &Effective{Path: path, Values: e.Values, origins: append([]Origin(nil), e.origins...)}
 	src := reflect.ValueOf(v)
 	dst := reflect.ValueOf(&out.Values).Elem()
-	for i, k := range keys {
+	for i, k := range settingSpecs {
 		f := src.Field(k.index)
 		if f.IsNil() {
 			continue
--- a/pkg/config/file.go
+++ b/pkg/config/file.go
@@ -26,7 +26,7 @@
 
 // WorkspaceNode is a workspace in a File.
 type WorkspaceNode struct {
-	// KeyHashes holds the hashes of the workspace's API keys; see KeyHash.
+	// KeyHashes holds the hashes of the workspace's API keys; see APIKeyHash.
 	KeyHashes []string                `yaml:"keyHashes"`
 	Values    Values                  `yaml:"values,omitempty"`
 	Workloads map[string]WorkloadNode `yaml:"workloads,omitempty"`
@@ -228,7 +228,7 @@
 		return f, err
 	}
 	c := checker{name: name, lines: NewLines(text)}
-	c.file(f)
+	c.checkFile(f)
 	if len(c.problems) > 0 {
 		return f, c.problems
 	}
--- a/pkg/config/head.go
+++ b/pkg/config/head.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// historyKept is the maximum number of changes that a head lists. A writer that
+// maxChanges is the maximum number of changes that a head lists. A writer that
 // got no response to its write reads the head to find out whether its change is
 // among them.
-const historyKept = 64
+const maxChanges = 64
 
 // Ref is the entry of a node in a head.
 type Ref struct {
@@ -75,8 +75,8 @@
 	c.Revision = next.Revision
 	c.Paths = slices.Sorted(maps.Keys(edits))
 	next.Changes = append([]Change{c}, h.Changes...)
-	if len(next.Changes) > historyKept {
-		next.Changes = next.Changes[:historyKept]
+	if len(next.Changes) > maxChanges {
+		next.Changes = next.Changes[:maxChanges]
 	}
 	return next
 }
--- a/pkg/config/node.go
+++ b/pkg/config/node.go
@@ -69,8 +69,8 @@
 	// Models and Services are set at the fleet level only.
 	Models   map[string]Model   `yaml:"models,omitempty" json:"models,omitempty"`
 	Services map[string]Service `yaml:"services,omitempty" json:"services,omitempty"`
-	// KeyHashes holds the hashes of the workspace's API keys, as KeyHash
-	// returns them; workspace level only.
+	// KeyHashes holds the hashes of the workspace's API keys, as
+	// APIKeyHash returns them; workspace level only.
 	KeyHashes []string `yaml:"keyHashes,omitempty" json:"keyHashes,omitempty"`
 	// Serves is ServesChat, empty for the same, or the name of a plain
 	// service; workload level only.
@@ -128,12 +128,12 @@
 	if err != nil {
 		panic("config: encode node: " + err.Error())
 	}
-	return body, HashOf(body)
+	return body, NodeHash(body)
 }
 
-// HashOf returns the hash that names a stored node: the first 16 bytes of the
+// NodeHash returns the hash that names a stored node: the first 16 bytes of the
 // SHA-256 of its stored form, in hexadecimal.
-func HashOf(body []byte) string {
+func NodeHash(body []byte) string {
 	h := sha256.Sum256(body)
 	return hex.EncodeToString(h[:16])
 }
@@ -142,7 +142,7 @@
 // does not have the given hash or does not decode.
 func DecodeNode(hash string, body []byte) (Node, error) {
 	var n Node
-	if HashOf(body) != hash {
+	if NodeHash(body) != hash {
 		return n, ErrCorrupt
 	}
 	if err := json.Unmarshal(body, &n); err != nil {
@@ -151,9 +151,9 @@
 	return n, nil
 }
 
-// KeyHash returns the hash of an API key in the form that keyHashes has:
+// APIKeyHash returns the hash of an API key in the form that keyHashes has:
 // "sha256:" and 64 hexadecimal digits.
-func KeyHash(key string) string {
+func APIKeyHash(key string) string {
 	h := sha256.Sum256([]byte(key))
 	return "sha256:" + hex.EncodeToString(h[:])
 }
--- a/pkg/config/snapshot.go
+++ b/pkg/config/snapshot.go
@@ -21,8 +21,8 @@
 	// effective holds the settings in force at every path of Head, and at the
 	// empty path also if Head has no node there.
 	effective map[string]*Effective
-	// workspaces maps the hash of an API key to its workspace.
-	workspaces map[string]string
+	// workspaceByKeyHash maps the hash of an API key to its workspace.
+	workspaceByKeyHash map[string]string
 	// candidates holds the versions that the allow list in force at each path
 	// expands to.
 	candidates map[string][]Candidate
@@ -52,12 +52,12 @@
 // and ErrCorrupt if one does not match its hash or does not decode.
 func Build(head Head, bodies map[string][]byte) (*Snapshot, error) {
 	s := &Snapshot{
-		Head:       head,
-		nodes:      make(map[string]Node),
-		bodies:     make(map[string][]byte),
-		effective:  make(map[string]*Effective),
-		workspaces: make(map[string]string),
-		candidates: make(map[string][]Candidate),
+		Head:               head,
+		nodes:              make(map[string]Node),
+		bodies:             make(map[string][]byte),
+		effective:          make(map[string]*Effective),
+		workspaceByKeyHash: make(map[string]string),
+		candidates:         make(map[string][]Candidate),
 	}
 	for path, ref := range head.Nodes {
 		body, ok := bodies[ref.Hash]
@@ -71,13 +71,13 @@
 		s.nodes[path] = n
 		s.bodies[ref.Hash] = body
 	}
-	s.inherit()
+	s.resolve()
 	return s, nil
 }
 
-// inherit computes the settings in force and the candidates at every path, from
+// resolve computes the settings in force and the candidates at every path, from
 // the fleet down, and the index of API keys.
-func (s *Snapshot) inherit() {
+func (s *Snapshot) resolve() {
 	fleet := s.nodes[""]
 	s.effective[""] = defaultEffective().override("", s.Head.Nodes[""].Revision, fleet.Values)
 	paths := slices.Sorted(maps.Keys(s.nodes))
@@ -87,18 +87,18 @@
 	for _, path := range paths {
 		n := s.nodes[path]
 		if path != "" {
-			s.effective[path] = s.inherited(Parent(path)).override(path, s.Head.Nodes[path].Revision, n.Values)
+			s.effective[path] = s.nearestEffective(Parent(path)).override(path, s.Head.Nodes[path].Revision, n.Values)
 		}
 		s.candidates[path] = Expand(fleet.Models, s.effective[path].Values.Allow)
 		for _, h := range n.KeyHashes {
-			s.workspaces[h] = path
+			s.workspaceByKeyHash[h] = path
 		}
 	}
 }
 
-// inherited returns the settings in force at path: those of its node, or of the
-// nearest level above that has a node.
-func (s *Snapshot) inherited(path string) *Effective {
+// nearestEffective returns the settings in force at path: those of its node, or
+// of the nearest level above that has a node.
+func (s *Snapshot) nearestEffective(path string) *Effective {
 	for {
 		if e, ok := s.effective[path]; ok {
 			return e
@@ -125,7 +125,7 @@
 // Effective returns the settings in force for a workspace, workload and district.
 // For an empty or unknown name, those of the level above are in force.
 func (s *Snapshot) Effective(workspace, workload, district string) *Effective {
-	return s.inherited(Path(workspace, workload, district))
+	return s.nearestEffective(Path(workspace, workload, district))
 }
 
 // Candidates returns the versions that are allowed at the path of e, sorted by
@@ -135,7 +135,7 @@
 // Workspace returns the workspace that an API key belongs to and whether there is
 // one; key is the API key itself, not its hash.
 func (s *Snapshot) Workspace(key string) (string, bool) {
-	w, ok := s.workspaces[KeyHash(key)]
+	w, ok := s.workspaceByKeyHash[APIKeyHash(key)]
 	return w, ok
 }
 
@@ -202,9 +202,9 @@
 // Nodes returns the nodes by path, in a new map.
 func (s *Snapshot) Nodes() map[string]Node { return maps.Clone(s.nodes) }
 
-// Names returns the model names that are offered to the callers of a workspace: its
-// chat workloads and the models that it allows, sorted.
-func (s *Snapshot) Names(workspace string) []string {
+// ModelNames returns the model names that are offered to the callers of a
+// workspace: its chat workloads and the models that it allows, sorted.
+func (s *Snapshot) ModelNames(workspace string) []string {
 	var out []string
 	for path := range s.nodes {
 		ws, workload, ok := strings.Cut(path, "/")
@@ -219,5 +219,5 @@
 	return slices.Compact(out)
 }
 
-// At returns the settings in force at a path as Path returns it.
-func (s *Snapshot) At(path string) *Effective { return s.inherited(path) }
+// EffectiveAt returns the settings in force at a path as Path returns it.
+func (s *Snapshot) EffectiveAt(path string) *Effective { return s.nearestEffective(path) }
--- a/pkg/config/keys.go
+++ b/pkg/config/specs.go
@@ -12,40 +12,41 @@
 	"time"
 )
 
-// Key describes one inheritable setting: a field of Values and its tags. The
-// exported fields are the columns of docs/SETTINGS.md.
-type Key struct {
+// SettingSpec describes one inheritable setting: a field of Values and its tags.
+// The exported fields are the columns of docs/SETTINGS.md.
+type SettingSpec struct {
 	Name, Type, Unit, Default, Allowed, Doc string
 	// index is the index of the field in Values.
 	index int
 	// min and max are the bounds of a number or Span as text; empty without
 	// bounds.
 	min, max string
-	// words are the allowed values of a string.
-	words []string
+	// enum are the allowed values of a string.
+	enum []string
 }
 
-// Keys returns every inheritable setting in the order of the fields of Values.
-func Keys() []Key { return slices.Clone(keys) }
+// SettingSpecs returns every inheritable setting in the order of the fields of
+// Values.
+func SettingSpecs() []SettingSpec { return slices.Clone(settingSpecs) }
 
 var (
-	keys = readKeys()
+	settingSpecs = readSpecs()
 	// defaults has every field of Values set to the default in its tag.
 	defaults = readDefaults()
 )
 
-func readKeys() []Key {
+func readSpecs() []SettingSpec {
 	t := reflect.TypeFor[Values]()
-	out := make([]Key, t.NumField())
+	out := make([]SettingSpec, t.NumField())
 	for i := range out {
 		f := t.Field(i)
-		k := Key{index: i, Doc: f.Tag.Get("doc"), Unit: f.Tag.Get("unit"), Default: f.Tag.Get("default")}
-		k.Name, _, _ = strings.Cut(f.Tag.Get("yaml"), ",")
-		k.min, k.max = f.Tag.Get("min"), f.Tag.Get("max")
-		k.words = strings.Fields(f.Tag.Get("words"))
-		k.Type = typeName(f.Type)
-		k.Allowed = k.allowed()
-		out[i] = k
+		spec := SettingSpec{index: i, Doc: f.Tag.Get("doc"), Unit: f.Tag.Get("unit"), Default: f.Tag.Get("default")}
+		spec.Name, _, _ = strings.Cut(f.Tag.Get("yaml"), ",")
+		spec.min, spec.max = f.Tag.Get("min"), f.Tag.Get("max")
+		spec.enum = strings.Fields(f.Tag.Get("words"))
+		spec.Type = typeName(f.Type)
+		spec.Allowed = spec.allowedText()
+		out[i] = spec
 	}
 	return out
 }
@@ -68,34 +69,34 @@
 	}
 }
 
-// allowed returns the allowed values as text.
-func (k Key) allowed() string {
-	if len(k.words) > 0 {
-		return strings.Join(k.words, ", ")
+// allowedText returns the allowed values as text.
+func (s SettingSpec) allowedText() string {
+	if len(s.enum) > 0 {
+		return strings.Join(s.enum, ", ")
 	}
-	if k.max != "" {
-		return k.min + " to " + k.max
+	if s.max != "" {
+		return s.min + " to " + s.max
 	}
-	return "any " + k.Type
+	return "any " + s.Type
 }
 
 func readDefaults() Values {
 	var v Values
 	dst := reflect.ValueOf(&v).Elem()
-	for _, k := range keys {
-		f := dst.Field(k.index)
+	for _, spec := range settingSpecs {
+		f := dst.Field(spec.index)
 		if f.Kind() == reflect.Slice {
 			f.Set(reflect.ValueOf([]string{}))
 			continue
 		}
 		f.Set(reflect.New(f.Type().Elem()))
-		setText(f.Elem(), k.Default)
+		parseDefault(f.Elem(), spec.Default)
 	}
 	return v
 }
 
-// setText parses text, the default of a setting, into dst.
-func setText(dst reflect.Value, text string) {
+// parseDefault parses text, the default of a setting, into dst.
+func parseDefault(dst reflect.Value, text string) {
 	var err error
 	switch p := dst.Addr().Interface().(type) {
 	case *bool:
@@ -114,31 +115,31 @@
 	}
 }
 
-// check returns the error message for the value of k in v, or "" if it is allowed
+// check returns the error message for the value of s in v, or "" if it is allowed
 // or not set.
-func (k Key) check(v Values) string {
-	f := reflect.ValueOf(v).Field(k.index)
+func (s SettingSpec) check(v Values) string {
+	f := reflect.ValueOf(v).Field(s.index)
 	if f.IsNil() || f.Kind() == reflect.Slice {
 		return ""
 	}
 	switch x := f.Elem().Interface().(type) {
 	case string:
-		if !slices.Contains(k.words, x) {
-			return fmt.Sprintf("%q is not allowed; allowed: %s", x, k.Allowed)
+		if !slices.Contains(s.enum, x) {
+			return fmt.Sprintf("%q is not allowed; allowed: %s", x, s.Allowed)
 		}
 	case int:
-		return k.checkRange(float64(x), fmt.Sprint(x), parseNumber)
+		return s.checkRange(float64(x), fmt.Sprint(x), parseNumber)
 	case float64:
-		return k.checkRange(x, fmt.Sprint(x), parseNumber)
+		return s.checkRange(x, fmt.Sprint(x), parseNumber)
 	case Span:
-		return k.checkRange(float64(x), x.String(), parseSpan)
+		return s.checkRange(float64(x), x.String(), parseSpan)
 	}
 	return ""
 }
 
-func (k Key) checkRange(x float64, text string, parse func(string) float64) string {
-	if k.max != "" && !(x >= parse(k.min) && x <= parse(k.max)) {
-		return fmt.Sprintf("%s is not allowed; allowed: %s", text, k.Allowed)
+func (s SettingSpec) checkRange(x float64, text string, parse func(string) float64) string {
+	if s.max != "" && !(x >= parse(s.min) && x <= parse(s.max)) {
+		return fmt.Sprintf("%s is not allowed; allowed: %s", text, s.Allowed)
 	}
 	return ""
 }
@@ -153,9 +154,9 @@
 	return float64(d)
 }
 
-// text returns the value of k in v as it is shown to operators.
-func (k Key) text(v Values) string {
-	f := reflect.ValueOf(v).Field(k.index)
+// format returns the value of s in v as it is shown to operators.
+func (s SettingSpec) format(v Values) string {
+	f := reflect.ValueOf(v).Field(s.index)
 	if f.Kind() == reflect.Slice {
 		return "[" + strings.Join(f.Interface().([]string), ", ") + "]"
 	}
--- a/pkg/fault/error.go
+++ b/pkg/fault/error.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Run states whether a request ran, as far as that is known.
-type Run string
+// RunState states whether a request ran, as far as that is known.
+type RunState string
 
 // The run states. NotRun is returned on evidence only, never on a guess, and
 // holds for good: the request does not run later either.
 const (
-	NotRun     Run = "notRun"
-	MayHaveRun Run = "mayHaveRun"
-	Ran        Run = "ran"
+	NotRun     RunState = "notRun"
+	MayHaveRun RunState = "mayHaveRun"
+	Ran        RunState = "ran"
 )
 
 // Error is a failure as it is returned to the caller.
@@ -25,7 +25,7 @@
 	// Kind is from the closed list.
 	Kind Kind `json:"kind"`
 	// Run states whether the request ran.
-	Run Run `json:"run"`
+	Run RunState `json:"run"`
 	// Message is one sentence for a person.
 	Message string `json:"message"`
 	// RetryAt is when the caller may retry; zero if a retry makes no sense.
@@ -39,12 +39,12 @@
 
 // New returns an Error of the given kind and run state with a formatted
 // message and no retry time.
-func New(k Kind, run Run, format string, args ...any) *Error {
+func New(k Kind, run RunState, format string, args ...any) *Error {
 	return &Error{Kind: k, Run: run, Message: fmt.Sprintf(format, args...)}
 }
 
-// At sets RetryAt and returns e.
-func (e *Error) At(t time.Time) *Error {
+// WithRetryAt sets RetryAt and returns e.
+func (e *Error) WithRetryAt(t time.Time) *Error {
 	e.RetryAt = t
 	return e
 }
@@ -61,7 +61,7 @@
 // From returns the Error that err wraps. A wrapped Kind becomes an Error with
 // the given run state and the kind's advice as message; any other error
 // becomes an Error of kind Internal with the given run state.
-func From(err error, run Run) *Error {
+func From(err error, run RunState) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/pkg/fault/fault_test.go
+++ b/pkg/fault/fault_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, k := range Kinds() {
 		a := k.Answer()
-		want := fmt.Sprintf("| `%s` | %d | %v | %v | %s |", k, a.Status, a.ComeBack, a.Again, a.Advice)
+		want := fmt.Sprintf("| `%s` | %d | %v | %v | %s |", k, a.Status, a.RetryLater, a.RetryElsewhere, a.Advice)
 		if !strings.Contains(string(page), want+"\n") {
 			t.Errorf("docs/ERRORS.md lacks the row\n%s", want)
 		}
--- a/pkg/fault/kind.go
+++ b/pkg/fault/kind.go
@@ -49,13 +49,13 @@
 type Answer struct {
 	// Status is the HTTP status code of the response.
 	Status int
-	// ComeBack says whether a later retry by the caller makes sense, so that
+	// RetryLater says whether a later retry by the caller makes sense, so that
 	// the response carries a retry time.
-	ComeBack bool
-	// Again says whether an entry or router may send the request to another
-	// endpoint. If the run state is not NotRun, the request must also be
-	// repeatable or resumable.
-	Again bool
+	RetryLater bool
+	// RetryElsewhere says whether an entry or router may send the request to
+	// another endpoint. If the run state is not NotRun, the request must also
+	// be repeatable or resumable.
+	RetryElsewhere bool
 	// Advice tells the caller what to do, in one sentence.
 	Advice string
 }
--- a/pkg/route/decide.go
+++ b/pkg/route/decide.go
@@ -11,36 +11,36 @@
 // Reason says why a candidate version was or was not chosen.
 type Reason string
 
-// The closed list of reasons. Chosen and Dearer are for eligible versions, the
-// others say why a version is not eligible.
+// The closed list of reasons. Chosen and HigherScore are for eligible versions,
+// the others say why a version is not eligible.
 const (
-	Chosen       Reason = "chosen"
-	Dearer       Reason = "higherScore"
-	NotAsked     Reason = "notAskedFor"
-	NotInSession Reason = "notTheSessionsVersion"
-	Withdrawn    Reason = "withdrawn"
-	TooDear      Reason = "overMaxCost"
-	TooPoor      Reason = "belowQualityTarget"
-	OverShare    Reason = "overItsShare"
-	NoEndpoint   Reason = "noUsableEndpoint"
+	Chosen             Reason = "chosen"
+	HigherScore        Reason = "higherScore"
+	NotRequested       Reason = "notAskedFor"
+	NotSessionVersion  Reason = "notTheSessionsVersion"
+	Withdrawn          Reason = "withdrawn"
+	OverMaxCost        Reason = "overMaxCost"
+	BelowQualityTarget Reason = "belowQualityTarget"
+	OverShare          Reason = "overItsShare"
+	NoUsableEndpoint   Reason = "noUsableEndpoint"
 )
 
-// settingOf names the setting that decides for each reason.
-var settingOf = map[Reason]string{
-	Chosen:       "weightCost",
-	Dearer:       "weightCost",
-	NotAsked:     "allow",
-	NotInSession: "sessionFor",
-	Withdrawn:    "allow",
-	TooDear:      "maxCost",
-	TooPoor:      "qualityTarget",
-	NoEndpoint:   "allow",
-	OverShare:    "allow",
+// decidingSetting names the setting that decides for each reason.
+var decidingSetting = map[Reason]string{
+	Chosen:             "weightCost",
+	HigherScore:        "weightCost",
+	NotRequested:       "allow",
+	NotSessionVersion:  "sessionFor",
+	Withdrawn:          "allow",
+	OverMaxCost:        "maxCost",
+	BelowQualityTarget: "qualityTarget",
+	NoUsableEndpoint:   "allow",
+	OverShare:          "allow",
 }
 
 // Setting returns the name of the setting that decides whether the reason
 // applies, so that explain can show its value and origin.
-func (r Reason) Setting() string { return settingOf[r] }
+func (r Reason) Setting() string { return decidingSetting[r] }
 
 // Request holds the properties of a request that a decision depends on.
 type Request struct {
@@ -105,14 +105,14 @@
 	*dst = Decision{Endpoint: -1, Candidates: dst.Candidates[:0]}
 	best := -1
 	for i := range candidates {
-		c := judge(e, &candidates[i], req, v)
-		if c.Reason == Dearer && (best < 0 || c.Score < dst.Candidates[best].Score) {
+		c := evaluate(e, &candidates[i], req, v)
+		if c.Reason == HigherScore && (best < 0 || c.Score < dst.Candidates[best].Score) {
 			best = i
 		}
 		dst.Candidates = append(dst.Candidates, c)
 	}
 	if best < 0 {
-		dst.Kind = noChoice(dst.Candidates, req)
+		dst.Kind = noChoiceKind(dst.Candidates, req)
 		return
 	}
 	chosen := &dst.Candidates[best]
@@ -122,27 +122,27 @@
 	dst.Endpoint = v.pick(spec.Pool, candidates[best].Name, req)
 }
 
-// judge rejects or scores one version. An eligible version gets the reason
-// Dearer, which Decide replaces for the one that it chooses.
-func judge(e *config.Effective, c *config.Candidate, req *Request, v *View) Candidate {
+// evaluate rejects or scores one version. An eligible version gets the reason
+// HigherScore, which Decide replaces for the one that it chooses.
+func evaluate(e *config.Effective, c *config.Candidate, req *Request, v *View) Candidate {
 	out := Candidate{Model: c.Model, Version: c.Version, Cost: c.Spec.Cost, Quality: c.Spec.Quality}
 	out.Reason = reject(e, c, req)
 	if out.Reason != "" {
 		return out
 	}
-	wait, ok := v.wait(c.Spec.Pool, c.Name, req.Avoid)
+	wait, ok := v.meanLoad(c.Spec.Pool, c.Name, req.Avoid)
 	if !ok {
-		out.Reason = NoEndpoint
+		out.Reason = NoUsableEndpoint
 		return out
 	}
 	out.Wait = wait
 	out.Score = *e.Values.WeightCost*c.Spec.Cost + *e.Values.WeightLatency*wait
-	out.Reason = Dearer
+	out.Reason = HigherScore
 	return out
 }
 
-// asks reports whether the request's model and version admit the candidate.
-func (req *Request) asks(c *config.Candidate) bool {
+// matches reports whether the request's model and version admit the candidate.
+func (req *Request) matches(c *config.Candidate) bool {
 	return (req.Model == "" || req.Model == c.Model) && (req.Version == "" || req.Version == c.Version)
 }
 
@@ -151,27 +151,27 @@
 // regardless of them.
 func reject(e *config.Effective, c *config.Candidate, req *Request) Reason {
 	switch {
-	case !req.asks(c) && req.Pinned:
-		return NotInSession
-	case !req.asks(c):
-		return NotAsked
+	case !req.matches(c) && req.Pinned:
+		return NotSessionVersion
+	case !req.matches(c):
+		return NotRequested
 	case c.Spec.State == config.StateWithdrawn:
 		return Withdrawn
 	case req.Pinned:
 		return ""
 	default:
-		return unfit(e, c, req)
+		return rejectNewWork(e, c, req)
 	}
 }
 
-// unfit returns why a version is not eligible for requests outside a session,
-// or "".
-func unfit(e *config.Effective, c *config.Candidate, req *Request) Reason {
+// rejectNewWork returns why a version is not eligible for requests outside a
+// session, or "".
+func rejectNewWork(e *config.Effective, c *config.Candidate, req *Request) Reason {
 	switch {
 	case c.Spec.Cost > *e.Values.MaxCost:
-		return TooDear
+		return OverMaxCost
 	case c.Spec.Quality < *e.Values.QualityTarget:
-		return TooPoor
+		return BelowQualityTarget
 	case req.Draw >= c.Spec.Exposure():
 		return OverShare
 	default:
@@ -179,20 +179,20 @@
 	}
 }
 
-// noChoice returns the error kind of a decision that chose none of cs. A
+// noChoiceKind returns the error kind of a decision that chose none of cs. A
 // version that lacks only a usable endpoint takes precedence over the others.
-func noChoice(cs []Candidate, req *Request) fault.Kind {
-	asked, noEndpoint := false, false
+func noChoiceKind(cs []Candidate, req *Request) fault.Kind {
+	requested, noEndpoint := false, false
 	for _, c := range cs {
-		asked = asked || (c.Reason != NotAsked && c.Reason != NotInSession)
-		noEndpoint = noEndpoint || c.Reason == NoEndpoint
+		requested = requested || (c.Reason != NotRequested && c.Reason != NotSessionVersion)
+		noEndpoint = noEndpoint || c.Reason == NoUsableEndpoint
 	}
 	switch {
 	case noEndpoint:
 		return fault.NoVersion
 	case req.Pinned:
 		return fault.VersionWithdrawn
-	case !asked:
+	case !requested:
 		return fault.NotAllowed
 	default:
 		return fault.NoVersion
--- a/pkg/route/decide_test.go
+++ b/pkg/route/decide_test.go
@@ -73,19 +73,19 @@
 		kind   fault.Kind
 		reason Reason
 	}{
-		{"lowest cost that meets the quality target", "qualityTarget: 0.8", Request{Draw: 0.5}, all, "middle@1", "", TooPoor},
+		{"lowest cost that meets the quality target", "qualityTarget: 0.8", Request{Draw: 0.5}, all, "middle@1", "", BelowQualityTarget},
 		{"lower quality target", "qualityTarget: 0.5", Request{Draw: 0.5}, all, "cheap@1", "", Chosen},
-		{"higher quality target", "qualityTarget: 0.9", Request{Draw: 0.5}, all, "dear@1", "", TooPoor},
-		{"draw below the roll-out share", "qualityTarget: 0.8", Request{Draw: 0.2}, all, "middle@2", "", TooPoor},
-		{"cost limit", "qualityTarget: 0.9, maxCost: 5", Request{Draw: 0.5}, all, "", fault.NoVersion, TooPoor},
-		{"request names a model", "qualityTarget: 0.5", Request{Model: "dear", Draw: 0.5}, all, "dear@1", "", NotAsked},
-		{"request names a model that is not allowed", "qualityTarget: 0.5", Request{Model: "other"}, all, "", fault.NotAllowed, NotAsked},
+		{"higher quality target", "qualityTarget: 0.9", Request{Draw: 0.5}, all, "dear@1", "", BelowQualityTarget},
+		{"draw below the roll-out share", "qualityTarget: 0.8", Request{Draw: 0.2}, all, "middle@2", "", BelowQualityTarget},
+		{"cost limit", "qualityTarget: 0.9, maxCost: 5", Request{Draw: 0.5}, all, "", fault.NoVersion, BelowQualityTarget},
+		{"request names a model", "qualityTarget: 0.5", Request{Model: "dear", Draw: 0.5}, all, "dear@1", "", NotRequested},
+		{"request names a model that is not allowed", "qualityTarget: 0.5", Request{Model: "other"}, all, "", fault.NotAllowed, NotRequested},
 		{"session below the quality target", "qualityTarget: 0.9", Request{Model: "cheap", Version: "1", Pinned: true}, all, "cheap@1", "", Chosen},
-		{"session beyond the roll-out share", "qualityTarget: 0.5", Request{Model: "middle", Version: "2", Pinned: true, Draw: 0.9}, all, "middle@2", "", NotInSession},
-		{"version of the session withdrawn", "qualityTarget: 0.5", Request{Model: "dear", Version: "2", Pinned: true}, all, "", fault.VersionWithdrawn, NotInSession},
-		{"pool without endpoints", "qualityTarget: 0.9", Request{Draw: 0.5}, noB, "", fault.NoVersion, TooPoor},
-		{"version that no endpoint has loaded", "qualityTarget: 0.8", Request{Draw: 0.1}, lacks, "middle@1", "", TooPoor},
-		{"latency weight", "qualityTarget: 0.5, weightLatency: 100", Request{Draw: 0.5}, NewView([]Endpoint{endpoint("a1", "a", 9), endpoint("c1", "c", 0)}), "middle@1", "", Dearer},
+		{"session beyond the roll-out share", "qualityTarget: 0.5", Request{Model: "middle", Version: "2", Pinned: true, Draw: 0.9}, all, "middle@2", "", NotSessionVersion},
+		{"version of the session withdrawn", "qualityTarget: 0.5", Request{Model: "dear", Version: "2", Pinned: true}, all, "", fault.VersionWithdrawn, NotSessionVersion},
+		{"pool without endpoints", "qualityTarget: 0.9", Request{Draw: 0.5}, noB, "", fault.NoVersion, BelowQualityTarget},
+		{"version that no endpoint has loaded", "qualityTarget: 0.8", Request{Draw: 0.1}, lacks, "middle@1", "", BelowQualityTarget},
+		{"latency weight", "qualityTarget: 0.5, weightLatency: 100", Request{Draw: 0.5}, NewView([]Endpoint{endpoint("a1", "a", 9), endpoint("c1", "c", 0)}), "middle@1", "", HigherScore},
 	}
 	for _, tt := range tests {
 		var d Decision
@@ -100,9 +100,10 @@
 	}
 }
 
-// TestSame checks that equal inputs give equal decisions, and that a decision
-// never names an endpoint that is unusable, of another pool or to be avoided.
-func TestSame(t *testing.T) {
+// TestDecideDeterministic checks that equal inputs give equal decisions, and that
+// a decision never names an endpoint that is unusable, of another pool or to be
+// avoided.
+func TestDecideDeterministic(t *testing.T) {
 	e := settings(t, "qualityTarget: 0.5")
 	rapid.Check(t, func(t *rapid.T) {
 		var endpoints []Endpoint
@@ -140,10 +141,10 @@
 	})
 }
 
-// TestSpread checks that requests spread about evenly over equally loaded
+// TestPickSpread checks that requests spread about evenly over equally loaded
 // endpoints and that a loaded one gets fewer: it is chosen only if both draws
 // name it, in 1 of 9 cases.
-func TestSpread(t *testing.T) {
+func TestPickSpread(t *testing.T) {
 	v := NewView([]Endpoint{endpoint("1", "p", 0), endpoint("2", "p", 0), endpoint("3", "p", 10)})
 	counts := make([]int, 3)
 	const draws = 30_000
@@ -160,7 +161,7 @@
 // TestNoAllocation checks that a decision does not allocate once its destination
 // has the capacity.
 func TestNoAllocation(t *testing.T) {
-	e, cs, v := large(t, 64, 100)
+	e, cs, v := largeInputs(t, 64, 100)
 	var d Decision
 	req := Request{Draw: 0.5}
 	if got := testing.AllocsPerRun(100, func() { req.Seed++; Decide(&d, e, cs, &req, &v) }); got != 0 {
@@ -168,9 +169,9 @@
 	}
 }
 
-// large returns inputs of Decide with the given numbers of candidates and
+// largeInputs returns inputs of Decide with the given numbers of candidates and
 // endpoints in 8 pools.
-func large(t testing.TB, candidates, endpoints int) (*config.Effective, []config.Candidate, View) {
+func largeInputs(t testing.TB, candidates, endpoints int) (*config.Effective, []config.Candidate, View) {
 	cs := make([]config.Candidate, candidates)
 	for i := range cs {
 		name := fmt.Sprint(i)
@@ -187,7 +188,7 @@
 	for _, candidates := range []int{4, 16, 64} {
 		for _, endpoints := range []int{4, 60, 350, 1400} {
 			b.Run(fmt.Sprintf("candidates=%d/endpoints=%d", candidates, endpoints), func(b *testing.B) {
-				e, cs, v := large(b, candidates, endpoints)
+				e, cs, v := largeInputs(b, candidates, endpoints)
 				var d Decision
 				req := Request{Draw: 0.5}
 				b.ReportAllocs()
--- a/pkg/route/view.go
+++ b/pkg/route/view.go
@@ -23,9 +23,9 @@
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// Sent is the number of requests that this entry has sent to the endpoint
-	// and that have not ended.
-	Sent int `json:"sent"`
+	// InFlight is the number of requests that this entry has sent to the
+	// endpoint and that have not ended.
+	InFlight int `json:"sent"`
 	// Versions lists the versions that the endpoint has loaded, as
 	// model@version. Nil means that it does not report them; it then counts as
 	// having every version.
@@ -54,15 +54,15 @@
 	return v
 }
 
-// farZone is added to the load of an endpoint in another availability zone when
-// two endpoints are compared, in requests per slot.
-const farZone = 0.1
+// crossZoneLoad is added to the load of an endpoint in another availability zone
+// when two endpoints are compared, in requests per slot.
+const crossZoneLoad = 0.1
 
 // load returns the expected wait at an endpoint in requests per slot: 1 means
 // that every slot has one request to run first. The last report may be older
 // than the entry's own last requests, so the larger of the two counts applies.
 func (e *Endpoint) load() float64 {
-	return float64(max(e.Running+e.Queued, e.Sent)) / float64(max(e.Slots, 1))
+	return float64(max(e.Running+e.Queued, e.InFlight)) / float64(max(e.Slots, 1))
 }
 
 // has reports whether the endpoint can run a version, given as model@version. The
@@ -71,9 +71,9 @@
 	return version == "" || e.Versions == nil || slices.Contains(e.Versions, version)
 }
 
-// wait returns the mean load of the usable endpoints of a pool that have a
+// meanLoad returns the mean load of the usable endpoints of a pool that have a
 // version and are not in avoid; ok is false if there are none.
-func (v *View) wait(pool, version string, avoid []int) (mean float64, ok bool) {
+func (v *View) meanLoad(pool, version string, avoid []int) (mean float64, ok bool) {
 	n := 0
 	for _, i := range v.byPool[pool] {
 		if v.usable(i, version, avoid) {
@@ -88,7 +88,7 @@
 }
 
 // pick draws two usable endpoints of the pool at random, with replacement, and
-// returns the index of the one with the lower cost, or -1 if the pool has no
+// returns the index of the one with the lower loadWithZone, or -1 if the pool has no
 // usable endpoint (Mitzenmacher, "The power of two choices in randomized load
 // balancing", 2001).
 func (v *View) pick(pool, version string, req *Request) int {
@@ -102,9 +102,9 @@
 		return -1
 	}
 	rnd := req.Seed
-	a := v.nth(pool, version, req.Avoid, int(mixer.Next(&rnd)%uint64(n)))
-	b := v.nth(pool, version, req.Avoid, int(mixer.Next(&rnd)%uint64(n)))
-	if v.cost(b, req) < v.cost(a, req) {
+	a := v.nthUsable(pool, version, req.Avoid, int(mixer.Next(&rnd)%uint64(n)))
+	b := v.nthUsable(pool, version, req.Avoid, int(mixer.Next(&rnd)%uint64(n)))
+	if v.loadWithZone(b, req) < v.loadWithZone(a, req) {
 		return b
 	}
 	return a
@@ -116,9 +116,9 @@
 	return e.Usable && e.has(version) && !slices.Contains(avoid, i)
 }
 
-// nth returns the index of the n-th usable endpoint of a pool, counted from 0, or
+// nthUsable returns the index of the n-th usable endpoint of a pool, counted from 0, or
 // -1 if there are fewer.
-func (v *View) nth(pool, version string, avoid []int, n int) int {
+func (v *View) nthUsable(pool, version string, avoid []int, n int) int {
 	for _, i := range v.byPool[pool] {
 		if !v.usable(i, version, avoid) {
 			continue
@@ -131,13 +131,13 @@
 	return -1
 }
 
-// cost returns the load of endpoint i, with farZone added if it is in another
-// availability zone than the entry.
-func (v *View) cost(i int, req *Request) float64 {
+// loadWithZone returns the load of endpoint i, with crossZoneLoad added if it is
+// in another availability zone than the entry.
+func (v *View) loadWithZone(i int, req *Request) float64 {
 	e := &v.endpoints[i]
 	c := e.load()
 	if e.AvailabilityZone != req.AvailabilityZone {
-		c += farZone
+		c += crossZoneLoad
 	}
 	return c
 }
--- a/pkg/trail/record_test.go
+++ b/pkg/trail/record_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	for i, r := range out {
-		if got, want := len(r.Settings), len(config.Keys()); got != want {
+		if got, want := len(r.Settings), len(config.SettingSpecs()); got != want {
 			t.Errorf("record %d: got %d settings, want %d", i, got, want)
 		}
 	}
--- a/pkg/tries/tries.go
+++ b/pkg/tries/tries.go
@@ -49,7 +49,7 @@
 	switch {
 	case s.Over || s.Begun && !r.Resumable:
 		return Stop
-	case !err.Kind.Answer().Again || s.Made >= r.MaxAttempts:
+	case !err.Kind.Answer().RetryElsewhere || s.Made >= r.MaxAttempts:
 		return Stop
 	case err.Run != fault.NotRun && !r.mayRepeat():
 		return Stop
