--- a/pkg/config/node.go
+++ b/pkg/config/node.go
@@ -89,8 +89,8 @@
 	return strings.Join(parts, "/")
 }
 
-// PathName returns path as it is shown to operators: the fleet's, which is empty,
-// has a name.
+// PathName returns path as it is shown to operators: "(fleet)" for the empty path,
+// any other as it is.
 func PathName(path string) string {
 	if path == "" {
 		return "(fleet)"
--- a/pkg/fault/kind.go
+++ b/pkg/fault/kind.go
@@ -34,7 +34,7 @@
 	KeyUnsettled     Kind = "keyUnsettled"     // it is not known whether the request of the idempotency key ran
 	KeyInvalid       Kind = "keyInvalid"       // the ticket, an idempotency key issued by an entry, is not valid or has ended
 	AlreadyRan       Kind = "alreadyRan"       // the request ran before, and its answer is not available
-	PlatformDown     Kind = "platformDown"     // the platform did not accept a write that the request depends on
+	PlatformDown     Kind = "platformDown"     // the platform did not serve a read or write that the request depends on
 	StaleSettings    Kind = "staleSettings"    // the settings or API keys are missing or may be out of date
 	Stopping         Kind = "stopping"         // the process or endpoint is stopping
 	EndpointLost     Kind = "endpointLost"     // the connection to the endpoint broke, or the endpoint did not answer
--- a/pkg/route/decide.go
+++ b/pkg/route/decide.go
@@ -14,15 +14,15 @@
 // The closed list of reasons. Chosen and HigherScore are for eligible versions,
 // the others say why a version is not eligible.
 const (
-	Chosen             Reason = "chosen"
-	HigherScore        Reason = "higherScore"
-	NotRequested       Reason = "notAskedFor"
-	NotSessionVersion  Reason = "notTheSessionsVersion"
-	Withdrawn          Reason = "withdrawn"
-	OverMaxCost        Reason = "overMaxCost"
-	BelowQualityTarget Reason = "belowQualityTarget"
-	OverShare          Reason = "overItsShare"
-	NoUsableEndpoint   Reason = "noUsableEndpoint"
+	Chosen             Reason = "chosen"                // the version was chosen
+	HigherScore        Reason = "higherScore"           // the chosen version has a lower score, or the same one and comes first
+	NotRequested       Reason = "notAskedFor"           // the request names another model or version
+	NotSessionVersion  Reason = "notTheSessionsVersion" // the session keeps another version
+	Withdrawn          Reason = "withdrawn"             // the state of the version is withdrawn
+	OverMaxCost        Reason = "overMaxCost"           // the cost exceeds maxCost
+	BelowQualityTarget Reason = "belowQualityTarget"    // the quality is less than qualityTarget
+	OverShare          Reason = "overItsShare"          // the draw of the request is outside the roll-out share
+	NoUsableEndpoint   Reason = "noUsableEndpoint"      // no usable endpoint of the pool has the version
 )
 
 // decidingSetting names the setting that decides for each reason.
