--- a/pkg/duty/doc.go
+++ b/pkg/duty/doc.go
@@ -1,9 +1,18 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package duty decides which one of many routers does what only one at a time may do,
-// without a coordinator: each holds a duty by conditional writes of one stored object, acts
-// for a while after each write, and gives way to another that has not heard of it. The
-// revision of the write that began a holding is its fence: no two writes have the same, and
-// each is higher than those before, also after the object was removed.
+// Package duty elects the one router of many that performs duties which only one router at a
+// time may perform, such as the reports of usage to the platform. There is no coordinator.
+//
+// The holder of the duties is named in a Record, a single object in the store that routers
+// replace by conditional writes. Each write of the holder gives it authority to act for a part
+// of the lease. Another router takes the duties over once it has not heard from the holder for
+// the lease, or soon after the holder has resigned. Routers gossip what they know of the holder.
+//
+// The revision of the write that began a holder's tenure is its fencing token: no two writes have
+// the same revision, and each has a higher one than those before, also after the object was
+// removed from the store.
+//
+// A Machine is the state machine of one router. It reads no clock and does no I/O: the router
+// calls Next, performs the Action, and passes the Outcome to Done.
 package duty
--- a/pkg/duty/machine.go
+++ b/pkg/duty/machine.go
@@ -11,164 +11,178 @@
 	"github.com/traildrift/traildrift/pkg/usage"
 )
 
-// Kind is what a router is to do.
+// Kind is the kind of an Action.
 type Kind string
 
-// The actions. Each is reported with Done before the next one is asked for.
+// The kinds of actions. The router reports the outcome of each with Machine.Done; until then
+// Machine.Next returns Nothing.
 const (
-	// Nothing is to be done.
+	// Nothing means that no action is due.
 	Nothing Kind = ""
-	// Read the stored record.
+	// Read reads the stored record.
 	Read Kind = "read"
-	// Create stores a record where there is none.
+	// Create stores a record if the store holds none.
 	Create Kind = "create"
-	// Write stores a record on the revision that it names.
+	// Write replaces the stored record if it has the revision in Action.Record.
 	Write Kind = "write"
-	// Send sends a report.
+	// Send sends a report to the platform.
 	Send Kind = "send"
 )
 
-// Action is one thing to do.
+// Action is what a router has to do next.
 type Action struct {
 	Kind Kind
-	// Record is what to store, on its Revision.
+	// Record is the record to store, for Create and Write. Its Revision is that of the record to be
+	// replaced.
 	Record Record
-	// Report is what to send, under Fence, before Until: later the call must have ended.
+	// Report is the report to send, with the fencing token Fence, for Send. The call must have ended
+	// at Deadline.
 	Report Report
 	Fence  int64
 	Until  time.Time
-	// At is when the action was asked for.
+	// IssuedAt is when Next returned the action.
 	At time.Time
 }
 
-// Outcome is what became of an action.
+// Outcome is the result of an Action.
 type Outcome string
 
 // The outcomes.
 const (
-	// Done says that it was done.
+	// Done means that the action succeeded.
 	Done Outcome = "done"
-	// Conflict says that the store holds another record than the one that was named.
+	// Conflict means that the store holds a record of another revision, or one at all for Create.
 	Conflict Outcome = "conflict"
-	// Missing says that the store holds none.
+	// Missing means that the store holds no record.
 	Missing Outcome = "missing"
-	// Failed says that it was not done, Unknown that it may have been or may be yet.
+	// Failed means that the action was not performed. Unknown means that it may have been, or may
+	// still be.
 	Failed  Outcome = "failed"
 	Unknown Outcome = "unknown"
-	// Refused says that the platform does not take it from this holder.
+	// Refused means that the platform does not accept a report from this holder.
 	Refused Outcome = "refused"
 )
 
-// View is what a router knows beside the duties.
+// View is the state of a router and its fleet that Machine.Next depends on.
 type View struct {
-	// Rank is how many routers in touch come before this one, the holder left out, and Others
-	// how many there are beside it.
+	// Rank is the number of connected routers that come before this one in the order of takeover,
+	// not counting the holder. Peers is the number of connected routers besides this one.
 	Rank, Others int
-	// Reachable says that the store was heard of lately.
+	// Reachable is set if the store has answered lately.
 	Reachable bool
-	// Ready are the reports that may be settled, in the order of windows.
+	// Ready holds the reports that may be settled, in the order of windows.
 	Ready []Report
-	// Now is the window under way.
+	// Window is the current window.
 	Now usage.Window
 }
 
 const (
-	// actFor is for which part of the lease a holder acts after a write was sent.
+	// authorityFraction is the part of the lease for which a holder may act after it has issued a
+	// write.
 	actFor = 0.5
-	// actLeast is how much of that must be left for a call to begin.
+	// minAuthorityLeft is the authority that must be left for a call to begin.
 	actLeast = config.Span(300 * time.Millisecond)
-	// rankStep is how much longer than the one before in rank a router waits before it takes
-	// the duties over.
+	// takeoverRankDelay is the additional delay per rank before a router takes the duties over.
 	rankStep = config.Span(time.Second)
-	// handStep takes the place of rankStep where the holder has resigned.
+	// resignedRankDelay replaces takeoverRankDelay if the holder has resigned.
 	handStep = config.Span(300 * time.Millisecond)
-	// againFirst and againMost bound the pauses after calls that failed, which double.
+	// initialBackoff and maxBackoff bound the exponential backoff after failed calls.
 	againFirst = config.Span(400 * time.Millisecond)
 	againMost  = config.Span(4 * time.Second)
-	// failuresMost is how many calls in a row may fail before a holder leaves the duties to a
-	// router that may reach what it does not.
+	// maxFailures is the number of consecutive failed calls after which a holder resigns if there
+	// are other routers, which may reach the store or the platform where it cannot.
 	failuresMost = 2
 )
 
-// Machine decides what one router does about the duties. It does no I/O and has no clock.
-// Use New; one goroutine at a time uses it.
+// Machine is the state machine of one router for the duties. It does no I/O and has no clock.
+// Create it with New. It is not safe for concurrent use.
 type Machine struct {
+	// self is the name of the router's VM. incarnation identifies the router's process among those
+	// of the VM. lease is the time within which two VMs must not alternate as the holder.
 	self  string
 	life  uint64
 	lease config.Span
-	// startedAt is when the router began.
+	// startedAt is when the router started, or when the store was last found to hold no record.
 	startedAt time.Time
-	// rec is the newest record that is known; known says that there is one, whole that all
-	// of it is known and not just what words tell.
+	// rec is the newest known record. known is set if there is one; complete is set if it comes
+	// from the store, and not from gossip, which carries only some of its fields.
 	rec          Record
 	known, whole bool
-	// knownAt is when rec's revision became known, heardAt when its holder was heard of last.
+	// knownAt is when rec's revision became known. holderSeenAt is when gossip was last received
+	// from its holder.
 	knownAt, heardAt time.Time
-	// handed says that its holder has resigned.
+	// holderResigned is set if rec's holder has resigned, as its gossip reports.
 	handed bool
-	// actsUntil is when this router, as the holder, must have ended all calls.
+	// authorityEnd is when this router, as the holder, must have ended all calls; zero if it may
+	// make none.
 	actsUntil time.Time
-	// turn is that of its last write, which was asked for at wroteAt; it grows with each.
+	// writeSeq is the sequence number of this router's last write, which was issued at
+	// writeIssuedAt. It grows with each write.
 	turn    int64
 	wroteAt time.Time
-	// others is how many routers were in touch last.
+	// peers is the number of other connected routers at the last call of Next.
 	others int
-	// under says that an action is under way.
+	// inFlight is set while an action is in progress.
 	under bool
-	// notBefore is when the next action may follow one that failed; failures counts these.
+	// notBefore is the earliest time of the next action after a failed one. failures is the number
+	// of consecutive failures.
 	notBefore time.Time
 	failures  int
-	// unsure says that a write may have been done.
+	// writeInDoubt is set if it is not known whether a write was performed, or with which revision.
 	unsure bool
-	// taken holds the windows whose reports the platform took from this router.
+	// accepted holds the windows whose reports the platform has accepted from this router.
 	taken map[usage.Window]bool
-	// removed is the newest revision that the store was found not to hold any more: others may
-	// still tell of it.
+	// removedRevision is the newest revision that the store was found not to hold any more. Gossip
+	// of other routers may still carry it.
 	removed int64
-	// settled is the newest window that anybody said to be settled; it never goes back.
+	// settled is the newest window that the store or gossip reported as settled. It never decreases.
 	settled usage.Window
-	// resignedUntil is until when this router leaves the duties to others; stops says that it
-	// is for good.
+	// resignedUntil is the time until which this router neither holds nor takes over the duties.
+	// stopped is set if that is permanent.
 	resignedUntil time.Time
 	stops         bool
 }
 
-// New returns the machine of a router that begins now. lease is within what time no two
-// holders take turns.
+// New returns the machine of a router that starts now on the VM named vm. incarnation identifies
+// the process among the VM's routers. lease is the time within which two VMs must not alternate as
+// the holder.
 func New(vm string, life uint64, lease config.Span, now time.Time) *Machine {
 	return &Machine{self: vm, life: life, lease: lease, startedAt: now, taken: make(map[usage.Window]bool)}
 }
 
-// mine reports whether this life of the router is the holder by what is known.
+// mine reports whether this incarnation of the router is the holder, according to the newest known
+// record.
 func (m *Machine) mine() bool { return m.known && m.rec.Holder == m.self && m.rec.Life == m.life }
 
-// resigned reports whether this router leaves the duties to others.
+// resigned reports whether this router has resigned or stopped.
 func (m *Machine) resigned(now time.Time) bool { return m.stops || now.Before(m.resignedUntil) }
 
-// Holds reports whether this router is the holder.
+// Holds reports whether this router is the holder, by a record read from the store, and has not
+// resigned.
 func (m *Machine) Holds(now time.Time) bool { return m.mine() && m.whole && !m.resigned(now) }
 
-// Settled returns the newest window that is known to be settled.
+// Settled returns the newest window that is known to be settled: its counts are final.
 func (m *Machine) Settled() usage.Window { return m.settled }
 
-// Record returns the newest record that is known.
+// Record returns the newest known record. It has only the fields that gossip carries if it was not
+// read from the store.
 func (m *Machine) Record() (r Record, known bool) { return m.rec, m.known }
 
-// Word returns what to tell other routers.
+// Gossip returns the message to send to other routers.
 func (m *Machine) Word(now time.Time) Word {
 	w := Word{Settled: m.settled}
 	if m.known {
 		w.Holder, w.Life, w.Revision = m.rec.Holder, m.rec.Life, m.rec.Revision
 		w.Resigned = m.handed
 		if m.mine() {
-			// A call that is under way may still come.
+			// A call in progress may still reach the platform.
 			w.Resigned = m.resigned(now) && !m.under
 		}
 	}
 	return w
 }
 
-// Heard takes over the word of another router.
+// ReceiveGossip merges a message received from the router of the VM named from.
 func (m *Machine) Heard(now time.Time, from string, w Word) {
 	m.settled = max(m.settled, w.Settled)
 	if w.Holder == "" || w.Revision <= m.removed {
@@ -186,10 +200,11 @@
 	}
 }
 
-// Stop makes the router leave the duties to others for good.
+// Stop resigns the duties permanently.
 func (m *Machine) Stop() { m.stops = true }
 
-// Next returns what to do now.
+// Next returns the action to perform now. It returns Nothing while an action is in progress or a
+// backoff lasts.
 func (m *Machine) Next(now time.Time, v View) Action {
 	if m.under || now.Before(m.notBefore) {
 		return Action{}
@@ -215,11 +230,11 @@
 	return a
 }
 
-// hold returns what a holder does: it sends what is settled while its last write allows that,
-// and writes before.
+// hold returns the action of a holder: it sends the unsent reports while its last write gives it
+// authority, and otherwise writes the record to gain authority.
 func (m *Machine) hold(now time.Time, v View) Action {
 	if m.rec.Fresh && now.Before(m.authority(m.knownAt)) {
-		// The holder by a record that somebody removed may still act.
+		// The holder named in a removed record may still have authority.
 		return Action{}
 	}
 	unsent := m.unsent()
@@ -232,12 +247,12 @@
 	return Action{}
 }
 
-// authority returns until when a holder acts by a write that was asked for at a time.
+// authority returns the end of the authority that a write issued at a time gives.
 func (m *Machine) authority(at time.Time) time.Time {
 	return at.Add(time.Duration(actFor * float64(m.lease)))
 }
 
-// unsent returns the first stored report that the platform has not taken; nil if there is none.
+// unsent returns the first stored report that the platform has not accepted; nil if there is none.
 func (m *Machine) unsent() *Report {
 	for i := range m.rec.Unsent {
 		if !m.taken[m.rec.Unsent[i].Window] {
@@ -247,10 +262,11 @@
 	return nil
 }
 
+// sent reports whether the platform has accepted this router's report of a window.
 func (m *Machine) sent(w usage.Window) bool { return m.taken[w] }
 
-// seek returns what a router does that is not the holder: it takes the duties over where
-// nothing was heard of the holder for long enough.
+// seek returns the action of a router that is not the holder: it takes the duties over if there is
+// no record, or if nothing was received from the holder for long enough.
 func (m *Machine) seek(now time.Time, v View) Action {
 	rank := time.Duration(v.Rank)
 	if !m.known {
@@ -268,19 +284,19 @@
 	return Action{Kind: Write, Record: m.rec.taken(m.self, m.life, v.Now)}
 }
 
-// takeAt returns when this router, which so many come before, may take the duties over. The
-// holder's calls end at half the lease after the write that its revision is of, so that none
-// of them comes after the lease; one that has resigned makes none. A VM that held them before
-// waits for the lease in any case, so that two don't take turns within it.
+// takeAt returns when this router, of the given rank, may take the duties over. The holder's calls
+// end half a lease after the write that gave rec its revision, so that none of them arrives after
+// the lease; a holder that has resigned makes none. A VM that held the duties before waits for
+// the lease in any case, so that two VMs do not alternate within it.
 func (m *Machine) takeAt(rank time.Duration) time.Time {
 	switch {
 	case m.rec.Holder == m.self:
-		// An earlier life of this VM, or this one before it resigned.
+		// The holder is an earlier incarnation of this router, or this one before it resigned.
 		return m.knownAt
 	case m.handed && !slices.Contains(m.rec.Past, m.self):
 		return m.knownAt.Add(rank * time.Duration(handStep))
 	default:
-		// Word of the holder comes no earlier than that of its record.
+		// holderSeenAt is never before knownAt.
 		last := m.heardAt
 		if m.handed {
 			last = m.knownAt
@@ -289,8 +305,8 @@
 	}
 }
 
-// Done takes over what became of an action; r is the record that the store then held, where
-// it told one.
+// Done records the outcome of an action that Next returned. r is the record that the store
+// returned; it is used after Done and Conflict, except for a Create that succeeded.
 func (m *Machine) Done(now time.Time, a Action, o Outcome, r Record) {
 	m.under = false
 	if a.Kind == Send {
@@ -301,7 +317,7 @@
 	case Done, Conflict:
 		m.failures, m.unsure = 0, false
 		if a.Kind == Create && o == Done {
-			// The store does not tell the revision.
+			// The store does not return the revision of a created object: read it.
 			m.unsure = true
 			return
 		}
@@ -315,7 +331,7 @@
 	}
 }
 
-// sentDone takes over what became of a report.
+// sentDone records the outcome of sending a report.
 func (m *Machine) sentDone(now time.Time, a Action, o Outcome) {
 	switch o {
 	case Done:
@@ -328,7 +344,7 @@
 	}
 }
 
-// adopt takes over a record that the store holds.
+// adopt replaces the known record by one that the store returned.
 func (m *Machine) adopt(now time.Time, r Record) {
 	if !m.known || r.Revision != m.rec.Revision {
 		m.knownAt, m.heardAt, m.handed = now, now, false
@@ -338,8 +354,8 @@
 	m.rec.Settled = m.settled
 	m.actsUntil = time.Time{}
 	if m.mine() && r.Turn == m.turn {
-		// Read back or conflicted with, the write may have been done long ago, but not before
-		// it was asked for.
+		// If the record comes from a read or a conflict, the write may have been performed long
+		// ago, but not before it was issued.
 		m.actsUntil = m.authority(m.wroteAt)
 	}
 	for w := range m.taken {
@@ -349,14 +365,15 @@
 	}
 }
 
-// forget notes that the store holds no record: the next one is made as at a start.
+// forget records that the store holds no record: the next one is created as after a start.
 func (m *Machine) forget(now time.Time) {
 	m.removed = max(m.removed, m.rec.Revision)
 	m.rec, m.known, m.whole, m.handed = Record{}, false, false, false
 	m.actsUntil, m.startedAt = time.Time{}, now
 }
 
-// fail notes a call that failed.
+// fail records a failed call: it starts the backoff, and resigns after maxFailures if this router
+// is the holder and there are others.
 func (m *Machine) fail(now time.Time) {
 	pause := min(againFirst<<min(m.failures, 8), againMost)
 	m.notBefore = pause.After(now)
@@ -366,7 +383,7 @@
 	}
 }
 
-// resign leaves the duties to others for a while.
+// resign leaves the duties to other routers for two leases.
 func (m *Machine) resign(now time.Time) {
 	m.resignedUntil = (2 * m.lease).After(now)
 	m.actsUntil, m.failures = time.Time{}, 0
--- a/pkg/duty/machine_test.go
+++ b/pkg/duty/machine_test.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// leaseOf and thawOf are the users' bounds: within the lease no two holders take turns, and
-	// what a VM sends within thawOf of its thaw is not counted.
+	// testLease and thawGrace come from the requirements: two VMs must not alternate as the holder
+	// within the lease, and calls of a VM within thawGrace of its thaw are exempt.
 	leaseOf = 3 * time.Second
 	thawOf  = 300 * time.Millisecond
-	// doneWithin is within what time after a window, in calm times, its report has to be there.
+	// reportDue is the time after the end of a window within which its report must arrive if there
+	// are no faults.
 	doneWithin = 10 * time.Second
 	windowOf   = 5 * time.Second
 	tick       = 50 * time.Millisecond
 )
 
-// shelf is a store with one object.
+// fakeStore is a store with one object.
 type shelf struct {
 	rec      Record
 	there    bool
 	revision int64
 }
 
-// put stores a record if its condition holds.
+// put performs a Create or Write if its condition holds.
 func (s *shelf) put(a Action) (Outcome, Record) {
 	switch {
 	case a.Kind == Create && s.there:
@@ -59,35 +60,40 @@
 	return Done, s.rec
 }
 
-// act is a call as the platform saw it.
+// platformCall is a report as the platform received it.
 type act struct {
 	at     time.Time
 	vm     string
 	fence  int64
 	report Report
-	// thawed says that its sender was thawed just before.
+	// thawed is set if the VM of the sender was thawed within thawGrace before, or at that moment.
 	thawed bool
 }
 
-// actor is one VM with its router.
+// simRouter is one VM with its router.
 type actor struct {
-	vm        string
-	m         *Machine
-	lives     uint64
-	rank      int
-	frozen    time.Time
-	thawedAt  time.Time
+	vm string
+	m  *Machine
+	// lives is the number of starts of the router.
+	lives uint64
+	rank  int
+	// frozen is when the VM's current or last freeze ends, and thawedAt when the last one ended or
+	// will end.
+	frozen   time.Time
+	thawedAt time.Time
+	// cut is when the router can exchange gossip again, dark when it can reach the store again,
+	// and down when it runs again.
 	cut, dark time.Time
 	down      time.Time
 }
 
-// event is something that happens later.
+// event is a function to be called at a time.
 type event struct {
 	at time.Time
 	do func(now time.Time)
 }
 
-// world plays routers, a store and the platform under drawn faults.
+// simulation runs routers, a store and the platform under random faults.
 type world struct {
 	rnd    *rand.Rand
 	now    time.Time
@@ -96,7 +102,7 @@
 	events []event
 	acts   []act
 	calm   bool
-	// storeDown is until when the store answers nothing.
+	// storeDown is the time until which the store does not answer.
 	storeDown time.Time
 }
 
@@ -114,8 +120,8 @@
 	return usage.Clock{Length: config.Span(windowOf)}.At(w.now)
 }
 
-// ready returns the reports that a router would settle, whose counts differ between routers:
-// each has heard of others.
+// ready returns the reports that a router would settle. The counts differ between routers, as each
+// has received other reports.
 func (w *world) ready(a *actor) (list []Report) {
 	if !a.m.Holds(w.now) {
 		return nil
@@ -126,7 +132,7 @@
 	return list
 }
 
-// step lets an actor do what it wants to do.
+// step performs the next action of a router.
 func (w *world) step(a *actor) {
 	if w.now.Before(a.frozen) || w.now.Before(a.down) {
 		return
@@ -152,7 +158,7 @@
 	}
 }
 
-// stored carries out a call to the store, whose answer may be lost.
+// stored performs a call to the store. The response may be lost.
 func (w *world) stored(action Action) (Outcome, Record) {
 	o, r := w.store.read()
 	if action.Kind != Read {
@@ -164,8 +170,8 @@
 	return o, r
 }
 
-// ending returns what tells the machine of an action's end, once its VM runs, unless its router
-// has ended since.
+// ending returns a function that reports the outcome of an action to the machine as soon as its VM
+// is not frozen, unless the router has been restarted since.
 func (w *world) ending(a *actor, action Action) (end func(o Outcome, r Record) func(now time.Time)) {
 	life, m := a.lives, a.m
 	return func(o Outcome, r Record) func(now time.Time) {
@@ -181,7 +187,7 @@
 	}
 }
 
-// send carries a report to the platform: it arrives before its time is over, or never.
+// send sends a report to the platform. It arrives before the action's deadline, or never.
 func (w *world) send(a *actor, action Action, out, back time.Duration, end func(Outcome, Record) func(time.Time)) {
 	if w.chance(0.3) {
 		out = w.upTo(action.Until.Sub(w.now))
@@ -199,7 +205,7 @@
 	})
 }
 
-// words lets the routers hear of one another.
+// exchangeGossip sends the gossip of each router to all others that it can reach.
 func (w *world) words() {
 	for _, from := range w.actors {
 		for _, to := range w.actors {
@@ -215,7 +221,7 @@
 	}
 }
 
-// trouble draws what happens to the routers and to the store.
+// injectFaults draws faults of the routers and of the store.
 func (w *world) trouble() {
 	for _, a := range w.actors {
 		switch {
@@ -242,14 +248,14 @@
 	}
 }
 
-// restart kills an actor's router and starts it again.
+// restart kills a router and starts it again within 2 s.
 func (w *world) restart(a *actor) {
 	a.lives++
 	a.down = w.now.Add(w.upTo(2 * time.Second))
 	a.m = New(a.vm, w.rnd.Uint64(), config.Span(leaseOf), a.down)
 }
 
-// play lets time pass.
+// run advances the simulation by d, in steps of tick.
 func (w *world) play(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tick) {
 		for done := false; !done; {
@@ -271,7 +277,9 @@
 	}
 }
 
-// check holds what the platform saw against the users' rules.
+// check verifies the calls that the platform received against the requirements: one VM for each
+// fence, no decrease of fences, one set of counts for each window, and no alternation of holders
+// within the lease.
 func (w *world) check(t *testing.T) {
 	holders, counts := make(map[int64]string), make(map[usage.Window]usage.Counts)
 	highest := int64(0)
@@ -286,7 +294,7 @@
 		}
 		highest = max(highest, a.fence)
 		if had, ok := counts[a.report.Window]; ok && !maps.Equal(had, a.report.Counts) {
-			t.Errorf("window %d: got counts %v and %v, want the same ones", a.report.Window, had, a.report.Counts)
+			t.Errorf("window %d: got counts %v and %v, want one set of counts", a.report.Window, had, a.report.Counts)
 		}
 		counts[a.report.Window] = a.report.Counts
 		for j := i - 1; j >= 0 && a.at.Sub(w.acts[j].at) < leaseOf; j-- {
@@ -297,7 +305,8 @@
 	}
 }
 
-// checkTurns reports a holder that acted before and after another one within the lease.
+// checkTurns reports an error if a VM acted before and after another one within the lease. last and
+// middle are the indexes of the VM's last call and of the other VM's.
 func (w *world) checkTurns(t *testing.T, last, middle int) {
 	a := w.acts[last]
 	for j := middle - 1; j >= 0 && a.at.Sub(w.acts[j].at) < leaseOf; j-- {
@@ -317,17 +326,18 @@
 	return w
 }
 
-// seedsKept showed faults: a record that somebody removed while its holder could still act (697),
-// and mutants of the machine.
+// regressionSeeds exposed faults before: a record that was removed while its holder still had
+// authority (697), and mutants of the machine.
 var seedsKept = []uint64{399, 599, 697}
 
-// Whatever happens to routers and store, one VM acts under a fence, fences never fall, no two
-// holders take turns within the lease, and a window is reported with one set of counts; once it
-// is calm again each window is reported in time.
+// Under any faults of routers and store, one VM acts under each fence, fences never decrease, no
+// two holders alternate within the lease, and a window is reported with one set of counts. Once
+// there are no more faults, each window is reported in time.
 //
-// Shown to fail: without the lease before a holder is replaced, with authority for longer than
-// the lease, with word of a removed record believed, with a fence that is not the revision, and
-// where a VM that held the duties before takes them back from one that has resigned.
+// The test fails with each of these mutations: a holder is replaced before the lease has passed,
+// authority lasts longer than the lease, gossip of a removed record is accepted, the fence is not
+// the revision, and a VM that held the duties before takes them back at once from one that has
+// resigned.
 func TestOneHolderAtATime(t *testing.T) {
 	for i := range uint64(300 + len(seedsKept)) {
 		seed := i
@@ -360,8 +370,8 @@
 	}
 }
 
-// A VM that held the duties waits for the lease before it takes them back, also from one that has
-// resigned; one that did not hold them takes them at once.
+// A VM that held the duties before waits for the lease before it takes them back, even from a
+// holder that has resigned. A VM that did not hold them takes them over at once.
 func TestNoTurnsWithinTheLease(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	for _, c := range []struct {
--- a/pkg/duty/record.go
+++ b/pkg/duty/record.go
@@ -9,42 +9,51 @@
 	"github.com/traildrift/traildrift/pkg/usage"
 )
 
-// Report is the usage of a window as it is sent. Once it is stored it does not change.
+// Report is the usage of all workspaces in a window, as the holder sends it to the platform. It
+// does not change once it is stored.
 type Report struct {
 	Window usage.Window `json:"window"`
+	// Counts are the requests by workspace.
 	Counts usage.Counts `json:"counts"`
 }
 
-// Record is what the store holds of the duties.
+// Record is the stored state of the duties. Only the holder, and a router that takes the duties
+// over, writes it.
 type Record struct {
-	// Holder is the VM that holds them, Life names the life of its router.
+	// Holder is the name of the VM that holds the duties. Incarnation identifies its router's
+	// process.
 	Holder string `json:"holder"`
 	Life   uint64 `json:"life,string"`
-	// Fence is that of the holding; 0 in the write that began it, whose revision it is.
+	// Fence is the fencing token of the holder's tenure. It is 0 in the write that began the
+	// tenure, as the token is the revision of that write; see EffectiveFence.
 	Fence int64 `json:"fence"`
-	// Turn numbers the writes of the holder's life, so that it knows each for its own.
+	// WriteSeq numbers the writes of the holder's incarnation, by which it recognises its own.
 	Turn int64 `json:"turn"`
-	// Past are the VMs that held the duties before, the latest first.
+	// PastHolders are the names of the VMs that held the duties before, the latest first, at most
+	// maxPastHolders.
 	Past []string `json:"past,omitempty"`
-	// Settled is the newest window whose counts are settled; it never goes back.
+	// Settled is the newest window whose counts are settled, that is, final. It never decreases.
 	Settled usage.Window `json:"settled"`
-	// Fresh says that the record was made where there was none and not written since: what an
-	// earlier one held is not known.
+	// Fresh is set if the record was created where there was none and not written since: it is not
+	// known whether there was an earlier record, and what it contained.
 	Fresh bool `json:"fresh,omitempty"`
-	// Unsent are the settled reports that the platform may not have taken yet, in order.
+	// Unsent are the settled reports that the platform may not have accepted yet, in the order of
+	// windows, at most maxUnsent.
 	Unsent []Report `json:"unsent,omitempty"`
-	// Revision is that of the object; the store gives it.
+	// Revision is the revision of the stored object, assigned by the store.
 	Revision int64 `json:"-"`
 }
 
 const (
-	// pastMost is how many earlier holders are kept.
+	// maxPastHolders is the number of earlier holders that are stored.
 	pastMost = 8
-	// unsentMost bounds the reports that are kept while the platform takes none.
+	// maxUnsent bounds the reports that are stored while the platform accepts none. The oldest are
+	// dropped.
 	unsentMost = 16
 )
 
-// HeldUnder returns the fence of the holding that a stored record tells of.
+// EffectiveFence returns the fencing token of the current tenure of a stored record: Fence, or
+// Revision if the record began the tenure.
 func (r *Record) HeldUnder() int64 {
 	if r.Fence != 0 {
 		return r.Fence
@@ -52,8 +61,8 @@
 	return r.Revision
 }
 
-// begun returns the record that is written next in the window now. Before one that is fresh,
-// another may have stood, whose holder settled the windows until then.
+// begun returns the base of the record that replaces r in the window now. If r is fresh, there may
+// have been an earlier record, whose holder settled the windows before now.
 func (r *Record) begun(now usage.Window) Record {
 	next := *r
 	if r.Fresh {
@@ -62,8 +71,8 @@
 	return next
 }
 
-// taken returns the record with which another router, of the same VM or another one, takes
-// the duties over in the window now.
+// taken returns the record with which a router, of the same VM or another one, takes the duties
+// over in the window now.
 func (r *Record) taken(vm string, life uint64, now usage.Window) Record {
 	next := r.begun(now)
 	next.Holder, next.Life, next.Fence = vm, life, 0
@@ -75,8 +84,8 @@
 	return next
 }
 
-// renewed returns the record with which the holder goes on: with what is settled since, and
-// without what the platform has taken.
+// renewed returns the record with which the holder continues in the window now: it adds the newly
+// settled reports, and drops those that the platform has accepted, as sent returns.
 func (r *Record) renewed(settled []Report, sent func(usage.Window) bool, now usage.Window) Record {
 	next := r.begun(now)
 	next.Fence = r.HeldUnder()
@@ -92,15 +101,17 @@
 	return next
 }
 
-// Word is what routers tell one another of the duties.
+// Gossip is the message by which routers tell one another the newest record and window they know.
 type Word struct {
-	// Holder is the VM that holds them, and Life names the life of its router; empty and 0 if
-	// none is known.
+	// Holder is the name of the VM that holds the duties, and Incarnation identifies its router's
+	// process; empty and 0 if none is known.
 	Holder string
 	Life   uint64
-	// Revision is that of the record that tells so, and Settled the newest window settled.
+	// Revision is the revision of the record that names the holder. Settled is the newest window
+	// that the sender knows to be settled.
 	Revision int64
 	Settled  usage.Window
-	// Resigned says that the holder does nothing more until it has taken the duties again.
+	// Resigned is set if the holder has resigned: it makes no call until it has taken the duties
+	// over again.
 	Resigned bool
 }
--- a/pkg/poison/book.go
+++ b/pkg/poison/book.go
@@ -9,61 +9,65 @@
 	"time"
 )
 
-// Book is what one process knows of requests and the crashes of endpoints. Use NewBook.
+// Detector holds the suspects and verdicts that one process knows, with the crashes behind them.
+// Create it with NewDetector. It is not safe for concurrent use.
 type Book struct {
-	// Held is called when a suspect is found to be held: others were at its crashes, which keep
-	// it from being quarantined. Set it before the first crash; nil tells nobody.
+	// OnHeld is called by Judge when a suspect becomes held: it would be quarantined, but other
+	// suspects were at its crashes. crashes is the number of crashes under it. Set it before the
+	// first crash; it may be nil.
 	Held     func(p Fingerprint, crashes int)
 	suspects map[Fingerprint]*suspect
 	records  map[Fingerprint]*record
-	// causes holds the requests under whose verdicts the crashes of an endpoint are, by its
-	// hash.
+	// causes indexes the records by endpoint: for the hash of an endpoint it holds the requests
+	// whose verdicts list a crash of it.
 	causes map[uint64][]Fingerprint
-	// recent holds the crashes that word of came, whatever ran there; at most recentMost.
+	// recent holds the crashes that were observed or reported, under whatever requests, in the
+	// order of arrival; at most maxRecentCrashes.
 	recent []sighting
-	// pending holds the suspects that are to be judged, and from when on: later crashes don't
-	// put that off.
+	// pending holds for each suspect to be judged the time from which it is due. Later crashes do
+	// not postpone it.
 	pending map[Fingerprint]time.Time
 }
 
-// record is a verdict with what this process did about it.
+// record is a verdict with this process's own state of it.
 type record struct {
 	Verdict
-	// changedAt is when it came or changed here, and triedAt when the request was let
-	// through last, after its time.
+	// changedAt is when the verdict was received or changed here. triedAt is when the request was
+	// last let through after Until.
 	changedAt, triedAt time.Time
-	// stored is the round that the store holds; 0 for none.
+	// storedRound is the round of the verdict that the store holds; 0 if it holds none.
 	stored int
 }
 
 const (
-	// suspectFor is how long crashes under a request are remembered beyond the last of them.
+	// suspectTTL is how long a suspect is stored after its latest crash.
 	suspectFor = 10 * time.Minute
-	// suspectsMost and recordsMost bound the memory; the oldest make room. Suspects of two
-	// crashes each take 0.9 MB, records of three 0.5 MB and of crashesKept 5.5 MB.
+	// maxSuspects and maxRecords bound the memory; the oldest entry is evicted. Full, the suspects
+	// take 0.9 MB with two crashes each, and the records 0.5 MB with three crashes each and 5.5 MB
+	// with maxCrashesPerRequest.
 	suspectsMost = 4096
 	recordsMost  = 1024
-	// recentMost bounds the crashes that are told apart from one another. They are kept as long as
-	// suspects, whose older crashes would else seem to have come alone.
+	// maxRecentCrashes bounds the recent crashes. They are stored for suspectTTL, as long as
+	// suspects: the older crashes of a suspect would otherwise seem to have come alone.
 	recentMost = 256
-	// tryEvery is how often a request is let through by one process once its time is over:
-	// it crashes its endpoint and all processes know of it sooner.
+	// retryInterval is the interval at which one process lets a request through after Until. If
+	// it crashes its endpoint, all processes know of that sooner.
 	tryEvery = 5 * time.Second
-	// tryStep is how much later the next process in rank lets it through.
+	// retryRankDelay is the additional delay per rank before a process lets a request through.
 	tryStep = 2 * time.Second
-	// freshFor is how long a change is told again and again.
+	// gossipWindow is how long a changed verdict is sent to other processes repeatedly.
 	freshFor = 10 * time.Second
 )
 
-// NewBook returns an empty book.
+// NewDetector returns a Detector that knows of no requests.
 func NewBook() *Book {
 	return &Book{suspects: make(map[Fingerprint]*suspect), records: make(map[Fingerprint]*record), causes: make(map[uint64][]Fingerprint), pending: make(map[Fingerprint]time.Time)}
 }
 
-// Empty reports whether nothing is known of any request.
+// Empty reports whether there are neither suspects nor verdicts.
 func (b *Book) Empty() bool { return len(b.suspects) == 0 && len(b.records) == 0 }
 
-// Counts returns how many requests are suspected and how many are quarantined.
+// Counts returns the numbers of suspects and of quarantined requests.
 func (b *Book) Counts() (suspects, quarantined int) {
 	for _, r := range b.records {
 		if r.InForce() {
@@ -73,7 +77,8 @@
 	return len(b.suspects), quarantined
 }
 
-// Crashes returns how many endpoints crashed under a request that is not quarantined.
+// Crashes returns the number of crashes under a suspect; 0 for a request that is not suspected,
+// also if it is quarantined.
 func (b *Book) Crashes(p Fingerprint) int {
 	if s := b.suspects[p]; s != nil {
 		return len(s.crashes)
@@ -81,14 +86,14 @@
 	return 0
 }
 
-// EnoughWith reports whether a request under which endpoints crashed is to be judged if so many more
-// have.
+// ReachesThreshold reports whether a suspect would be judged if so many more endpoints had crashed
+// under it.
 func (b *Book) EnoughWith(p Fingerprint, more int) bool {
 	n := b.Crashes(p)
 	return n > 0 && more > 0 && n+more >= crashesLeast
 }
 
-// Round returns the round of what is held of a request; 0 for nothing.
+// Round returns the round of the verdict on a request; 0 if there is none.
 func (b *Book) Round(p Fingerprint) int {
 	if r := b.records[p]; r != nil {
 		return r.Round
@@ -96,9 +101,10 @@
 	return 0
 }
 
-// Crashed notes that an endpoint crashed under a request that had been there for so long; own says
-// that this process saw it itself. It returns the verdicts that are new or changed by that at
-// once; pending says that Judge is to follow.
+// RecordCrash records that an endpoint, given by its hash, crashed under a request that had been
+// there for age. own is set if this process observed the crash itself. It returns the verdicts
+// that are new or changed immediately; pending reports whether Judge has to be called once
+// SettleDelay has passed.
 func (b *Book) Crashed(now time.Time, p Fingerprint, endpoint uint64, age time.Duration, own bool) (changed []Verdict, pending bool) {
 	e := Crash{endpoint, now}
 	b.notice(e, own)
@@ -115,8 +121,8 @@
 	return nil, b.suspect(now, p, e, age)
 }
 
-// suspect notes a crash under a request that is not quarantined, and reports whether it is to be
-// judged for that.
+// suspect records a crash under a request that is not quarantined, and reports whether the request
+// is to be judged.
 func (b *Book) suspect(now time.Time, p Fingerprint, e Crash, age time.Duration) (pending bool) {
 	s := b.suspectOf(p)
 	if !s.add(e, age) || len(s.crashes) < crashesLeast {
@@ -128,7 +134,8 @@
 	return true
 }
 
-// suspectOf returns what is known of a suspect, for which room is made if it is new.
+// suspectOf returns the suspect for a request. It adds one if there is none, and evicts the one
+// with the oldest latest crash if there are maxSuspects.
 func (b *Book) suspectOf(p Fingerprint) *suspect {
 	s := b.suspects[p]
 	if s == nil {
@@ -141,13 +148,14 @@
 	return s
 }
 
-// JudgedAt returns when a request is to be judged; ok is false if it is not.
+// JudgeDueAt returns the time from which Judge decides on a request; ok is false if no judgement
+// is pending.
 func (b *Book) JudgedAt(p Fingerprint) (at time.Time, ok bool) {
 	at, ok = b.pending[p]
 	return at, ok
 }
 
-// notice keeps a crash among the recent ones.
+// notice adds a crash to the recent ones, unless it is a duplicate.
 func (b *Book) notice(e Crash, own bool) {
 	for i := range b.recent {
 		if r := &b.recent[i]; r.same(e) {
@@ -161,15 +169,16 @@
 	b.recent = append(b.recent, sighting{e, own})
 }
 
-// Whole notes that an endpoint answered a request whole, which proves that it does not crash
-// what runs it. It returns the verdict that is lifted by that; nil for none.
+// RecordSuccess records that an endpoint answered a request completely, which proves that the
+// request does not crash what runs it. The request is no longer suspected. It returns the verdict
+// if this lifts a quarantine, else nil.
 func (b *Book) Whole(now time.Time, p Fingerprint) *Verdict {
 	delete(b.suspects, p)
 	return b.Lift(now, p)
 }
 
-// Lift ends the quarantine of a request, as if nothing had crashed under it, and returns the
-// lifted verdict; nil if it was in none.
+// Lift ends the quarantine of a request and drops its crashes. It returns the lifted verdict, or
+// nil if the request was not quarantined.
 func (b *Book) Lift(now time.Time, p Fingerprint) *Verdict {
 	r := b.records[p]
 	if r == nil || !r.InForce() {
@@ -181,7 +190,8 @@
 	return &v
 }
 
-// keep takes a verdict for the one that holds.
+// keep replaces the verdict on a request. It evicts the record with the earliest Until if there
+// are maxRecords.
 func (b *Book) keep(now time.Time, v Verdict) {
 	r := b.records[v.Fingerprint]
 	if r == nil {
@@ -196,7 +206,7 @@
 	b.link(v.Fingerprint, v.Crashes)
 }
 
-// grow adds crashes to a record, and reports whether there were any that it lacked.
+// grow adds crashes to a record, and reports whether any of them was new.
 func (b *Book) grow(now time.Time, r *record, crashes ...Crash) (grown bool) {
 	known := len(r.Crashes)
 	if r.Crashes, grown = join(r.Crashes, crashes...); grown {
@@ -206,13 +216,14 @@
 	return grown
 }
 
-// link notes what the crashes of a verdict came from, unlink takes that back.
+// link adds the crashes of a verdict to the index by endpoint.
 func (b *Book) link(p Fingerprint, crashes []Crash) {
 	for _, e := range crashes {
 		b.causes[e.Endpoint] = append(b.causes[e.Endpoint], p)
 	}
 }
 
+// unlink removes the crashes of a record from the index by endpoint.
 func (b *Book) unlink(r *record) {
 	for _, e := range r.Crashes {
 		list := slices.DeleteFunc(b.causes[e.Endpoint], func(p Fingerprint) bool { return p == r.Fingerprint })
@@ -222,14 +233,16 @@
 	}
 }
 
-// forget drops what is held of a request.
+// forget deletes the record of a request, which must exist.
 func (b *Book) forget(p Fingerprint) {
 	b.unlink(b.records[p])
 	delete(b.records, p)
 }
 
-// Learn takes over what another process or the store holds, and reports whether that is a new
-// verdict. Until is bounded by how long a verdict of its round may last.
+// Merge merges a verdict that was received from another process or read from the store, and
+// reports whether that changed the verdict held here. Until is limited to how long a verdict of
+// its round may last from now. A verdict of round 0 is a suspicion: its crashes are added, and
+// Merge returns false.
 func (b *Book) Learn(now time.Time, v Verdict) bool {
 	if v.Round <= 0 {
 		b.recall(v)
@@ -252,10 +265,11 @@
 	return true
 }
 
-// Refuses returns the verdict for which a request is not to be sent now; nil if it may be.
-// Once its time is over the process of rank 0 lets one through in each tryEvery, and those
-// of further ranks later: the first that crashes its endpoint renews the verdict for all. rank
-// returns this process's rank for a request.
+// Refuses returns the verdict because of which a request must not be sent now, or nil if it may be
+// sent. After Until the process of rank 0 lets one request through per retryInterval, and those of
+// higher ranks start later: the first request that crashes its endpoint renews the verdict for all
+// processes. Each nil for a quarantined request counts as a retry. rank returns this process's
+// rank for a request.
 func (b *Book) Refuses(now time.Time, p Fingerprint, rank func(p Fingerprint) int) *Verdict {
 	r := b.records[p]
 	if r == nil || !r.InForce() {
@@ -268,8 +282,8 @@
 	return nil
 }
 
-// Fresh returns the verdicts that other processes may not know yet, the latest first: those
-// that changed lately, and those that the store lacks.
+// RecentChanges returns at most so many verdicts that other processes may not know yet, the latest
+// change first: those that changed within gossipWindow, and quarantines that the store lacks.
 func (b *Book) Fresh(now time.Time, most int) []Verdict {
 	var list []*record
 	for _, r := range b.records {
@@ -285,9 +299,9 @@
 	return fresh
 }
 
-// Unstored returns a verdict that the store lacks, or holds though it was lifted; nil for none.
-// rank returns this process's rank for a request: those of further ranks wait, so that one
-// writes.
+// Unstored returns a quarantine that the store lacks, or a lifted verdict that it still holds; nil
+// if there is none. rank returns this process's rank for a request: a process waits for step per
+// rank after a change, so that only one writes.
 func (b *Book) Unstored(now time.Time, step time.Duration, rank func(p Fingerprint) int) *Verdict {
 	for _, r := range b.records {
 		due := r.InForce() && r.stored != r.Round || !r.InForce() && r.stored > 0
@@ -299,16 +313,17 @@
 	return nil
 }
 
-// Stored notes the round of a request's verdict that the store holds; 0 for none.
+// SetStoredRound records the round of the verdict on a request that the store holds; 0 if it holds
+// none.
 func (b *Book) Stored(p Fingerprint, round int) {
 	if r := b.records[p]; r != nil {
 		r.stored = round
 	}
 }
 
-// Removed notes that the store holds no verdict of a request any more, as an operator or
-// another process has removed it, and returns the verdict that is lifted by that; nil for
-// none. One that was never stored, or was renewed since, stays.
+// RecordRemoval records that the store holds no verdict on a request any more, as an operator or
+// another process has removed it. It returns the verdict if this lifts a quarantine, else nil. A
+// verdict that was never stored, or was renewed since it was stored, stays.
 func (b *Book) Removed(now time.Time, p Fingerprint) *Verdict {
 	r := b.records[p]
 	if r == nil {
@@ -322,7 +337,8 @@
 	return b.Lift(now, p)
 }
 
-// Expire forgets what is old, and returns the requests whose verdicts the store still holds.
+// Expire drops suspects, recent crashes and records whose time is over. It returns the requests of
+// dropped records whose verdicts the store still holds.
 func (b *Book) Expire(now time.Time) (stored []Fingerprint) {
 	maps.DeleteFunc(b.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.at) > suspectFor })
 	b.recent = slices.DeleteFunc(b.recent, func(e sighting) bool { return now.Sub(e.At) > suspectFor })
@@ -338,7 +354,7 @@
 	return stored
 }
 
-// oldest returns the key of the value with the earliest time; the map is not empty.
+// oldest returns the key of the value with the earliest time. The map must not be empty.
 func oldest[T any](in map[Fingerprint]*T, at func(*T) time.Time) (first Fingerprint) {
 	var firstAt time.Time
 	for p, v := range in {
--- a/pkg/poison/book_test.go
+++ b/pkg/poison/book_test.go
@@ -13,30 +13,32 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// request returns a request by a number.
+// request returns the fingerprint of request n.
 func request(n byte) Fingerprint { return Fingerprint{n} }
 
-// at returns a time in milliseconds after the start.
+// at returns the time so many milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// first and second are the ranks of processes.
+// first and second return the ranks 0 and 1 for all requests.
 func first(Fingerprint) int  { return 0 }
 func second(Fingerprint) int { return 1 }
 
-// view is that of a process which sees most of a service.
+// view is the view of a process that observes most of a service.
 func view(uint64) View { return View{InFlight: 16, Listed: 18} }
 
-// young is how long a request has been at an endpoint that it crashes.
+// young is the age of a request at an endpoint that it crashes.
 const young = 100 * time.Millisecond
 
-// strike notes the end of an endpoint under a request, and judges it 99 ms later.
+// strike records a crash under a request, calls Judge 99 ms later, and returns the changed verdicts
+// of both.
 func strike(b *Book, ms int, p Fingerprint, endpoint uint64) []Verdict {
 	changed, _ := b.Crashed(at(ms), p, endpoint, young, true)
 	later, _ := b.Judge(at(ms+99), view)
 	return append(changed, later...)
 }
 
-// strikes is strike for several endpoints, one each 100 ms.
+// strikes calls strike for several endpoints, 100 ms apart, and returns the verdicts changed by the
+// last one.
 func strikes(b *Book, ms int, p Fingerprint, endpoints ...uint64) (changed []Verdict) {
 	for i, e := range endpoints {
 		changed = strike(b, ms+100*i, p, e)
@@ -62,24 +64,24 @@
 	}
 }
 
-// Word of one end comes from several processes, and more than once; an endpoint that has
-// started again under its ID crashes anew.
+// Several processes may report one crash, each repeatedly: the reports count once. An endpoint that
+// has restarted under its ID can crash again.
 func TestWordOfOneEndCountsOnce(t *testing.T) {
 	b := NewBook()
 	for ms := range 900 {
 		b.Crashed(at(ms), request(1), 10, young, true)
 	}
 	if got := b.Crashes(request(1)); got != 1 {
-		t.Errorf("crashes by word of one: got %d, want 1", got)
+		t.Errorf("crashes after 900 reports of one crash: got %d, want 1", got)
 	}
 	b.Crashed(at(4000), request(1), 10, young, true)
 	if got := b.Crashes(request(1)); got != 2 {
-		t.Errorf("crashes of two lives under one ID: got %d, want 2", got)
+		t.Errorf("crashes of two incarnations under one ID: got %d, want 2", got)
 	}
 }
 
-// What ran beside a request that crashes endpoints is struck as often as its attempts meet that
-// one; it is told by the crashes that it was not there for.
+// A request that runs beside one that crashes endpoints has crashes as well, one for each attempt
+// at the same endpoint. The crashes at which it was not running distinguish the two.
 func TestWhatRanBesideIsNotBlamed(t *testing.T) {
 	b := NewBook()
 	for i, e := range []uint64{10, 11, 12, 13, 14} {
@@ -97,8 +99,8 @@
 	}
 }
 
-// Two requests that were at the same three crashes can't be told apart; two more crashes
-// of one clear the other, in either order.
+// Two requests that were at the same three crashes cannot be distinguished. Two more crashes of one
+// clear the other, whichever was reported first.
 func TestTieIsResolved(t *testing.T) {
 	for _, order := range [][]Fingerprint{{request(1), request(2)}, {request(2), request(1)}} {
 		b := NewBook()
@@ -114,19 +116,19 @@
 		}
 		strikes(b, 400, request(1), 13)
 		if v := b.Refuses(at(600), request(2), first); v != nil {
-			t.Errorf("order %v: a request beside it: got %v, want it lifted", order, v)
+			t.Errorf("order %v: a request beside it: got %v, want the verdict lifted", order, v)
 		}
 		if b.Refuses(at(600), request(1), first) == nil {
-			t.Errorf("order %v: after the fifth end: got no verdict", order)
+			t.Errorf("order %v: after the fifth crash: got no verdict", order)
 		}
 	}
 }
 
-// Two requests that were at the same three crashes, of which one crashes endpoints: neither is
-// quarantined for these, and the next attempt of each tells.
+// Of two requests that were at the same three crashes, one crashes endpoints. Neither is
+// quarantined for these crashes; the next attempt of each distinguishes them.
 //
-// Seen: where few endpoints were left, one of 801 other requests was quarantined together with the
-// one that had crashed all of its three endpoints.
+// Guards against a wrong quarantine: where few endpoints were left, one of 801 other requests was
+// quarantined together with the one that had crashed all three endpoints of both.
 func TestTwinsAreToldApart(t *testing.T) {
 	for _, order := range [][]Fingerprint{{request(1), request(2)}, {request(2), request(1)}} {
 		b := NewBook()
@@ -139,7 +141,7 @@
 			b.Judge(at(100*i+99), view)
 		}
 		if held != 2 {
-			t.Errorf("order %v: told to be held: got %d, want 2", order, held)
+			t.Errorf("order %v: calls of OnHeld: got %d, want 2", order, held)
 		}
 		for _, p := range order {
 			if v := b.Refuses(at(300), p, first); v != nil {
@@ -157,12 +159,12 @@
 	}
 }
 
-// A request each of whose three crashes came to others that have crashed as many or more waits for
-// their verdicts, whichever of them is judged first.
+// A request at each of whose three crashes another suspect with as many crashes or more was running
+// waits for the verdicts on these, whichever of them is judged first.
 //
-// Seen: of eight such requests at once, four were about to be quarantined when one of 599 others
-// was, for three crashes that were theirs; it was lifted 15 ms later, and its caller had been told
-// to come back in ten minutes.
+// Guards against a wrong quarantine: of eight requests that crashed endpoints at once, four were
+// about to be quarantined when one of 599 others was, for three crashes that they had caused. The
+// verdict was lifted 15 ms later, but its caller had been answered to retry in ten minutes.
 func TestDisputedCrashesWait(t *testing.T) {
 	b := NewBook()
 	cause := func(i uint64) Fingerprint { return request(byte(10 + i)) }
@@ -176,18 +178,18 @@
 	}
 	for ms := 3050; ms < 3200; ms += 10 {
 		if v := b.Refuses(at(ms), request(1), first); v != nil {
-			t.Fatalf("%d ms on: got %v, want no verdict", ms, v)
+			t.Fatalf("after %d ms: got %v, want no verdict", ms, v)
 		}
 		b.Judge(at(ms), view)
 	}
 }
 
-// A request whose every crash another one explains is quarantined all the same, as the users' bound
-// knows no causes.
+// A request is quarantined after unconditionalCrashes even if other requests explain each of its
+// crashes, as the limit on crashes holds whatever their cause.
 //
-// Seen: of a hundred requests at once that crash what runs them, some reached endpoints four times
-// beyond the users' bound and crashed eleven. How: others were at each endpoint that they crashed,
-// and were quarantined first; a crash counts for one of them alone.
+// Guards against too many attempts: of a hundred requests at once that crash what runs them, some
+// reached endpoints four times beyond the limit and crashed eleven. Others were at each endpoint
+// that they crashed and were quarantined first, and a crash counts for only one request.
 func TestExplainedCrashesAddUp(t *testing.T) {
 	b := NewBook()
 	for i := range crashesEver {
@@ -202,8 +204,8 @@
 	}
 }
 
-// What is in a wave is struck by chance: three crashes of it are no proof, five are. What crashes
-// its endpoints at other moments than the wave is told by three.
+// Endpoints that crash together, in a wave, crash under unrelated requests: three such crashes are
+// no proof, five are enough. Three crashes at other times than the wave are enough.
 func TestWave(t *testing.T) {
 	wave := func(b *Book, ms int, first uint64) {
 		for i := range uint64(6) {
@@ -216,7 +218,7 @@
 		strike(b, 3500*i+1, request(1), uint64(20*i+10))
 		refused := b.Refuses(at(3500*i+100), request(1), first) != nil
 		if want := i+1 >= crashesMost; refused != want {
-			t.Errorf("struck in %d waves: quarantined: got %v, want %v", i+1, refused, want)
+			t.Errorf("after one crash in each of %d waves: quarantined: got %v, want %v", i+1, refused, want)
 		}
 	}
 	b = NewBook()
@@ -227,8 +229,8 @@
 	}
 }
 
-// What else crashed at a moment is remembered as long as the crashes under a request are: waves that are
-// far apart blame nobody either.
+// Crashes at the same time are stored as long as the crashes under a request are, so that waves far
+// apart do not lead to a quarantine either.
 func TestWavesFarApart(t *testing.T) {
 	const apart = 40_000
 	b := NewBook()
@@ -238,15 +240,15 @@
 		}
 		strike(b, apart*i+1, request(1), uint64(20*i+10))
 		if v := b.Refuses(at(apart*i+100), request(1), first); v != nil {
-			t.Errorf("struck in %d waves: got %v, want no verdict", i+1, v)
+			t.Errorf("after one crash in each of %d waves: got %v, want no verdict", i+1, v)
 		}
 		b.Expire(at(apart*i + apart/2))
 		b.Expire(at(apart*(i+1) - 1))
 	}
 }
 
-// A process that starts anew is told what others suspect: the next crash counts for it as for them, and
-// what came in a wave is known as such.
+// A starting process merges the suspicions of others: the next crash counts for it as it does for
+// them, and it recognises crashes that came in a wave.
 func TestSuspicionsAreToldOn(t *testing.T) {
 	old, anew := NewBook(), NewBook()
 	strikes(old, 0, request(1), 10, 11)
@@ -255,10 +257,10 @@
 	}
 	old.Crashed(at(501), request(2), 30, young, true)
 	old.Crashed(at(502), request(2), 31, young, true)
-	for range 2 { // It may be told more than once.
+	for range 2 { // Suspicions may be received more than once.
 		for _, v := range old.Suspicions(100) {
 			if anew.Learn(at(5000), v) {
-				t.Errorf("told %v: got news of a verdict, want a suspicion", v)
+				t.Errorf("merge of suspicion %v: got a changed verdict, want none", v)
 			}
 		}
 	}
@@ -270,19 +272,19 @@
 	}
 	strike(anew, 6001, request(2), 32)
 	if v := anew.Refuses(at(6100), request(2), first); v != nil {
-		t.Errorf("struck twice by a wave and once by another: got %v, want no verdict", v)
+		t.Errorf("two crashes in a wave and one in another: got %v, want no verdict", v)
 	}
 	strike(anew, 16_000, request(1), 12)
 	if anew.Refuses(at(16_100), request(1), first) == nil {
 		t.Error("a third crash: got no verdict")
 	}
 	if anew.Expire(at(700_000)); anew.Crashes(request(1)) != 0 || !anew.Empty() && anew.Crashes(request(2)) != 0 {
-		t.Error("ten minutes later: got suspects")
+		t.Error("ten minutes later: got suspects, want none")
 	}
 }
 
-// A request at three endpoints at once, two of which were left a moment ago, is struck three
-// times by one wave.
+// A request that runs at one endpoint and has just left two others has three crashes in a single
+// wave, which are no proof.
 func TestWaveThatStrikesThreeTimes(t *testing.T) {
 	b := NewBook()
 	for i := range uint64(3) {
@@ -292,7 +294,7 @@
 		b.Crashed(at(8), request(byte(10+i)), 10+i, time.Second, true)
 	}
 	if _, pending := b.Judge(at(20), view); !pending {
-		t.Error("before it has settled: got nothing pending")
+		t.Error("before SettleDelay has passed: got nothing pending")
 	}
 	b.Judge(at(100), view)
 	if v := b.Refuses(at(101), request(1), first); v != nil {
@@ -309,63 +311,64 @@
 	}
 	strikes(b, 500, request(1), 13, 14)
 	if v := b.Whole(at(900), request(1)); v == nil || v.InForce() {
-		t.Errorf("an answer under way when it was quarantined: got %v, want it lifted", v)
+		t.Errorf("an answer under way when it was quarantined: got %v, want the verdict lifted", v)
 	}
 	if v := b.Refuses(at(901), request(1), first); v != nil {
 		t.Errorf("after an answer: got %v, want no verdict", v)
 	}
 }
 
-// Late word of a blame does not undo that it was lifted, and a blame that is new does.
+// A late report of a quarantine that was lifted does not reinstate it; a new quarantine of the same
+// request, with a higher round, does.
 func TestLaterRoundHolds(t *testing.T) {
 	a, b := NewBook(), NewBook()
 	quarantined := strikes(a, 0, request(1), 10, 11, 12)[0]
 	b.Learn(at(300), quarantined)
 	lifted := b.Lift(at(400), request(1))
 	if b.Learn(at(500), quarantined); b.Refuses(at(500), request(1), first) != nil {
-		t.Error("late word of the quarantine: got a verdict, want it lifted")
+		t.Error("late report of the quarantine: got a verdict, want it lifted")
 	}
 	if !a.Learn(at(500), *lifted) || a.Refuses(at(500), request(1), first) != nil {
-		t.Error("word that it was lifted: got a verdict")
+		t.Error("report that it was lifted: got a verdict")
 	}
 	again := strikes(a, 5000, request(1), 13, 14, 15)[0]
 	if !b.Learn(at(5400), again) || b.Refuses(at(5400), request(1), first) == nil {
-		t.Error("a new blame: got no verdict")
+		t.Error("a new quarantine: got no verdict")
 	}
 	if got, want := again.Until.Sub(at(5299)), 2*holdFirst; got != want {
 		t.Errorf("the second quarantine lasts: got %v, want %v", got, want)
 	}
 }
 
-// After its time a request is let through now and then, first by the process of rank 0; one
-// end is enough then.
+// After Until a request is let through once per retryInterval, first by the process of rank 0. A
+// single crash then renews the quarantine.
 func TestTriedAgain(t *testing.T) {
 	b := NewBook()
 	v := strikes(b, 0, request(1), 10, 11, 12)[0]
 	after := v.Until.Add(time.Millisecond)
 	if b.Refuses(after, request(1), second) == nil {
-		t.Error("rank 1 just after the time: got no verdict")
+		t.Error("rank 1 just after Until: got no verdict")
 	}
 	if v := b.Refuses(after, request(1), first); v != nil {
-		t.Errorf("rank 0 just after the time: got %v, want it let through", v)
+		t.Errorf("rank 0 just after Until: got %v, want it let through", v)
 	}
 	if b.Refuses(after.Add(time.Second), request(1), first) == nil {
 		t.Error("rank 0 a second later: got no verdict")
 	}
 	changed, _ := b.Crashed(after.Add(time.Second), request(1), 20, young, true)
 	if len(changed) != 1 || changed[0].Round != 3 {
-		t.Fatalf("an end after the time: got %v, want round 3", changed)
+		t.Fatalf("a crash after Until: got %v, want round 3", changed)
 	}
 	if b.Refuses(after.Add(time.Minute), request(1), first) == nil {
-		t.Error("after that end: got no verdict")
+		t.Error("after that crash: got no verdict")
 	}
 	if b.Expire(changed[0].Until.Add(3 * holdFirst)); !b.Empty() {
-		t.Errorf("long after: got %v, want an empty book", b)
+		t.Errorf("long after: got %v, want an empty Detector", b)
 	}
 }
 
-// The store's copy: written once, removed by an operator it lifts, removed while it was renewed
-// it does not.
+// A verdict is written to the store once. Its removal from the store lifts the quarantine, unless
+// the quarantine was renewed since it was stored.
 func TestStored(t *testing.T) {
 	b := NewBook()
 	v := strikes(b, 0, request(1), 10, 11, 12)[0]
@@ -377,14 +380,14 @@
 	}
 	b.Stored(request(1), v.Round)
 	if got := b.Unstored(at(300), time.Second, first); got != nil {
-		t.Errorf("to be stored once it is: got %v, want nothing", got)
+		t.Errorf("to be stored after it was stored: got %v, want nothing", got)
 	}
 	if got := b.Removed(at(400), request(1)); got == nil || got.InForce() {
-		t.Errorf("removed from the store: got %v, want it lifted", got)
+		t.Errorf("removed from the store: got %v, want the verdict lifted", got)
 	}
 	strikes(b, 5000, request(1), 13, 14, 15)
 	if got := b.Removed(at(5400), request(1)); got != nil {
-		t.Errorf("removed, but quarantined anew since: got %v, want nothing", got)
+		t.Errorf("removed, but quarantined again since: got %v, want nothing", got)
 	}
 }
 
@@ -400,7 +403,7 @@
 	}
 }
 
-// Processes that hear the same verdicts in any order, some twice, hold the same.
+// Processes that merge the same verdicts in any order, some of them twice, reach the same state.
 func TestLearnConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Verdict
@@ -434,14 +437,14 @@
 	return !slices.ContainsFunc(a, func(e Crash) bool { return !contains(b, e) }) && len(a) == len(b)
 }
 
-// drawn is a book with a request that crashes every endpoint which runs it, and others.
+// drawn is a Detector with a request that crashes every endpoint which runs it, and others.
 type drawn struct {
 	*Book
 	guilty Fingerprint
-	// crashes are those under guilty, and quarantined says that it was quarantined before.
+	// crashes is the number of crashes under guilty; quarantined is set once it was quarantined.
 	crashes     int
 	quarantined bool
-	// clean holds the requests that were answered whole since their last end.
+	// clean holds the requests that were answered completely since the last crash under them.
 	clean map[Fingerprint]bool
 }
 
@@ -461,7 +464,8 @@
 	d.quarantined = d.quarantined || refused
 }
 
-// besides strikes what else the endpoint runs, and answers one request whole.
+// besides records the crash under up to four other requests at the endpoint, and answers one
+// request completely.
 func (d *drawn) besides(t *rapid.T, now time.Time, endpoint uint64) {
 	for range rapid.IntRange(0, 4).Draw(t, "beside") {
 		if p := other(t, "other"); d.Refuses(now, p, first) == nil {
@@ -475,15 +479,15 @@
 	}
 	for p, ok := range d.clean {
 		if ok && d.Refuses(now, p, first) != nil {
-			t.Fatalf("request %v was answered whole: got a verdict", p)
+			t.Fatalf("request %v was answered completely: got a verdict", p)
 		}
 	}
 }
 
-// A request that crashes every endpoint which runs it is quarantined after crashesMost crashes whatever ran
-// beside it and whatever else ended; where a clearer cause lifts that, the next end crashes it
-// again. No request that was answered whole since its last end
-// is quarantined. What is quarantined is not sent.
+// A request that crashes every endpoint which runs it is quarantined after sufficientCrashes
+// crashes, whatever ran beside it and whatever else crashed. If a clearer cause lifts that verdict,
+// the next crash renews it. No request that was answered completely since its last crash is
+// quarantined. A quarantined request is not sent.
 func TestBlameIsSoundAndSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawn{Book: NewBook(), guilty: request(1), clean: make(map[Fingerprint]bool)}
@@ -497,8 +501,8 @@
 	})
 }
 
-// A request that ran beside the guilty one and was struck without it as well is the clearer
-// cause for a moment. The guilty one is lifted then, and its next end crashes it again.
+// A request that ran beside the guilty one, and has further crashes without it, is the clearer
+// cause for a moment. The verdict on the guilty one is lifted then, and its next crash renews it.
 func TestGuiltyIsLiftedForOneEndAtMost(t *testing.T) {
 	b := NewBook()
 	guilty, other := request(1), request(7)
@@ -511,11 +515,12 @@
 	strikes(b, 500, other, 6, 7)
 	strike(b, 800, guilty, 8)
 	if b.Refuses(at(900), guilty, first) == nil {
-		t.Error("after its fourth end: got no verdict")
+		t.Error("after its fourth crash: got no verdict")
 	}
 }
 
-// A request that crashes an endpoint each few milliseconds is judged no later than others.
+// A request that crashes an endpoint every few milliseconds is judged no later than others: further
+// crashes do not postpone a pending judgement.
 func TestFurtherEndsDontPutOffTheVerdict(t *testing.T) {
 	b := NewBook()
 	for ms := 0; b.Refuses(at(ms), request(1), first) == nil; ms += 5 {
--- a/pkg/poison/fingerprint.go
+++ b/pkg/poison/fingerprint.go
@@ -11,27 +11,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FingerprintBytes is the length of a Fingerprint, in bytes: of 2^32 requests two have the same by
-// chance once in 2^65 times.
+// FingerprintBytes is the length of a Fingerprint, in bytes. Among 2^32 requests the probability
+// that two have the same by chance is 2^-65.
 const FingerprintBytes = 16
 
-// Fingerprint names a request by what it asks and who asks it: its repeats have the same. It is
-// cut from a SHA-256, so that nobody can make a request with the Fingerprint of another caller's
-// whose body he does not know; and the caller is part of it.
+// Fingerprint identifies a request by its content and its caller; repeats of a request have the
+// same one. It is a truncated SHA-256 hash that covers the caller, so that no caller can craft a
+// request with the fingerprint of another caller's request whose body is not known to them.
 type Fingerprint [FingerprintBytes]byte
 
-// Request is what a Fingerprint is taken of. Headers are left out: IDs, deadlines and places of a
-// stream differ between repeats.
+// Request holds the parts of a request that its Fingerprint covers. Headers are left out, as
+// request IDs, deadlines and stream offsets differ between repeats.
 type Request struct {
 	Method, Host, Path string
-	// Query counts where there is no body: it is what is asked then.
+	// Query is covered only if Body is empty: the query then is the request's content.
 	Query string
-	// Caller is the workspace; empty for callers without a key.
+	// Caller is the name of the workspace, or empty for callers without an API key.
 	Caller string
 	Body   []byte
 }
 
-// Fingerprint returns the name of a request.
+// Fingerprint returns the fingerprint of the request.
 func (r *Request) Fingerprint() Fingerprint {
 	query := r.Query
 	if len(r.Body) > 0 {
@@ -40,7 +40,7 @@
 	h := sha256.New()
 	var size [8]byte
 	for _, part := range []string{r.Method, r.Host, r.Path, query, r.Caller} {
-		// With the lengths no two lists of parts hash the same bytes.
+		// The length prefixes keep different lists of parts from hashing the same bytes.
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		h.Write(size[:])
 		h.Write([]byte(part))
@@ -51,10 +51,11 @@
 	return p
 }
 
-// String returns the Fingerprint in hex.
+// String returns the fingerprint in lower-case hex.
 func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the hex form that String returns. It fails if text is not exactly
+// 2*FingerprintBytes hex digits.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var p Fingerprint
 	b, err := hex.DecodeString(text)
--- a/pkg/poison/fingerprint_test.go
+++ b/pkg/poison/fingerprint_test.go
@@ -5,8 +5,8 @@
 
 import "testing"
 
-// Repeats have the same Fingerprint, and nothing else has it: a part that crashes where another
-// begins makes no other request the same.
+// Repeats of a request have the same Fingerprint, and other requests have another one. Moving the
+// boundary between two parts changes the fingerprint.
 func TestPrint(t *testing.T) {
 	first := Request{Method: "POST", Host: "h", Path: "/a/b", Query: "x=1", Caller: "ws", Body: []byte("body")}
 	change := func(fn func(a *Request)) Fingerprint {
@@ -30,13 +30,13 @@
 		{"parts cut elsewhere", change(func(a *Request) { a.Host, a.Path = "h/a", "/b" }), false},
 	} {
 		if got := c.got == same; got != c.want {
-			t.Errorf("%s: same print: got %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: same fingerprint: got %v, want %v", c.name, got, c.want)
 		}
 	}
 	plain := Request{Method: "GET", Path: "/tile", Query: "x=1"}
 	other := Request{Method: "GET", Path: "/tile", Query: "x=2"}
 	if plain.Fingerprint() == other.Fingerprint() {
-		t.Error("requests without a body and with other queries: got the same print")
+		t.Error("requests without a body and with different queries: got the same fingerprint")
 	}
 	if got, err := ParseFingerprint(same.String()); err != nil || got != same {
 		t.Errorf("ParseFingerprint: got %v, %v, want %v", got, err, same)
--- a/pkg/poison/judge.go
+++ b/pkg/poison/judge.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// suspect is a request under which endpoints crashed and that is not quarantined for it.
+// suspect is a request that is not quarantined but under which endpoints crashed.
 type suspect struct {
-	// crashes are those under it, at most crashesKept, and ages how long the request had been at
-	// each of them then.
+	// crashes are the crashes under the request, at most maxCrashesPerRequest. ages holds for each
+	// of them how long the request had been at the endpoint.
 	crashes []Crash
 	ages    []time.Duration
-	// at is when the last one was.
+	// at is the time of the latest crash.
 	at time.Time
-	// held says that only other suspects, which were at the same crashes, keep it from being
-	// quarantined: one of them all explains each.
+	// held is set while the request would be quarantined but for other suspects that were at the
+	// same crashes: one of them explains each, and it is not known which.
 	held bool
 }
 
-// add notes a crash under the request, and reports whether it is new.
+// add records a crash under the request, and reports whether it is new.
 func (s *suspect) add(e Crash, age time.Duration) bool {
 	list, grown := join(s.crashes, e)
 	if s.crashes = list; grown {
@@ -34,52 +34,57 @@
 	return grown
 }
 
-// sighting is a crash that word of came, whatever ran there.
+// recentCrash is a crash that was observed or reported, under whatever requests.
 type sighting struct {
 	Crash
-	// own says that this process saw it itself.
+	// own is set if this process observed the crash itself.
 	own bool
 }
 
-// View is how much of a service this process sees.
+// View is the part of a service that this process observes. The caller of Judge provides it.
 type View struct {
-	// InFlight is how many endpoints have requests of this process, Listed how many there
-	// are.
+	// InFlight is the number of endpoints that run requests of this process, Listed the number
+	// of all endpoints of the service.
 	InFlight, Listed int
 }
 
 const (
-	// crashesLeast is how many endpoints must have ended under a request for it to be quarantined.
-	// The users' bound counts from the third on.
+	// minCrashes is the number of endpoints that must have crashed under a request for it to be
+	// quarantined. The requirement limits the crashes from the third on.
 	crashesLeast = 3
-	// crashesMost is how many are enough whatever else crashes: the users' bound allows three more
-	// than crashesLeast. Of the requests of a day whose waves crashed a third of the endpoints
-	// every 3.5 s, one in two hundred met three crashes by chance.
+	// sufficientCrashes is the number of crashes that is enough without the test against chance,
+	// if no quarantined request explains at least one of them: the requirement allows three more
+	// than minCrashes. Where a third of the endpoints crash together every 3.5 s for other
+	// reasons, one request in two hundred meets three crashes by chance.
 	crashesMost = 5
-	// crashesEver is how many are enough though requests that are quarantined explain each of them,
-	// as where a hundred crash endpoints at once: the users' bound allows no more than three
-	// beyond crashesLeast.
+	// unconditionalCrashes is the number of crashes that is enough even if quarantined requests
+	// explain each of them, as when a hundred requests crash endpoints at once: the requirement
+	// allows no more than three beyond minCrashes.
 	crashesEver = 6
-	// sure is how unlikely it must be, as a natural logarithm, that a request was merely
-	// there: one in a thousand.
+	// minWeight is the weight from which crashes are taken as proof: the negative natural
+	// logarithm of the probability that they are chance, one in a thousand.
 	sure = 6.9
-	// chanceLeast bounds how unlikely a single crash is taken to be: three are enough where
-	// nothing else crashes.
+	// minChance is the lower bound of the probability that a single crash is chance. It lets
+	// three crashes be enough if nothing else crashes.
 	chanceLeast = 0.001
-	// burstFor is how far apart crashes come that have one cause: endpoints that crash together
-	// are noticed within milliseconds, and notes of it take up to half a second.
+	// burstWindow is the largest time between crashes that may have one cause: processes notice
+	// endpoints that crash together within milliseconds, and reports of it take up to half a
+	// second.
 	burstFor = 500 * time.Millisecond
-	// waveFor is the time over which it is counted how often endpoints crash for other reasons.
+	// rateWindow is the time before and after a crash over which the rate of other crashes is
+	// counted.
 	waveFor = 10 * time.Second
-	// SettleFor is how long after word of a crash a request is judged: by then it is known
-	// what else crashed at that moment, and under which requests. A crash of many is known
-	// within 20 ms, notes of it take 5 ms between zones.
+	// SettleDelay is the time between the report of a crash and the judgement of its request. By
+	// then it is known what else crashed at that moment, and under which requests: a crash of
+	// many endpoints is noticed within 20 ms, and reports take 5 ms between availability zones.
 	SettleFor = 60 * time.Millisecond
 )
 
-// Judge quarantines the suspects that word of a crash came of, once it has settled, and returns the
-// verdicts that are new or changed by that. pending says that there are others to come back
-// for. view returns how much this process sees of the service of an endpoint.
+// Judge decides on the suspects that are due, SettleDelay after the first crash report since their
+// last judgement: it quarantines those that are the cause, and returns the verdicts that are new
+// or changed by that, including those that it lifts. pending reports whether suspects are left
+// that are not due yet. view returns this process's view of the service of an endpoint, given by
+// its hash.
 func (b *Book) Judge(now time.Time, view func(endpoint uint64) View) (changed []Verdict, pending bool) {
 	held := b.heldCrashes()
 	for p, due := range b.pending {
@@ -95,11 +100,13 @@
 	return changed, pending
 }
 
-// guilty reports whether a suspect is to be quarantined. What ran beside a request that is quarantined
-// was struck by that: it takes two crashes which no such request explains, or one beyond the
-// least number, as the quarantined one may itself have run beside this one. Crashes that came to
-// another suspect of as many or more are disputed: whichever is judged first would be blamed for
-// what may be the other's, and the next attempt of each tells.
+// guilty reports whether a suspect is to be quarantined, and updates s.held.
+//
+// A request that ran beside a quarantined one is affected by its crashes. A suspect of minCrashes
+// therefore needs two crashes that no quarantined request explains, and one of more crashes needs
+// one, as the quarantined request may itself have run beside this one. A crash is disputed if
+// another suspect with as many crashes or more was there too: the suspect judged first would be
+// quarantined for crashes that the other may have caused. The next attempt of each resolves that.
 func (b *Book) guilty(p Fingerprint, s *suspect, v View, held []Crash) bool {
 	n := len(s.crashes)
 	if n < crashesLeast {
@@ -125,16 +132,17 @@
 	return proven && !s.held
 }
 
-// findings are what the crashes under a suspect come to.
+// evidence summarises the crashes under a suspect.
 type findings struct {
-	// open is how many no quarantined request explains, and disputed how many of these came to
-	// another suspect of as many crashes.
+	// unexplained is the number of crashes that no quarantined request explains. disputed is the
+	// number of these that are also under another suspect with as many crashes or more.
 	open, disputed int
-	// weight is how unlikely the open ones are together by chance, as a natural logarithm.
+	// weight is the negative natural logarithm of the probability that all unexplained crashes
+	// are chance.
 	weight float64
 }
 
-// weigh weighs the crashes under a suspect.
+// assess returns the evidence against a suspect. held holds the crashes of all held suspects.
 func (b *Book) weigh(p Fingerprint, s *suspect, v View, held []Crash) (f findings) {
 	for i, e := range s.crashes {
 		if b.explaining(e, p, 0) != nil {
@@ -149,7 +157,8 @@
 	return f
 }
 
-// disputed reports whether a crash came to another suspect as well, of so many crashes at least.
+// disputed reports whether a crash is also under a suspect other than p with at least so many
+// crashes.
 func (b *Book) disputed(p Fingerprint, e Crash, least int) bool {
 	for q, s := range b.suspects {
 		if q != p && len(s.crashes) >= least && contains(s.crashes, e) {
@@ -159,10 +168,12 @@
 	return false
 }
 
-// chance returns how likely it was, 0 to 1, that an endpoint crashed under a suspect though the
-// suspect has nothing to do with it: by how many of the others crashed at that moment, and by how
-// often they do in the time that it was there. Those that a request explains don't count; held are
-// the crashes that one of several suspects does.
+// chance returns the probability that an endpoint crashed under a suspect that is not the cause,
+// from minChance to 1. It is the larger of two estimates: the share of the other endpoints that
+// crashed at that moment, and the probability of a crash during the request's age at the observed
+// rate of other crashes. Each is taken over the endpoints with requests of this process and over
+// all, and the larger value holds. Crashes that a quarantined request explains don't count, nor
+// those in held, which one of several suspects explains.
 func (b *Book) chance(s *suspect, e Crash, age time.Duration, v View, held []Crash) float64 {
 	var burst, often [2]int
 	for i := range b.recent {
@@ -186,7 +197,7 @@
 	return min(max(p, chanceLeast), 1)
 }
 
-// heldCrashes returns the crashes under suspects that are held.
+// heldCrashes returns the crashes of all held suspects.
 func (b *Book) heldCrashes() (list []Crash) {
 	for _, s := range b.suspects {
 		if s.held {
@@ -196,7 +207,7 @@
 	return list
 }
 
-// part returns n of all as a part; 0 of none.
+// fraction returns n/all, at most 1, or 0 if all is not positive.
 func part(n, all int) float64 {
 	if all <= 0 {
 		return 0
@@ -204,8 +215,8 @@
 	return min(float64(n)/float64(all), 1)
 }
 
-// explaining returns a quarantined request other than p that a crash came from, and under which so
-// many endpoints crashed at least; nil for none.
+// explaining returns the record of a quarantined request other than p that explains a crash and
+// has at least so many crashes; nil if there is none.
 func (b *Book) explaining(e Crash, p Fingerprint, least int) *record {
 	for _, cause := range b.causes[e.Endpoint] {
 		if r := b.records[cause]; cause != p && len(r.Crashes) >= least && r.Explains(e) {
@@ -215,13 +226,14 @@
 	return nil
 }
 
-// quarantine quarantines a request, and returns the verdicts that are new or changed by that.
+// quarantine quarantines a request for crashes, and returns its verdict and those that it
+// overrules.
 func (b *Book) quarantine(now time.Time, p Fingerprint, crashes []Crash) []Verdict {
 	v := Verdict{Fingerprint: p}
 	if r := b.records[p]; r != nil {
 		v = r.Verdict
 		if v.InForce() {
-			// It was tried again after its time and has done it again.
+			// The request was retried after Until and crashed an endpoint again.
 			v.Round++
 		}
 	}
@@ -232,13 +244,15 @@
 	return append([]Verdict{v}, b.overrule(now, v.Crashes)...)
 }
 
-// clearerBy is by how many crashes another request must be the clearer cause. A request that was
-// quarantined wrongly is not sent any more, so that it hardly gets ahead of the right one again.
+// overruleMargin is the number of crashes by which another request must exceed a quarantined one
+// to be the clearer cause. A request that was quarantined wrongly is not sent any more, so it
+// hardly exceeds the actual cause again.
 const clearerBy = 2
 
-// overrule lifts the verdicts, of those that such crashes stand in, whose every crash other
-// requests explain that have more of them by clearerBy, and returns them. They keep their
-// crashes, so that one more is enough for a quarantine: it may have been right.
+// overrule lifts the verdicts on the endpoints of crashes whose every crash is explained by other
+// requests with at least overruleMargin more crashes, and returns the lifted verdicts. They keep
+// their crashes, so that one more crash is enough for a quarantine: the verdict may have been
+// right.
 func (b *Book) overrule(now time.Time, crashes []Crash) (lifted []Verdict) {
 	for _, e := range crashes {
 		for _, p := range slices.Clone(b.causes[e.Endpoint]) {
@@ -252,7 +266,8 @@
 	return lifted
 }
 
-// overruled reports whether other requests are the clearer cause of all that one is quarantined for.
+// overruled reports whether a request is quarantined and other requests are the clearer cause of
+// each of its crashes.
 func (b *Book) overruled(r *record) bool {
 	open := func(e Crash) bool { return b.explaining(e, r.Fingerprint, len(r.Crashes)+clearerBy) == nil }
 	return r.InForce() && !slices.ContainsFunc(r.Crashes, open)
--- a/pkg/poison/main_test.go
+++ b/pkg/poison/main_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestMain draws the same cases in every run. By hand, others: go test -rapid.seed N
-// -rapid.checks 200000 ./pkg/poison
+// TestMain sets a fixed seed, so that every run draws the same cases. To draw others: go test
+// -rapid.seed N -rapid.checks 200000 ./pkg/poison
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/pkg/poison/recall.go
+++ b/pkg/poison/recall.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// ToldTogether is how many crashes are told of one request at most, and stand in one of the values
-	// that Suspicions returns for crashes alone.
+	// ToldTogether is the largest number of crashes that a report of one request carries, and
+	// that one value returned by Suspicions holds if it has crashes alone.
 	ToldTogether = 12
-	// recalledAge is how long a request is taken to have been at an endpoint under a crash that was told
-	// later, which does not say so: longer than most, so that crashes that come often are rather put
-	// down to chance.
+	// recalledAge is the assumed time that a request had been at an endpoint when it crashed, for
+	// crashes in suspicions, which do not carry it. It is longer than most, so that the model
+	// rather attributes frequent crashes to chance.
 	recalledAge = 5 * time.Second
 )
 
-// Suspicions returns what a process that starts anew should know besides verdicts: up to so many
-// suspects, the latest first, and before them the crashes that came of late, by which waves are known.
-// Each is a Verdict of round 0, for Learn; one without a fingerprint tells of crashes alone.
+// Suspicions returns what a starting process needs besides verdicts: the recent crashes, from
+// which it recognises correlated crashes, followed by at most so many suspects, the one with the
+// latest crash first. Each is a Verdict of round 0, to be passed to Merge; one with a zero
+// fingerprint holds crashes alone, at most MaxReportedCrashes. It returns nil if there are no
+// suspects.
 func (b *Book) Suspicions(most int) (list []Verdict) {
 	if len(b.suspects) == 0 {
 		return nil
@@ -43,8 +45,8 @@
 	return list
 }
 
-// recall takes over a suspicion of another process. It is judged with the next crash: until then the
-// request ran as often as others know.
+// recall merges a suspicion of another process. The suspect is judged only at its next crash:
+// until then the request ran no more often than other processes already know.
 func (b *Book) recall(v Verdict) {
 	for _, e := range v.Crashes {
 		b.notice(e, false)
--- a/pkg/poison/verdict.go
+++ b/pkg/poison/verdict.go
@@ -8,53 +8,58 @@
 	"time"
 )
 
-// Crash is the end of a life of an endpoint that nobody planned.
+// Crash is an unplanned end of one incarnation of an endpoint.
 type Crash struct {
-	// Endpoint is its hash.
+	// Endpoint is the hash of the endpoint's ID.
 	Endpoint uint64
-	At       time.Time
+	// At is when the crash was observed, by the clock of the process that holds this value.
+	At time.Time
 }
 
-// same reports whether two reports are of one crash: an endpoint that started again
-// under its ID may crash again.
+// same reports whether two reports are of the same crash. An endpoint that restarts under its
+// ID may crash again, so the ID alone does not identify a crash.
 func (e Crash) same(o Crash) bool {
 	return e.Endpoint == o.Endpoint && e.At.Sub(o.At).Abs() <= sameWithin
 }
 
-// sameWithin is how far apart word of one crash may come: processes notice it within
-// milliseconds, notes take up to half a second, and endpoints are back after some seconds.
+// sameWithin is the largest difference between the times in reports of one crash. Processes
+// notice a crash within milliseconds, reports take up to half a second, and endpoints are back
+// only after some seconds.
 const sameWithin = time.Second
 
-// Verdict is what is held of one request.
+// Verdict is the decision on one request: quarantined, or lifted. A Verdict of round 0 is a
+// suspicion, as Detector.Suspicions returns it.
 type Verdict struct {
 	Fingerprint Fingerprint
-	// Round counts the changes: it is odd while the request is quarantined and even once
-	// that was lifted. It only grows; of two verdicts the one of the later round holds.
+	// Round is the version of the verdict, incremented with each change: odd while the request
+	// is quarantined, even once that is lifted. It never decreases; of two verdicts the one with
+	// the higher round wins.
 	Round int
-	// Until is when the request may be tried again, or for a lifted one, how long that is
-	// remembered.
+	// Until is when a quarantined request may be retried. For a lifted verdict it is when the
+	// verdict is dropped.
 	Until time.Time
-	// Crashes are those under it, in the order in which word of them came; at most crashesKept.
-	// A lifted verdict has none, but where it was lifted because another request is the
-	// clearer cause.
+	// Crashes are the crashes under the request, in the order in which they were reported, at
+	// most maxCrashesPerRequest. A lifted verdict has none, unless it was lifted because other
+	// requests are the clearer cause of its crashes.
 	Crashes []Crash
 }
 
-// crashesKept bounds the crashes that are kept of a request. One that comes ten times a second
-// crashes some twenty endpoints until all processes know of it.
+// crashesKept is the largest number of crashes stored for a request. A request that arrives ten
+// times a second crashes some twenty endpoints before all processes know of it.
 const crashesKept = 32
 
 // InForce reports whether the request is quarantined, as opposed to lifted.
 func (v *Verdict) InForce() bool { return v.Round%2 == 1 }
 
 const (
-	// holdFirst is how long a request is quarantined at first. It doubles with each time
-	// up to holdMost, so that one which comes forever crashes ten endpoints in the first week,
-	// and one that was quarantined wrongly is served again after ten minutes.
+	// holdFirst is the length of the first quarantine of a request. It doubles with each further
+	// quarantine up to holdMost, so that a request that is repeated without end crashes ten
+	// endpoints in the first week, and one that was quarantined wrongly is served again after
+	// ten minutes.
 	holdFirst = 10 * time.Minute
 	holdMost  = 24 * time.Hour
-	// liftedFor is how long a lifted verdict is remembered, so that late word of the quarantine
-	// does not bring it back.
+	// liftedFor is how long a lifted verdict is stored, so that a late report of the quarantine
+	// does not reinstate it.
 	liftedFor = 10 * time.Minute
 )
 
@@ -66,15 +71,15 @@
 	return min(holdFirst<<min(v.Round/2, 16), holdMost)
 }
 
-// next returns the verdict of the next round.
+// next returns the verdict of the next round, which starts now. It keeps the crashes.
 func (v *Verdict) next(now time.Time) Verdict {
 	n := Verdict{Fingerprint: v.Fingerprint, Round: v.Round + 1, Crashes: v.Crashes}
 	n.Until = now.Add(n.hold())
 	return n
 }
 
-// forgottenAt is when the verdict is forgotten: a while after the request may be tried again,
-// within which one crash under it is enough.
+// forgottenAt returns when the verdict is dropped. A quarantine is stored for its own length
+// beyond Until; a single crash within that time renews it.
 func (v *Verdict) forgottenAt() time.Time {
 	if !v.InForce() {
 		return v.Until
@@ -82,14 +87,15 @@
 	return v.Until.Add(v.hold())
 }
 
-// Explains reports whether the request is what crashed an endpoint.
+// Explains reports whether the verdict attributes a crash to its request: the request is
+// quarantined and the crash is among Crashes.
 func (v *Verdict) Explains(e Crash) bool { return v.InForce() && contains(v.Crashes, e) }
 
 // contains reports whether a crash is in a list.
 func contains(list []Crash, e Crash) bool { return slices.ContainsFunc(list, e.same) }
 
-// join appends the crashes of a list that another lacks, up to crashesKept, and reports whether
-// there were any.
+// join appends to list the crashes of more that it lacks, up to maxCrashesPerRequest in all, and
+// reports whether there were any. It does not modify the array behind list.
 func join(list []Crash, more ...Crash) ([]Crash, bool) {
 	was := len(list)
 	for _, e := range more {
--- a/pkg/usage/book.go
+++ b/pkg/usage/book.go
@@ -8,16 +8,16 @@
 	"slices"
 )
 
-// Teller is one life of a router.
+// Reporter identifies one incarnation of a router, that is, one run of its process.
 type Teller struct {
 	Router string
 	Life   uint64
 }
 
-// Counts are requests by the names of workspaces.
+// Counts are numbers of requests by the names of workspaces.
 type Counts map[string]uint64
 
-// Sum returns the requests of all workspaces together.
+// Sum returns the number of requests of all workspaces together.
 func (c Counts) Sum() (sum uint64) {
 	for _, n := range c {
 		sum += n
@@ -25,45 +25,49 @@
 	return sum
 }
 
-// Report is what one router tells of a window.
+// Report holds the requests that one router counted in a window, or a part of the workspaces.
 type Report struct {
+	// Teller is the router that counted the requests.
 	Teller Teller
 	Window Window
-	// Final says that the window has ended at the teller; Total is the sum of all its counts
-	// then, of which a report may hold a part.
+	// Final is set if the reporter counts no more requests in the window. Total is then the sum of
+	// all its counts, of which the report may hold a part; 0 before.
 	Final  bool
 	Total  uint64
 	Counts Counts
 }
 
 const (
-	// windowsMost is how many windows are kept: those that may still be reported.
+	// maxWindows is the number of windows that are stored: those that may still be reported.
 	windowsMost = 16
-	// tellersMost and workspacesMost bound what is kept of a window and of a teller.
+	// maxReporters bounds the reporters per window, maxWorkspaces the workspaces per reporter.
 	tellersMost    = 4096
 	workspacesMost = 4096
 )
 
-// Book is what a process knows of the requests of a fleet. Use NewBook.
+// Counter holds the counts of all routers of a fleet that a process knows, by window. Create it
+// with NewCounter. It is not safe for concurrent use.
 type Book struct {
 	windows map[Window]map[Teller]*part
 }
 
-// part is what one router counted in one window.
+// part holds the known counts of one reporter in one window.
 type part struct {
 	counts Counts
-	// total is the sum of the teller's counts once final; both never go back.
+	// total is the sum of the reporter's counts once final is set. total never decreases, and final
+	// is never reset.
 	total uint64
 	final bool
 }
 
-// complete reports whether all that the teller counted is known.
+// complete reports whether all counts of the reporter are known.
 func (p *part) complete() bool { return p.final && p.counts.Sum() >= p.total }
 
-// NewBook returns an empty book.
+// NewCounter returns an empty Counter.
 func NewBook() *Book { return &Book{windows: make(map[Window]map[Teller]*part)} }
 
-// part returns the part of a teller, made if there is none; nil if there is no room.
+// part returns the counts of a reporter in a window and adds them if there are none; nil if the
+// window has maxReporters already.
 func (b *Book) part(w Window, t Teller) *part {
 	tellers := b.windows[w]
 	if tellers == nil {
@@ -78,22 +82,24 @@
 	return p
 }
 
-// Add counts one request of a workspace.
+// Add counts one request of a workspace. It drops the request without an error if maxReporters or
+// maxWorkspaces is exceeded.
 func (b *Book) Add(t Teller, w Window, workspace string) {
 	if p := b.part(w, t); p != nil {
 		p.raise(workspace, p.counts[workspace]+1)
 	}
 }
 
-// raise sets a count unless it is higher already.
+// raise sets the count of a workspace to n unless it is higher already. It ignores workspaces
+// beyond maxWorkspaces.
 func (p *part) raise(workspace string, n uint64) {
 	if _, ok := p.counts[workspace]; ok || len(p.counts) < workspacesMost {
 		p.counts[workspace] = max(p.counts[workspace], n)
 	}
 }
 
-// Take takes over what a router told, in the window now: word of windows that are not kept
-// is left.
+// Merge merges a report received from a router, in the window now. It ignores reports of windows
+// that are not stored: those more than one ahead of now, and those maxWindows or more behind it.
 func (b *Book) Take(r Report, now Window) {
 	if r.Window > now+1 || r.Window <= now-windowsMost {
 		return
@@ -109,7 +115,8 @@
 	p.total = max(p.total, r.Total)
 }
 
-// Report returns what a router is known to have counted in a window, Final if so.
+// Report returns the known counts of a router in a window as a report to send. final sets its
+// Final and Total.
 func (b *Book) Report(t Teller, w Window, final bool) Report {
 	r := Report{Teller: t, Window: w, Final: final, Counts: Counts{}}
 	if p := b.windows[w][t]; p != nil {
@@ -121,14 +128,14 @@
 	return r
 }
 
-// Complete reports whether all that a router counted in a window is known.
+// Complete reports whether all counts of one incarnation of a router in a window are known.
 func (b *Book) Complete(t Teller, w Window) bool {
 	p := b.windows[w][t]
 	return p != nil && p.complete()
 }
 
-// Missing returns those of some routers of which not all is known that they counted in a
-// window: no life of theirs has told of it, or one has not told it to the end.
+// Missing returns, in order, the names of those routers whose counts in a window are not all known:
+// no incarnation of the router has reported the window, or one of them not completely.
 func (b *Book) Missing(w Window, routers []string) (missing []string) {
 	heard, untold := make(map[string]bool), make(map[string]bool)
 	for t, p := range b.windows[w] {
@@ -144,7 +151,7 @@
 	return missing
 }
 
-// Sum returns the requests of a window that are known, of all routers.
+// Sum returns the known counts of a window, added over all routers.
 func (b *Book) Sum(w Window) Counts {
 	sum := make(Counts)
 	for _, p := range b.windows[w] {
@@ -155,7 +162,7 @@
 	return sum
 }
 
-// Forget forgets the windows that are not kept any more, in the window now.
+// Expire drops the windows that Merge would ignore in the window now.
 func (b *Book) Forget(now Window) {
 	maps.DeleteFunc(b.windows, func(w Window, _ map[Teller]*part) bool { return w <= now-windowsMost || w > now+1 })
 }
--- a/pkg/usage/book_test.go
+++ b/pkg/usage/book_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Whatever order reports come in, lost, doubled or late, the last ones of all routers add up to
-// what these counted, and a router is missing until all of it is known.
+// Whether reports are reordered, lost, duplicated or late: the final ones of all routers add up to
+// what these counted, and a router is missing until all its counts are known.
 func TestReportsAddUp(t *testing.T) {
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
@@ -55,7 +55,7 @@
 		rnd.Shuffle(len(mail), func(i, j int) { mail[i], mail[j] = mail[j], mail[i] })
 		for _, r := range mail {
 			if r.Final && len(hearer.Missing(now, []string{r.Teller.Router})) == 0 {
-				t.Fatalf("seed %d: %s is not missing before it told all", seed, r.Teller.Router)
+				t.Fatalf("seed %d: %s is not missing before its final report", seed, r.Teller.Router)
 			}
 			for range 1 + rnd.IntN(2) {
 				hearer.Take(r, now)
@@ -70,7 +70,8 @@
 	}
 }
 
-// A life that ended without telling all keeps its router missing, and what it told counts.
+// An incarnation that ended without a final report keeps its router missing, and the counts that it
+// reported are summed.
 func TestLivesCountApart(t *testing.T) {
 	b := NewBook()
 	b.Take(Report{Teller: Teller{"a", 1}, Window: 7, Counts: Counts{"w": 3}}, 7)
@@ -83,7 +84,7 @@
 	}
 }
 
-// A report in parts is complete once all of them have come.
+// A report that is sent in parts is complete once all parts have been merged.
 func TestPartsOfAReport(t *testing.T) {
 	b, a := NewBook(), Teller{"a", 1}
 	b.Take(Report{Teller: a, Window: 7, Final: true, Total: 5, Counts: Counts{"v": 2}}, 7)
@@ -96,7 +97,7 @@
 	}
 }
 
-// Memory is bounded: windows far off are not kept, and old ones are forgotten.
+// Memory is bounded: windows far from the current one are not stored, and old ones expire.
 func TestBookIsBounded(t *testing.T) {
 	b, a := NewBook(), Teller{"a", 1}
 	for _, w := range []Window{100 - windowsMost, 102, -1 << 40} {
--- a/pkg/usage/window.go
+++ b/pkg/usage/window.go
@@ -9,16 +9,17 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Window numbers a span of true time: window k begins k lengths after the start of 1970.
+// Window is the number of a window, an interval of true time of a fixed length: window k begins k
+// lengths after the start of 1970 (UTC).
 type Window int64
 
-// Clock divides true time into windows.
+// Clock divides true time into windows of one length.
 type Clock struct {
-	// Length is that of a window; over 0.
+	// Length is the length of a window. It must be positive.
 	Length config.Span
 }
 
-// At returns the window that a time lies in.
+// At returns the window that contains t. The start of a window belongs to it, its end does not.
 func (c Clock) At(t time.Time) Window {
 	n, length := t.UnixNano(), int64(c.Length)
 	k := n / length
@@ -28,5 +29,5 @@
 	return Window(k)
 }
 
-// End returns when a window ends.
+// End returns the end of a window, which is the start of the next one.
 func (c Clock) End(w Window) time.Time { return time.Unix(0, (int64(w)+1)*int64(c.Length)) }
