--- a/pkg/poison/book.go
+++ b/pkg/poison/book.go
@@ -51,7 +51,7 @@
 	// suspects: the older crashes of a suspect would otherwise seem to have come alone.
 	recentMost = 256
 	// retryInterval is the interval at which one process lets a request through after Until. If
-	// it crashes its endpoint, all processes know of that sooner.
+	// the request crashes its endpoint, all processes know of that within a shorter time.
 	tryEvery = 5 * time.Second
 	// retryRankDelay is the additional delay per rank before a process lets a request through.
 	tryStep = 2 * time.Second
--- a/pkg/poison/judge.go
+++ b/pkg/poison/judge.go
@@ -50,15 +50,15 @@
 
 const (
 	// minCrashes is the number of endpoints that must have crashed under a request for it to be
-	// quarantined. The requirement limits the crashes from the third on.
+	// quarantined. The specified limit on attempts counts from the third crash on.
 	crashesLeast = 3
 	// sufficientCrashes is the number of crashes that is enough without the test against chance,
-	// if no quarantined request explains at least one of them: the requirement allows three more
-	// than minCrashes. Where a third of the endpoints crash together every 3.5 s for other
-	// reasons, one request in two hundred meets three crashes by chance.
+	// if no quarantined request explains at least one of them: the specified limit allows three
+	// more than minCrashes. minCrashes alone is no proof: where a third of the endpoints crash
+	// together every 3.5 s, one request in two hundred meets three crashes by chance.
 	crashesMost = 5
 	// unconditionalCrashes is the number of crashes that is enough even if quarantined requests
-	// explain each of them, as when a hundred requests crash endpoints at once: the requirement
+	// explain each of them, as when a hundred requests crash endpoints at once: the specified limit
 	// allows no more than three beyond minCrashes.
 	crashesEver = 6
 	// minWeight is the weight from which crashes are taken as proof: the negative natural
