--- a/pkg/duty/machine.go
+++ b/pkg/duty/machine.go
@@ -109,7 +109,7 @@
 	rec          Record
 	known, whole bool
 	// knownAt is when rec's revision became known. holderSeenAt is when gossip was last received
-	// from its holder.
+	// from its holder, or knownAt if that is later.
 	knownAt, heardAt time.Time
 	// holderResigned is set if rec's holder has resigned, as its gossip reports.
 	handed bool
