--- a/cmd/traildrift/duties.go
+++ b/cmd/traildrift/duties.go
@@ -37,8 +37,8 @@
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(w, "holder\t%s\n", r.Holder)
-	fmt.Fprintf(w, "fence\t%d\n", r.HeldUnder())
-	fmt.Fprintf(w, "held before by\t%s\n", strings.Join(r.Past, ", "))
+	fmt.Fprintf(w, "fence\t%d\n", r.EffectiveFence())
+	fmt.Fprintf(w, "held before by\t%s\n", strings.Join(r.PastHolders, ", "))
 	fmt.Fprintf(w, "newest settled window\t%s\n", a.named(r.Settled))
 	fmt.Fprintf(w, "next window due from\t%s\n", a.end(r.Settled+1))
 	for _, u := range r.Unsent {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -93,7 +93,7 @@
 func New(s Settings) (*Entry, error) {
 	s.fill()
 	e := &Entry{settings: s, startedAt: time.Now(), owed: make(map[wire.RunKey]*peer)}
-	e.quarantine.book = poison.NewBook()
+	e.quarantine.book = poison.NewDetector()
 	e.peers = &peers{e: e, byVM: make(map[string]*peer)}
 	p, err := proc.New(s.Common, proc.Options{
 		Role:     store.RoleEntry,
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -21,7 +21,7 @@
 // entry sends such a request to endpoints that it sees crash under it, whoever sent it there.
 type quarantine struct {
 	mu   sync.Mutex
-	book *poison.Book
+	book *poison.Detector
 }
 
 // alone is the rank of an entry: each tries a request again by itself once its time is over.
@@ -48,7 +48,7 @@
 		return nil
 	}
 	p := r.fingerprint()
-	if due, ok := q.book.JudgedAt(p); ok {
+	if due, ok := q.book.JudgeDueAt(p); ok {
 		q.mu.Unlock()
 		tasks.Pause(r.ctx, due)
 		q.mu.Lock()
@@ -82,7 +82,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.book.Empty() {
-		q.book.Whole(e.Now(), r.fingerprint())
+		q.book.RecordSuccess(e.Now(), r.fingerprint())
 	}
 }
 
@@ -105,7 +105,7 @@
 			continue
 		}
 		at := now.Add(-time.Duration(c.AgoMs) * time.Millisecond)
-		q.book.Crashed(at, f, pool.HashOf(p.vm.Name), time.Duration(c.AgeMs)*time.Millisecond, true)
+		q.book.RecordCrash(at, f, pool.HashOf(p.vm.Name), time.Duration(c.AgeMs)*time.Millisecond, true)
 	}
 }
 
--- a/internal/peers/crash.go
+++ b/internal/peers/crash.go
@@ -40,7 +40,7 @@
 	// verdictsMost is how many verdicts one datagram takes, and crashesTold how many crashes
 	// of each.
 	verdictsMost = 6
-	crashesTold  = poison.ToldTogether
+	crashesTold  = poison.MaxReportedCrashes
 )
 
 // VerdictsAgain is how many verdicts are worth telling again at a time.
--- a/internal/peers/crash_test.go
+++ b/internal/peers/crash_test.go
@@ -132,9 +132,9 @@
 			return
 		}
 		// Whatever it says, it may be taken over.
-		book := poison.NewBook()
+		book := poison.NewDetector()
 		for _, v := range list {
-			book.Learn(now, v)
+			book.Merge(now, v)
 		}
 		again, err := encodeVerdicts(nil, list, now)
 		if err != nil || len(list) > 0 && len(again) == 0 {
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -22,7 +22,7 @@
 type UsageReport struct {
 	usage.Report
 	// Word is what the teller knows of the duties, Clock what its clock alone shows.
-	Word  duty.Word
+	Word  duty.Gossip
 	Clock time.Time
 	// token is the teller's, for the answer.
 	token []byte
@@ -37,7 +37,7 @@
 	Life     uint64
 	Window   usage.Window
 	Complete bool
-	Word     duty.Word
+	Word     duty.Gossip
 	// Clock is the true time as the hearer knows it.
 	Clock time.Time
 }
@@ -89,8 +89,8 @@
 }
 
 // appendWord appends a word.
-func appendWord(b []byte, w duty.Word) ([]byte, error) {
-	h := wordHead{Life: w.Life, Revision: w.Revision, Settled: int64(w.Settled)}
+func appendWord(b []byte, w duty.Gossip) ([]byte, error) {
+	h := wordHead{Life: w.Incarnation, Revision: w.Revision, Settled: int64(w.Settled)}
 	if w.Resigned {
 		h.Flags = flagResigned
 	}
@@ -120,19 +120,19 @@
 }
 
 // readWord reads what appendWord appended.
-func readWord(b []byte) (w duty.Word, rest []byte, err error) {
+func readWord(b []byte) (w duty.Gossip, rest []byte, err error) {
 	h, b, err := fixed[wordHead](b)
 	if err != nil {
 		return w, nil, err
 	}
-	w = duty.Word{Life: h.Life, Revision: h.Revision, Settled: usage.Window(h.Settled), Resigned: h.Flags&flagResigned != 0}
+	w = duty.Gossip{Incarnation: h.Life, Revision: h.Revision, Settled: usage.Window(h.Settled), Resigned: h.Flags&flagResigned != 0}
 	w.Holder, rest, err = readName(b)
 	return w, rest, err
 }
 
 // encodeUsage returns the datagrams that hold a report, each with a part of the counts.
 func encodeUsage(r *UsageReport) (list [][]byte, err error) {
-	h := usageHead{Clock: r.Clock.UnixMilli(), Life: r.Teller.Life, Window: int64(r.Window), Total: r.Total}
+	h := usageHead{Clock: r.Clock.UnixMilli(), Life: r.Reporter.Incarnation, Window: int64(r.Window), Total: r.Total}
 	copy(h.Token[:], r.token)
 	if r.Final {
 		h.Flags = flagFinal
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
-	head = appendName(head, r.Teller.Router)
+	head = appendName(head, r.Reporter.Router)
 	if head, err = appendWord(head, r.Word); err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
@@ -163,8 +163,8 @@
 		return nil, err
 	}
 	r := &UsageReport{Clock: time.UnixMilli(h.Clock), token: h.Token[:]}
-	r.Teller.Life, r.Window, r.Total, r.Final = h.Life, usage.Window(h.Window), h.Total, h.Flags&flagFinal != 0
-	if r.Teller.Router, b, err = readName(b); err != nil {
+	r.Reporter.Incarnation, r.Window, r.Total, r.Final = h.Life, usage.Window(h.Window), h.Total, h.Flags&flagFinal != 0
+	if r.Reporter.Router, b, err = readName(b); err != nil {
 		return nil, err
 	}
 	if r.Word, b, err = readWord(b); err != nil {
@@ -244,7 +244,7 @@
 		n.Log.Error("peers: An answer about usage could not be encoded.", logs.Err(err))
 		return
 	}
-	n.Traffic.Usage.Add(n.sendOne(Peer{Name: r.Teller.Router, Addr: from, Token: string(r.token)}, answer))
+	n.Traffic.Usage.Add(n.sendOne(Peer{Name: r.Reporter.Router, Addr: from, Token: string(r.token)}, answer))
 }
 
 // hearUsageAnswer decodes a UsageAnswer.
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -254,12 +254,12 @@
 			e.runProbe(ctx, p)
 		case <-e.judging:
 			if !waiting {
-				settled.Reset(poison.SettleFor)
+				settled.Reset(poison.SettleDelay)
 			}
 			waiting = true
 		case <-settled.C:
 			if waiting = e.judge(); waiting {
-				settled.Reset(poison.SettleFor / 2)
+				settled.Reset(poison.SettleDelay / 2)
 			}
 		case <-ctx.Done():
 			return nil
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -89,7 +89,7 @@
 	book *pool.Book
 	// crashes holds the requests under which endpoints crashed, and lapsed those that were
 	// forgotten and are still stored.
-	crashes *poison.Book
+	crashes *poison.Detector
 	lapsed  []poison.Fingerprint
 	// judging says that suspects are to be judged once word of crashes has settled.
 	judging chan struct{}
@@ -138,7 +138,7 @@
 		Senders:     func(uint64) (pool.Senders, uint64, bool) { return pool.Senders{}, 0, false },
 		failures:    rate.NewLimiter(failuresPerSecond, failuresPerSecond),
 		book:        pool.NewBook(),
-		crashes:     poison.NewBook(),
+		crashes:     poison.NewDetector(),
 		judging:     make(chan struct{}, 1),
 		probes:      make(chan pool.Entry, probesMost),
 		Quarantines: aloneQuarantines,
@@ -160,7 +160,7 @@
 		rolls:       make(map[string]*rollout),
 		counts:      newCounts(scope),
 	}
-	e.crashes.Held = e.logHeld
+	e.crashes.OnHeld = e.logHeld
 	e.lines.init()
 	e.still = clock.Still{Boot: func() time.Duration { return e.Boot() }, Now: func() time.Time { return e.Now() }, Least: stillLeast}
 	e.startedAt = time.Now()
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -78,7 +78,7 @@
 	e.mu.Lock()
 	due, waits := time.Time{}, false
 	if !e.crashes.Empty() {
-		due, waits = e.crashes.JudgedAt(x.fingerprint())
+		due, waits = e.crashes.JudgeDueAt(x.fingerprint())
 	}
 	e.mu.Unlock()
 	if waits {
@@ -97,14 +97,14 @@
 	asks := false
 	if !e.crashes.Empty() {
 		p := x.fingerprint()
-		if dropped := e.droppedAt(p, nil); e.crashes.EnoughWith(p, len(dropped)) {
+		if dropped := e.droppedAt(p, nil); e.crashes.ReachesThreshold(p, len(dropped)) {
 			asks = true
 			e.probeAll(dropped)
 		}
 	}
 	e.mu.Unlock()
 	if asks {
-		tasks.Pause(ctx, e.Now().Add(poison.SettleFor))
+		tasks.Pause(ctx, e.Now().Add(poison.SettleDelay))
 	}
 }
 
@@ -149,7 +149,7 @@
 	if own {
 		why = "an endpoint crashed under it here"
 	}
-	changed, pending := e.crashes.Crashed(now, r.Fingerprint, r.Endpoint, r.Age, own)
+	changed, pending := e.crashes.RecordCrash(now, r.Fingerprint, r.Endpoint, r.Age, own)
 	e.tellVerdicts(changed, why)
 	if !pending {
 		return
@@ -217,13 +217,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.learnVerdict(&v, "the store holds it")
-	e.crashes.Stored(v.Fingerprint, v.Round)
+	e.crashes.SetStoredRound(v.Fingerprint, v.Round)
 }
 
 // learnVerdict takes over a verdict; mu is held.
 func (e *Engine) learnVerdict(v *poison.Verdict, why string) {
 	was := e.crashes.Round(v.Fingerprint)
-	if e.crashes.Learn(e.Now(), *v) && v.Round != was {
+	if e.crashes.Merge(e.Now(), *v) && v.Round != was {
 		e.logVerdict(v, why)
 	}
 }
@@ -233,7 +233,7 @@
 func (e *Engine) DropVerdict(p poison.Fingerprint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if v := e.crashes.Removed(e.Now(), p); v != nil {
+	if v := e.crashes.RecordRemoval(e.Now(), p); v != nil {
 		e.tellVerdicts([]poison.Verdict{*v}, "it was removed from the store")
 	}
 }
@@ -242,7 +242,7 @@
 // new; mu is held.
 func (e *Engine) cleared(p poison.Fingerprint, now time.Time) bool {
 	known := e.crashes.Crashes(p) > 0 || e.crashes.Round(p)%2 == 1
-	if v := e.crashes.Whole(now, p); v != nil {
+	if v := e.crashes.RecordSuccess(now, p); v != nil {
 		e.tellVerdicts([]poison.Verdict{*v}, "an endpoint answered it whole")
 	}
 	return known
@@ -298,7 +298,7 @@
 func (e *Engine) tendQuarantines(now time.Time) {
 	e.mu.Lock()
 	e.lapsed = append(e.lapsed, e.crashes.Expire(now)...)
-	fresh := e.crashes.Fresh(now, e.Quarantines.AgainMost)
+	fresh := e.crashes.RecentChanges(now, e.Quarantines.AgainMost)
 	suspects, quarantined := e.crashes.Counts()
 	e.mu.Unlock()
 	e.counts.suspects.Update(float64(suspects))
@@ -322,7 +322,7 @@
 func (e *Engine) ForStarting() []poison.Verdict {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append(e.crashes.Fresh(e.Now(), startersMost), e.crashes.Suspicions(suspectsTold)...)
+	return append(e.crashes.RecentChanges(e.Now(), startersMost), e.crashes.Suspicions(suspectsTold)...)
 }
 
 // Unstored returns a verdict that this router should store, or remove from the store if it was
@@ -349,5 +349,5 @@
 func (e *Engine) Stored(p poison.Fingerprint, round int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.crashes.Stored(p, round)
+	e.crashes.SetStoredRound(p, round)
 }
--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -57,14 +57,14 @@
 	windows usage.Clock
 	// late is how long after its end a window's report is due.
 	late config.Span
-	self usage.Teller
+	self usage.Reporter
 	// clock tells the true time; its own hand is that of the machine, as it counts suspensions.
 	clock *clock.Common
 	// reachable reports whether the store was heard of lately.
 	reachable func() bool
 	// mu guards what follows.
 	mu      sync.Mutex
-	book    *usage.Book
+	book    *usage.Counter
 	machine *duty.Machine
 	// told holds what other routers were told of windows.
 	told map[tellKey]*telling
@@ -88,9 +88,9 @@
 	common := clock.NewCommon(r.Engine.Boot, time.Now())
 	d := &duties{
 		log: r.Log, scope: r.admin.Scope.SubScope("duties"), wire: r.wire.Duties, fleet: r.fleet, notes: r.notes,
-		windows: usage.Clock{Length: s.UsageWindow}, late: s.UsageLate, self: usage.Teller{Router: s.VM, Life: life}, clock: common,
+		windows: usage.Clock{Length: s.UsageWindow}, late: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: life}, clock: common,
 		reachable: func() bool { return time.Since(r.mirror.Proven(r.wire.ConfigKind)) <= reachedWithin },
-		book:      usage.NewBook(), machine: duty.New(s.VM, life, s.DutyLease, common.Own()), told: make(map[tellKey]*telling),
+		book:      usage.NewCounter(), machine: duty.New(s.VM, life, s.DutyLease, common.Own()), told: make(map[tellKey]*telling),
 	}
 	r.Engine.Began = d.began
 	r.notes.OnUsage, r.notes.OnUsageAnswer = d.heard, d.answered
@@ -135,9 +135,9 @@
 // view returns what the machine needs to know; mu is held.
 func (d *duties) view(now time.Time) duty.View {
 	rec, _ := d.machine.Record()
-	v := duty.View{Rank: d.fleet.Before(time.Now(), rec.Holder), Others: d.fleet.Len() - 1, Reachable: d.reachable(), Now: d.windows.At(d.clock.Now())}
+	v := duty.View{Rank: d.fleet.Before(time.Now(), rec.Holder), Peers: d.fleet.Len() - 1, StoreReachable: d.reachable(), Window: d.windows.At(d.clock.Now())}
 	if d.machine.Holds(now) {
-		v.Ready = d.ready(v.Now)
+		v.Ready = d.ready(v.Window)
 	}
 	return v
 }
@@ -146,7 +146,7 @@
 func (d *duties) do(ctx context.Context, a duty.Action) (duty.Outcome, duty.Record, error) {
 	until := dutyCall.After(time.Now())
 	if a.Kind == duty.Send {
-		until = time.Now().Add(a.Until.Sub(d.clock.Own()))
+		until = time.Now().Add(a.Deadline.Sub(d.clock.Own()))
 	}
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -184,7 +184,7 @@
 // logHolder tells when the duties have another holder; mu is held.
 func (d *duties) logHolder(now time.Time) {
 	rec, known := d.machine.Record()
-	if !known || rec.Holder == d.logged.Holder && rec.Life == d.logged.Life {
+	if !known || rec.Holder == d.logged.Holder && rec.Incarnation == d.logged.Incarnation {
 		return
 	}
 	d.logged = rec
@@ -193,7 +193,7 @@
 		d.toldAt = time.Time{}
 	}
 	d.log.Info("router: The duties of one VM have a holder.", zap.String("holder", rec.Holder), zap.Int64("revision", rec.Revision),
-		zap.Bool("self", d.machine.Holds(now)), zap.Strings("past", rec.Past), zap.Int64("settled", int64(rec.Settled)), zap.Int("unsent", len(rec.Unsent)))
+		zap.Bool("self", d.machine.Holds(now)), zap.Strings("past", rec.PastHolders), zap.Int64("settled", int64(rec.Settled)), zap.Int("unsent", len(rec.Unsent)))
 }
 
 // logDone tells what became of an action.
--- a/internal/router/usage.go
+++ b/internal/router/usage.go
@@ -86,7 +86,7 @@
 	var due []sending
 	now, own := d.clock.Now(), d.clock.Own()
 	current := d.windows.At(now)
-	d.book.Forget(current)
+	d.book.Expire(current)
 	d.logHolder(own)
 	targets := d.targets()
 	running := !own.Before(d.toldAt.Add(d.tellPause()))
@@ -96,7 +96,7 @@
 	for w := current; w > current-backMost && now.Before(d.late.After(d.windows.End(w))); w-- {
 		for _, p := range targets {
 			if w < current && d.tellsEnd(tellKey{p.Name, w}, now, own) || w == current && running {
-				report := peers.UsageReport{Report: d.book.Report(d.self, w, w < current || d.stops), Word: d.machine.Word(own), Clock: own}
+				report := peers.UsageReport{Report: d.book.Report(d.self, w, w < current || d.stops), Word: d.machine.Gossip(own), Clock: own}
 				due = append(due, sending{report, p})
 			}
 		}
@@ -161,14 +161,14 @@
 
 // heard takes over the report of another router.
 func (d *duties) heard(r peers.UsageReport) (peers.UsageAnswer, bool) {
-	d.clock.Heard(r.Teller.Router, r.Clock)
+	d.clock.Heard(r.Reporter.Router, r.Clock)
 	now, own := d.clock.Now(), d.clock.Own()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.book.Take(r.Report, d.windows.At(now))
-	d.machine.Heard(own, r.Teller.Router, r.Word)
+	d.book.Merge(r.Report, d.windows.At(now))
+	d.machine.ReceiveGossip(own, r.Reporter.Router, r.Word)
 	return peers.UsageAnswer{
-		Router: d.self.Router, Life: r.Teller.Life, Window: r.Window, Complete: d.book.Complete(r.Teller, r.Window), Word: d.machine.Word(own), Clock: now,
+		Router: d.self.Router, Life: r.Reporter.Incarnation, Window: r.Window, Complete: d.book.Complete(r.Reporter, r.Window), Word: d.machine.Gossip(own), Clock: now,
 	}, true
 }
 
@@ -177,8 +177,8 @@
 	d.clock.Heard(a.Router, a.Clock)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.machine.Heard(d.clock.Own(), a.Router, a.Word)
-	if t := d.told[tellKey{a.Router, a.Window}]; t != nil && a.Complete && a.Life == d.self.Life {
+	d.machine.ReceiveGossip(d.clock.Own(), a.Router, a.Word)
+	if t := d.told[tellKey{a.Router, a.Window}]; t != nil && a.Complete && a.Life == d.self.Incarnation {
 		t.complete = true
 	}
 }
@@ -193,7 +193,7 @@
 	routers := d.fleet.Names()
 	for w := first; ended(w); w++ {
 		end := d.windows.End(w)
-		d.book.Take(d.book.Report(d.self, w, true), current)
+		d.book.Merge(d.book.Report(d.self, w, true), current)
 		missing := d.book.Missing(w, routers)
 		waits := settleMost
 		if 2*len(missing) > len(routers) {
--- a/pkg/duty/machine.go
+++ b/pkg/duty/machine.go
@@ -37,11 +37,11 @@
 	Record Record
 	// Report is the report to send, with the fencing token Fence, for Send. The call must have ended
 	// at Deadline.
-	Report Report
-	Fence  int64
-	Until  time.Time
+	Report   Report
+	Fence    int64
+	Deadline time.Time
 	// IssuedAt is when Next returned the action.
-	At time.Time
+	IssuedAt time.Time
 }
 
 // Outcome is the result of an Action.
@@ -67,13 +67,13 @@
 type View struct {
 	// Rank is the number of connected routers that come before this one in the order of takeover,
 	// not counting the holder. Peers is the number of connected routers besides this one.
-	Rank, Others int
-	// Reachable is set if the store has answered lately.
-	Reachable bool
+	Rank, Peers int
+	// StoreReachable is set if the store has answered lately.
+	StoreReachable bool
 	// Ready holds the reports that may be settled, in the order of windows.
 	Ready []Report
 	// Window is the current window.
-	Now usage.Window
+	Window usage.Window
 }
 
 const (
@@ -152,7 +152,9 @@
 
 // mine reports whether this incarnation of the router is the holder, according to the newest known
 // record.
-func (m *Machine) mine() bool { return m.known && m.rec.Holder == m.self && m.rec.Life == m.life }
+func (m *Machine) mine() bool {
+	return m.known && m.rec.Holder == m.self && m.rec.Incarnation == m.life
+}
 
 // resigned reports whether this router has resigned or stopped.
 func (m *Machine) resigned(now time.Time) bool { return m.stops || now.Before(m.resignedUntil) }
@@ -169,10 +171,10 @@
 func (m *Machine) Record() (r Record, known bool) { return m.rec, m.known }
 
 // Gossip returns the message to send to other routers.
-func (m *Machine) Word(now time.Time) Word {
-	w := Word{Settled: m.settled}
+func (m *Machine) Gossip(now time.Time) Gossip {
+	w := Gossip{Settled: m.settled}
 	if m.known {
-		w.Holder, w.Life, w.Revision = m.rec.Holder, m.rec.Life, m.rec.Revision
+		w.Holder, w.Incarnation, w.Revision = m.rec.Holder, m.rec.Incarnation, m.rec.Revision
 		w.Resigned = m.handed
 		if m.mine() {
 			// A call in progress may still reach the platform.
@@ -183,13 +185,13 @@
 }
 
 // ReceiveGossip merges a message received from the router of the VM named from.
-func (m *Machine) Heard(now time.Time, from string, w Word) {
+func (m *Machine) ReceiveGossip(now time.Time, from string, w Gossip) {
 	m.settled = max(m.settled, w.Settled)
 	if w.Holder == "" || w.Revision <= m.removed {
 		return
 	}
 	if !m.known || w.Revision > m.rec.Revision {
-		m.rec = Record{Holder: w.Holder, Life: w.Life, Revision: w.Revision, Settled: m.settled}
+		m.rec = Record{Holder: w.Holder, Incarnation: w.Incarnation, Revision: w.Revision, Settled: m.settled}
 		m.known, m.whole, m.handed = true, false, false
 		m.actsUntil = time.Time{}
 		m.knownAt, m.heardAt = now, now
@@ -209,23 +211,23 @@
 	if m.under || now.Before(m.notBefore) {
 		return Action{}
 	}
-	m.others = v.Others
+	m.others = v.Peers
 	var a Action
 	switch {
 	case m.resigned(now):
-	case m.unsure && v.Reachable:
+	case m.unsure && v.StoreReachable:
 		a.Kind = Read
 	case m.mine() && m.whole:
 		a = m.hold(now, v)
-	case v.Reachable:
+	case v.StoreReachable:
 		a = m.seek(now, v)
 	}
 	if a.Kind != Nothing {
-		a.At, m.under = now, true
+		a.IssuedAt, m.under = now, true
 	}
 	if a.Kind == Write || a.Kind == Create {
 		m.turn++
-		m.wroteAt, a.Record.Turn = now, m.turn
+		m.wroteAt, a.Record.WriteSeq = now, m.turn
 	}
 	return a
 }
@@ -239,10 +241,10 @@
 	}
 	unsent := m.unsent()
 	if unsent != nil && actLeast.After(now).Before(m.actsUntil) {
-		return Action{Kind: Send, Report: *unsent, Fence: m.rec.HeldUnder(), Until: m.actsUntil}
+		return Action{Kind: Send, Report: *unsent, Fence: m.rec.EffectiveFence(), Deadline: m.actsUntil}
 	}
-	if v.Reachable && (unsent != nil || len(v.Ready) > 0) {
-		return Action{Kind: Write, Record: m.rec.renewed(v.Ready, m.sent, v.Now)}
+	if v.StoreReachable && (unsent != nil || len(v.Ready) > 0) {
+		return Action{Kind: Write, Record: m.rec.renewed(v.Ready, m.sent, v.Window)}
 	}
 	return Action{}
 }
@@ -273,7 +275,7 @@
 		if now.Before(m.lease.After(m.startedAt).Add(rank * time.Duration(rankStep))) {
 			return Action{}
 		}
-		return Action{Kind: Create, Record: Record{Holder: m.self, Life: m.life, Fresh: true, Settled: max(m.settled, v.Now-1)}}
+		return Action{Kind: Create, Record: Record{Holder: m.self, Incarnation: m.life, Fresh: true, Settled: max(m.settled, v.Window-1)}}
 	}
 	if now.Before(m.takeAt(rank)) {
 		return Action{}
@@ -281,7 +283,7 @@
 	if !m.whole {
 		return Action{Kind: Read}
 	}
-	return Action{Kind: Write, Record: m.rec.taken(m.self, m.life, v.Now)}
+	return Action{Kind: Write, Record: m.rec.taken(m.self, m.life, v.Window)}
 }
 
 // takeAt returns when this router, of the given rank, may take the duties over. The holder's calls
@@ -293,7 +295,7 @@
 	case m.rec.Holder == m.self:
 		// The holder is an earlier incarnation of this router, or this one before it resigned.
 		return m.knownAt
-	case m.handed && !slices.Contains(m.rec.Past, m.self):
+	case m.handed && !slices.Contains(m.rec.PastHolders, m.self):
 		return m.knownAt.Add(rank * time.Duration(handStep))
 	default:
 		// holderSeenAt is never before knownAt.
@@ -353,7 +355,7 @@
 	m.settled = max(m.settled, r.Settled)
 	m.rec.Settled = m.settled
 	m.actsUntil = time.Time{}
-	if m.mine() && r.Turn == m.turn {
+	if m.mine() && r.WriteSeq == m.turn {
 		// If the record comes from a read or a conflict, the write may have been performed long
 		// ago, but not before it was issued.
 		m.actsUntil = m.authority(m.wroteAt)
--- a/pkg/duty/machine_test.go
+++ b/pkg/duty/machine_test.go
@@ -137,7 +137,7 @@
 	if w.now.Before(a.frozen) || w.now.Before(a.down) {
 		return
 	}
-	action := a.m.Next(w.now, View{Rank: a.rank, Others: len(w.actors) - 1, Reachable: !w.now.Before(w.storeDown), Ready: w.ready(a), Now: w.window()})
+	action := a.m.Next(w.now, View{Rank: a.rank, Peers: len(w.actors) - 1, StoreReachable: !w.now.Before(w.storeDown), Ready: w.ready(a), Window: w.window()})
 	if action.Kind == Nothing {
 		return
 	}
@@ -190,10 +190,10 @@
 // send sends a report to the platform. It arrives before the action's deadline, or never.
 func (w *world) send(a *actor, action Action, out, back time.Duration, end func(Outcome, Record) func(time.Time)) {
 	if w.chance(0.3) {
-		out = w.upTo(action.Until.Sub(w.now))
+		out = w.upTo(action.Deadline.Sub(w.now))
 	}
-	if w.chance(0.2) || w.now.Add(out).After(action.Until) {
-		w.after(action.Until.Sub(w.now), end(Unknown, Record{}))
+	if w.chance(0.2) || w.now.Add(out).After(action.Deadline) {
+		w.after(action.Deadline.Sub(w.now), end(Unknown, Record{}))
 		return
 	}
 	w.after(out, func(now time.Time) {
@@ -215,8 +215,8 @@
 			if from == to || silent(from) || silent(to) || w.chance(0.1) {
 				continue
 			}
-			word, m := from.m.Word(w.now), to.m
-			w.after(w.upTo(20*time.Millisecond), func(now time.Time) { m.Heard(now, from.vm, word) })
+			word, m := from.m.Gossip(w.now), to.m
+			w.after(w.upTo(20*time.Millisecond), func(now time.Time) { m.ReceiveGossip(now, from.vm, word) })
 		}
 	}
 }
@@ -384,11 +384,11 @@
 		{"vm-b", nil, start},
 	} {
 		m := New(c.vm, 1, config.Span(leaseOf), start)
-		m.adopt(start, Record{Holder: "vm-b", Life: 2, Past: c.past, Revision: 7})
-		m.Heard(start, "vm-b", Word{Holder: "vm-b", Life: 2, Revision: 7, Resigned: true})
+		m.adopt(start, Record{Holder: "vm-b", Incarnation: 2, PastHolders: c.past, Revision: 7})
+		m.ReceiveGossip(start, "vm-b", Gossip{Holder: "vm-b", Incarnation: 2, Revision: 7, Resigned: true})
 		var got time.Time
 		for now := start; got.IsZero() && now.Before(start.Add(2*leaseOf)); now = now.Add(tick) {
-			if a := m.Next(now, View{Others: 2, Reachable: true}); a.Kind == Write {
+			if a := m.Next(now, View{Peers: 2, StoreReachable: true}); a.Kind == Write {
 				got = now
 			}
 		}
--- a/pkg/duty/record.go
+++ b/pkg/duty/record.go
@@ -22,16 +22,16 @@
 type Record struct {
 	// Holder is the name of the VM that holds the duties. Incarnation identifies its router's
 	// process.
-	Holder string `json:"holder"`
-	Life   uint64 `json:"life,string"`
+	Holder      string `json:"holder"`
+	Incarnation uint64 `json:"life,string"`
 	// Fence is the fencing token of the holder's tenure. It is 0 in the write that began the
 	// tenure, as the token is the revision of that write; see EffectiveFence.
 	Fence int64 `json:"fence"`
 	// WriteSeq numbers the writes of the holder's incarnation, by which it recognises its own.
-	Turn int64 `json:"turn"`
+	WriteSeq int64 `json:"turn"`
 	// PastHolders are the names of the VMs that held the duties before, the latest first, at most
 	// maxPastHolders.
-	Past []string `json:"past,omitempty"`
+	PastHolders []string `json:"past,omitempty"`
 	// Settled is the newest window whose counts are settled, that is, final. It never decreases.
 	Settled usage.Window `json:"settled"`
 	// Fresh is set if the record was created where there was none and not written since: it is not
@@ -54,7 +54,7 @@
 
 // EffectiveFence returns the fencing token of the current tenure of a stored record: Fence, or
 // Revision if the record began the tenure.
-func (r *Record) HeldUnder() int64 {
+func (r *Record) EffectiveFence() int64 {
 	if r.Fence != 0 {
 		return r.Fence
 	}
@@ -75,11 +75,11 @@
 // over in the window now.
 func (r *Record) taken(vm string, life uint64, now usage.Window) Record {
 	next := r.begun(now)
-	next.Holder, next.Life, next.Fence = vm, life, 0
+	next.Holder, next.Incarnation, next.Fence = vm, life, 0
 	if r.Holder != "" && r.Holder != vm {
-		past := slices.DeleteFunc(slices.Clone(r.Past), func(name string) bool { return name == r.Holder })
-		next.Past = slices.Insert(past, 0, r.Holder)
-		next.Past = next.Past[:min(len(next.Past), pastMost)]
+		past := slices.DeleteFunc(slices.Clone(r.PastHolders), func(name string) bool { return name == r.Holder })
+		next.PastHolders = slices.Insert(past, 0, r.Holder)
+		next.PastHolders = next.PastHolders[:min(len(next.PastHolders), pastMost)]
 	}
 	return next
 }
@@ -88,7 +88,7 @@
 // settled reports, and drops those that the platform has accepted, as sent returns.
 func (r *Record) renewed(settled []Report, sent func(usage.Window) bool, now usage.Window) Record {
 	next := r.begun(now)
-	next.Fence = r.HeldUnder()
+	next.Fence = r.EffectiveFence()
 	next.Unsent = slices.DeleteFunc(slices.Clone(r.Unsent), func(u Report) bool { return sent(u.Window) })
 	for _, s := range settled {
 		if s.Window > next.Settled {
@@ -102,11 +102,11 @@
 }
 
 // Gossip is the message by which routers tell one another the newest record and window they know.
-type Word struct {
+type Gossip struct {
 	// Holder is the name of the VM that holds the duties, and Incarnation identifies its router's
 	// process; empty and 0 if none is known.
-	Holder string
-	Life   uint64
+	Holder      string
+	Incarnation uint64
 	// Revision is the revision of the record that names the holder. Settled is the newest window
 	// that the sender knows to be settled.
 	Revision int64
--- a/pkg/poison/book.go
+++ b/pkg/poison/book.go
@@ -11,11 +11,11 @@
 
 // Detector holds the suspects and verdicts that one process knows, with the crashes behind them.
 // Create it with NewDetector. It is not safe for concurrent use.
-type Book struct {
+type Detector struct {
 	// OnHeld is called by Judge when a suspect becomes held: it would be quarantined, but other
 	// suspects were at its crashes. crashes is the number of crashes under it. Set it before the
 	// first crash; it may be nil.
-	Held     func(p Fingerprint, crashes int)
+	OnHeld   func(p Fingerprint, crashes int)
 	suspects map[Fingerprint]*suspect
 	records  map[Fingerprint]*record
 	// causes indexes the records by endpoint: for the hash of an endpoint it holds the requests
@@ -60,15 +60,15 @@
 )
 
 // NewDetector returns a Detector that knows of no requests.
-func NewBook() *Book {
-	return &Book{suspects: make(map[Fingerprint]*suspect), records: make(map[Fingerprint]*record), causes: make(map[uint64][]Fingerprint), pending: make(map[Fingerprint]time.Time)}
+func NewDetector() *Detector {
+	return &Detector{suspects: make(map[Fingerprint]*suspect), records: make(map[Fingerprint]*record), causes: make(map[uint64][]Fingerprint), pending: make(map[Fingerprint]time.Time)}
 }
 
 // Empty reports whether there are neither suspects nor verdicts.
-func (b *Book) Empty() bool { return len(b.suspects) == 0 && len(b.records) == 0 }
+func (b *Detector) Empty() bool { return len(b.suspects) == 0 && len(b.records) == 0 }
 
 // Counts returns the numbers of suspects and of quarantined requests.
-func (b *Book) Counts() (suspects, quarantined int) {
+func (b *Detector) Counts() (suspects, quarantined int) {
 	for _, r := range b.records {
 		if r.InForce() {
 			quarantined++
@@ -79,7 +79,7 @@
 
 // Crashes returns the number of crashes under a suspect; 0 for a request that is not suspected,
 // also if it is quarantined.
-func (b *Book) Crashes(p Fingerprint) int {
+func (b *Detector) Crashes(p Fingerprint) int {
 	if s := b.suspects[p]; s != nil {
 		return len(s.crashes)
 	}
@@ -88,13 +88,13 @@
 
 // ReachesThreshold reports whether a suspect would be judged if so many more endpoints had crashed
 // under it.
-func (b *Book) EnoughWith(p Fingerprint, more int) bool {
+func (b *Detector) ReachesThreshold(p Fingerprint, more int) bool {
 	n := b.Crashes(p)
 	return n > 0 && more > 0 && n+more >= crashesLeast
 }
 
 // Round returns the round of the verdict on a request; 0 if there is none.
-func (b *Book) Round(p Fingerprint) int {
+func (b *Detector) Round(p Fingerprint) int {
 	if r := b.records[p]; r != nil {
 		return r.Round
 	}
@@ -105,7 +105,7 @@
 // there for age. own is set if this process observed the crash itself. It returns the verdicts
 // that are new or changed immediately; pending reports whether Judge has to be called once
 // SettleDelay has passed.
-func (b *Book) Crashed(now time.Time, p Fingerprint, endpoint uint64, age time.Duration, own bool) (changed []Verdict, pending bool) {
+func (b *Detector) RecordCrash(now time.Time, p Fingerprint, endpoint uint64, age time.Duration, own bool) (changed []Verdict, pending bool) {
 	e := Crash{endpoint, now}
 	b.notice(e, own)
 	r := b.records[p]
@@ -123,20 +123,20 @@
 
 // suspect records a crash under a request that is not quarantined, and reports whether the request
 // is to be judged.
-func (b *Book) suspect(now time.Time, p Fingerprint, e Crash, age time.Duration) (pending bool) {
+func (b *Detector) suspect(now time.Time, p Fingerprint, e Crash, age time.Duration) (pending bool) {
 	s := b.suspectOf(p)
 	if !s.add(e, age) || len(s.crashes) < crashesLeast {
 		return false
 	}
 	if _, ok := b.pending[p]; !ok {
-		b.pending[p] = now.Add(SettleFor)
+		b.pending[p] = now.Add(SettleDelay)
 	}
 	return true
 }
 
 // suspectOf returns the suspect for a request. It adds one if there is none, and evicts the one
 // with the oldest latest crash if there are maxSuspects.
-func (b *Book) suspectOf(p Fingerprint) *suspect {
+func (b *Detector) suspectOf(p Fingerprint) *suspect {
 	s := b.suspects[p]
 	if s == nil {
 		s = &suspect{}
@@ -150,13 +150,13 @@
 
 // JudgeDueAt returns the time from which Judge decides on a request; ok is false if no judgement
 // is pending.
-func (b *Book) JudgedAt(p Fingerprint) (at time.Time, ok bool) {
+func (b *Detector) JudgeDueAt(p Fingerprint) (at time.Time, ok bool) {
 	at, ok = b.pending[p]
 	return at, ok
 }
 
 // notice adds a crash to the recent ones, unless it is a duplicate.
-func (b *Book) notice(e Crash, own bool) {
+func (b *Detector) notice(e Crash, own bool) {
 	for i := range b.recent {
 		if r := &b.recent[i]; r.same(e) {
 			r.own = r.own || own
@@ -172,14 +172,14 @@
 // RecordSuccess records that an endpoint answered a request completely, which proves that the
 // request does not crash what runs it. The request is no longer suspected. It returns the verdict
 // if this lifts a quarantine, else nil.
-func (b *Book) Whole(now time.Time, p Fingerprint) *Verdict {
+func (b *Detector) RecordSuccess(now time.Time, p Fingerprint) *Verdict {
 	delete(b.suspects, p)
 	return b.Lift(now, p)
 }
 
 // Lift ends the quarantine of a request and drops its crashes. It returns the lifted verdict, or
 // nil if the request was not quarantined.
-func (b *Book) Lift(now time.Time, p Fingerprint) *Verdict {
+func (b *Detector) Lift(now time.Time, p Fingerprint) *Verdict {
 	r := b.records[p]
 	if r == nil || !r.InForce() {
 		return nil
@@ -192,7 +192,7 @@
 
 // keep replaces the verdict on a request. It evicts the record with the earliest Until if there
 // are maxRecords.
-func (b *Book) keep(now time.Time, v Verdict) {
+func (b *Detector) keep(now time.Time, v Verdict) {
 	r := b.records[v.Fingerprint]
 	if r == nil {
 		if len(b.records) >= recordsMost {
@@ -207,7 +207,7 @@
 }
 
 // grow adds crashes to a record, and reports whether any of them was new.
-func (b *Book) grow(now time.Time, r *record, crashes ...Crash) (grown bool) {
+func (b *Detector) grow(now time.Time, r *record, crashes ...Crash) (grown bool) {
 	known := len(r.Crashes)
 	if r.Crashes, grown = join(r.Crashes, crashes...); grown {
 		b.link(r.Fingerprint, r.Crashes[known:])
@@ -217,14 +217,14 @@
 }
 
 // link adds the crashes of a verdict to the index by endpoint.
-func (b *Book) link(p Fingerprint, crashes []Crash) {
+func (b *Detector) link(p Fingerprint, crashes []Crash) {
 	for _, e := range crashes {
 		b.causes[e.Endpoint] = append(b.causes[e.Endpoint], p)
 	}
 }
 
 // unlink removes the crashes of a record from the index by endpoint.
-func (b *Book) unlink(r *record) {
+func (b *Detector) unlink(r *record) {
 	for _, e := range r.Crashes {
 		list := slices.DeleteFunc(b.causes[e.Endpoint], func(p Fingerprint) bool { return p == r.Fingerprint })
 		if b.causes[e.Endpoint] = list; len(list) == 0 {
@@ -234,7 +234,7 @@
 }
 
 // forget deletes the record of a request, which must exist.
-func (b *Book) forget(p Fingerprint) {
+func (b *Detector) forget(p Fingerprint) {
 	b.unlink(b.records[p])
 	delete(b.records, p)
 }
@@ -243,7 +243,7 @@
 // reports whether that changed the verdict held here. Until is limited to how long a verdict of
 // its round may last from now. A verdict of round 0 is a suspicion: its crashes are added, and
 // Merge returns false.
-func (b *Book) Learn(now time.Time, v Verdict) bool {
+func (b *Detector) Merge(now time.Time, v Verdict) bool {
 	if v.Round <= 0 {
 		b.recall(v)
 		return false
@@ -270,7 +270,7 @@
 // higher ranks start later: the first request that crashes its endpoint renews the verdict for all
 // processes. Each nil for a quarantined request counts as a retry. rank returns this process's
 // rank for a request.
-func (b *Book) Refuses(now time.Time, p Fingerprint, rank func(p Fingerprint) int) *Verdict {
+func (b *Detector) Refuses(now time.Time, p Fingerprint, rank func(p Fingerprint) int) *Verdict {
 	r := b.records[p]
 	if r == nil || !r.InForce() {
 		return nil
@@ -284,7 +284,7 @@
 
 // RecentChanges returns at most so many verdicts that other processes may not know yet, the latest
 // change first: those that changed within gossipWindow, and quarantines that the store lacks.
-func (b *Book) Fresh(now time.Time, most int) []Verdict {
+func (b *Detector) RecentChanges(now time.Time, most int) []Verdict {
 	var list []*record
 	for _, r := range b.records {
 		if now.Sub(r.changedAt) <= freshFor || r.InForce() && r.stored != r.Round {
@@ -302,7 +302,7 @@
 // Unstored returns a quarantine that the store lacks, or a lifted verdict that it still holds; nil
 // if there is none. rank returns this process's rank for a request: a process waits for step per
 // rank after a change, so that only one writes.
-func (b *Book) Unstored(now time.Time, step time.Duration, rank func(p Fingerprint) int) *Verdict {
+func (b *Detector) Unstored(now time.Time, step time.Duration, rank func(p Fingerprint) int) *Verdict {
 	for _, r := range b.records {
 		due := r.InForce() && r.stored != r.Round || !r.InForce() && r.stored > 0
 		if due && now.Sub(r.changedAt) >= time.Duration(rank(r.Fingerprint))*step {
@@ -315,7 +315,7 @@
 
 // SetStoredRound records the round of the verdict on a request that the store holds; 0 if it holds
 // none.
-func (b *Book) Stored(p Fingerprint, round int) {
+func (b *Detector) SetStoredRound(p Fingerprint, round int) {
 	if r := b.records[p]; r != nil {
 		r.stored = round
 	}
@@ -324,7 +324,7 @@
 // RecordRemoval records that the store holds no verdict on a request any more, as an operator or
 // another process has removed it. It returns the verdict if this lifts a quarantine, else nil. A
 // verdict that was never stored, or was renewed since it was stored, stays.
-func (b *Book) Removed(now time.Time, p Fingerprint) *Verdict {
+func (b *Detector) RecordRemoval(now time.Time, p Fingerprint) *Verdict {
 	r := b.records[p]
 	if r == nil {
 		return nil
@@ -339,7 +339,7 @@
 
 // Expire drops suspects, recent crashes and records whose time is over. It returns the requests of
 // dropped records whose verdicts the store still holds.
-func (b *Book) Expire(now time.Time) (stored []Fingerprint) {
+func (b *Detector) Expire(now time.Time) (stored []Fingerprint) {
 	maps.DeleteFunc(b.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.at) > suspectFor })
 	b.recent = slices.DeleteFunc(b.recent, func(e sighting) bool { return now.Sub(e.At) > suspectFor })
 	for p, r := range b.records {
--- a/pkg/poison/book_test.go
+++ b/pkg/poison/book_test.go
@@ -31,15 +31,15 @@
 
 // strike records a crash under a request, calls Judge 99 ms later, and returns the changed verdicts
 // of both.
-func strike(b *Book, ms int, p Fingerprint, endpoint uint64) []Verdict {
-	changed, _ := b.Crashed(at(ms), p, endpoint, young, true)
+func strike(b *Detector, ms int, p Fingerprint, endpoint uint64) []Verdict {
+	changed, _ := b.RecordCrash(at(ms), p, endpoint, young, true)
 	later, _ := b.Judge(at(ms+99), view)
 	return append(changed, later...)
 }
 
 // strikes calls strike for several endpoints, 100 ms apart, and returns the verdicts changed by the
 // last one.
-func strikes(b *Book, ms int, p Fingerprint, endpoints ...uint64) (changed []Verdict) {
+func strikes(b *Detector, ms int, p Fingerprint, endpoints ...uint64) (changed []Verdict) {
 	for i, e := range endpoints {
 		changed = strike(b, ms+100*i, p, e)
 	}
@@ -47,7 +47,7 @@
 }
 
 func TestThirdEndBlames(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	strikes(b, 0, request(1), 10, 11)
 	if v := b.Refuses(at(300), request(1), first); v != nil {
 		t.Errorf("after two crashes: got %v, want no verdict", v)
@@ -67,14 +67,14 @@
 // Several processes may report one crash, each repeatedly: the reports count once. An endpoint that
 // has restarted under its ID can crash again.
 func TestWordOfOneEndCountsOnce(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for ms := range 900 {
-		b.Crashed(at(ms), request(1), 10, young, true)
+		b.RecordCrash(at(ms), request(1), 10, young, true)
 	}
 	if got := b.Crashes(request(1)); got != 1 {
 		t.Errorf("crashes after 900 reports of one crash: got %d, want 1", got)
 	}
-	b.Crashed(at(4000), request(1), 10, young, true)
+	b.RecordCrash(at(4000), request(1), 10, young, true)
 	if got := b.Crashes(request(1)); got != 2 {
 		t.Errorf("crashes of two incarnations under one ID: got %d, want 2", got)
 	}
@@ -83,11 +83,11 @@
 // A request that runs beside one that crashes endpoints has crashes as well, one for each attempt
 // at the same endpoint. The crashes at which it was not running distinguish the two.
 func TestWhatRanBesideIsNotBlamed(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for i, e := range []uint64{10, 11, 12, 13, 14} {
-		b.Crashed(at(100*i), request(1), e, young, true)
+		b.RecordCrash(at(100*i), request(1), e, young, true)
 		if e > 10 && e < 14 {
-			b.Crashed(at(100*i+1), request(2), e, young, true)
+			b.RecordCrash(at(100*i+1), request(2), e, young, true)
 		}
 		b.Judge(at(100*i+99), view)
 	}
@@ -103,10 +103,10 @@
 // clear the other, whichever was reported first.
 func TestTieIsResolved(t *testing.T) {
 	for _, order := range [][]Fingerprint{{request(1), request(2)}, {request(2), request(1)}} {
-		b := NewBook()
+		b := NewDetector()
 		for i, e := range []uint64{10, 11, 12} {
 			for _, p := range order {
-				b.Crashed(at(100*i), p, e, young, true)
+				b.RecordCrash(at(100*i), p, e, young, true)
 			}
 			b.Judge(at(100*i+99), view)
 		}
@@ -131,12 +131,12 @@
 // quarantined together with the one that had crashed all three endpoints of both.
 func TestTwinsAreToldApart(t *testing.T) {
 	for _, order := range [][]Fingerprint{{request(1), request(2)}, {request(2), request(1)}} {
-		b := NewBook()
+		b := NewDetector()
 		held := 0
-		b.Held = func(Fingerprint, int) { held++ }
+		b.OnHeld = func(Fingerprint, int) { held++ }
 		for i, e := range []uint64{10, 11, 12} {
 			for _, p := range order {
-				b.Crashed(at(100*i), p, e, young, true)
+				b.RecordCrash(at(100*i), p, e, young, true)
 			}
 			b.Judge(at(100*i+99), view)
 		}
@@ -148,7 +148,7 @@
 				t.Errorf("order %v: request %v after three crashes together: got %v, want no verdict", order, p, v)
 			}
 		}
-		b.Whole(at(400), request(2))
+		b.RecordSuccess(at(400), request(2))
 		strike(b, 400, request(1), 13)
 		if b.Refuses(at(500), request(1), first) == nil {
 			t.Errorf("order %v: after a fourth crash alone: got no verdict", order)
@@ -166,15 +166,15 @@
 // about to be quarantined when one of 599 others was, for three crashes that they had caused. The
 // verdict was lifted 15 ms later, but its caller had been answered to retry in ten minutes.
 func TestDisputedCrashesWait(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	cause := func(i uint64) Fingerprint { return request(byte(10 + i)) }
 	for i := range uint64(3) {
-		b.Crashed(at(0), cause(i), 100*i, young, true)
-		b.Crashed(at(200), cause(i), 100*i+1, young, true)
-		b.Crashed(at(3000), request(1), 100*i+2, young, true)
+		b.RecordCrash(at(0), cause(i), 100*i, young, true)
+		b.RecordCrash(at(200), cause(i), 100*i+1, young, true)
+		b.RecordCrash(at(3000), request(1), 100*i+2, young, true)
 	}
 	for i := range uint64(3) {
-		b.Crashed(at(3010), cause(i), 100*i+2, young, true)
+		b.RecordCrash(at(3010), cause(i), 100*i+2, young, true)
 	}
 	for ms := 3050; ms < 3200; ms += 10 {
 		if v := b.Refuses(at(ms), request(1), first); v != nil {
@@ -191,11 +191,11 @@
 // reached endpoints four times beyond the limit and crashed eleven. Others were at each endpoint
 // that they crashed and were quarantined first, and a crash counts for only one request.
 func TestExplainedCrashesAddUp(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for i := range crashesEver {
 		cause, endpoint := request(byte(10+i)), uint64(100*i)
 		strikes(b, 1000*i, cause, endpoint, endpoint+1, endpoint+2)
-		b.Crashed(at(1000*i+300), cause, endpoint+3, young, true)
+		b.RecordCrash(at(1000*i+300), cause, endpoint+3, young, true)
 		strike(b, 1000*i+300, request(1), endpoint+3)
 		refused := b.Refuses(at(1000*i+400), request(1), first) != nil
 		if want := i+1 >= crashesEver; refused != want {
@@ -207,12 +207,12 @@
 // Endpoints that crash together, in a wave, crash under unrelated requests: three such crashes are
 // no proof, five are enough. Three crashes at other times than the wave are enough.
 func TestWave(t *testing.T) {
-	wave := func(b *Book, ms int, first uint64) {
+	wave := func(b *Detector, ms int, first uint64) {
 		for i := range uint64(6) {
-			b.Crashed(at(ms), request(byte(100+first+i)), first+i, 5*time.Second, true)
+			b.RecordCrash(at(ms), request(byte(100+first+i)), first+i, 5*time.Second, true)
 		}
 	}
-	b := NewBook()
+	b := NewDetector()
 	for i := range 5 {
 		wave(b, 3500*i, uint64(20*i))
 		strike(b, 3500*i+1, request(1), uint64(20*i+10))
@@ -221,7 +221,7 @@
 			t.Errorf("after one crash in each of %d waves: quarantined: got %v, want %v", i+1, refused, want)
 		}
 	}
-	b = NewBook()
+	b = NewDetector()
 	wave(b, 0, 20)
 	strikes(b, 1000, request(1), 1, 2, 3)
 	if b.Refuses(at(1400), request(1), first) == nil {
@@ -233,10 +233,10 @@
 // apart do not lead to a quarantine either.
 func TestWavesFarApart(t *testing.T) {
 	const apart = 40_000
-	b := NewBook()
+	b := NewDetector()
 	for i := range crashesMost - 1 {
 		for k := range uint64(6) {
-			b.Crashed(at(apart*i), request(byte(100+6*i)+byte(k)), uint64(20*i)+k, young, true)
+			b.RecordCrash(at(apart*i), request(byte(100+6*i)+byte(k)), uint64(20*i)+k, young, true)
 		}
 		strike(b, apart*i+1, request(1), uint64(20*i+10))
 		if v := b.Refuses(at(apart*i+100), request(1), first); v != nil {
@@ -250,16 +250,16 @@
 // A starting process merges the suspicions of others: the next crash counts for it as it does for
 // them, and it recognises crashes that came in a wave.
 func TestSuspicionsAreToldOn(t *testing.T) {
-	old, anew := NewBook(), NewBook()
+	old, anew := NewDetector(), NewDetector()
 	strikes(old, 0, request(1), 10, 11)
 	for k := range uint64(6) {
-		old.Crashed(at(500), request(byte(100+k)), 20+k, young, true)
+		old.RecordCrash(at(500), request(byte(100+k)), 20+k, young, true)
 	}
-	old.Crashed(at(501), request(2), 30, young, true)
-	old.Crashed(at(502), request(2), 31, young, true)
+	old.RecordCrash(at(501), request(2), 30, young, true)
+	old.RecordCrash(at(502), request(2), 31, young, true)
 	for range 2 { // Suspicions may be received more than once.
 		for _, v := range old.Suspicions(100) {
-			if anew.Learn(at(5000), v) {
+			if anew.Merge(at(5000), v) {
 				t.Errorf("merge of suspicion %v: got a changed verdict, want none", v)
 			}
 		}
@@ -268,7 +268,7 @@
 		t.Errorf("crashes: got %d, want %d", got, want)
 	}
 	for k := range uint64(6) {
-		anew.Crashed(at(6000), request(byte(110+k)), 40+k, young, true)
+		anew.RecordCrash(at(6000), request(byte(110+k)), 40+k, young, true)
 	}
 	strike(anew, 6001, request(2), 32)
 	if v := anew.Refuses(at(6100), request(2), first); v != nil {
@@ -286,12 +286,12 @@
 // A request that runs at one endpoint and has just left two others has three crashes in a single
 // wave, which are no proof.
 func TestWaveThatStrikesThreeTimes(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for i := range uint64(3) {
-		b.Crashed(at(0), request(1), i, time.Second, true)
+		b.RecordCrash(at(0), request(1), i, time.Second, true)
 	}
 	for i := range uint64(4) {
-		b.Crashed(at(8), request(byte(10+i)), 10+i, time.Second, true)
+		b.RecordCrash(at(8), request(byte(10+i)), 10+i, time.Second, true)
 	}
 	if _, pending := b.Judge(at(20), view); !pending {
 		t.Error("before SettleDelay has passed: got nothing pending")
@@ -303,14 +303,14 @@
 }
 
 func TestWholeAnswerClears(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	strikes(b, 0, request(1), 10, 11)
-	b.Whole(at(300), request(1))
+	b.RecordSuccess(at(300), request(1))
 	if strikes(b, 400, request(1), 12); b.Crashes(request(1)) != 1 {
 		t.Errorf("crashes after an answer: got %d, want 1", b.Crashes(request(1)))
 	}
 	strikes(b, 500, request(1), 13, 14)
-	if v := b.Whole(at(900), request(1)); v == nil || v.InForce() {
+	if v := b.RecordSuccess(at(900), request(1)); v == nil || v.InForce() {
 		t.Errorf("an answer under way when it was quarantined: got %v, want the verdict lifted", v)
 	}
 	if v := b.Refuses(at(901), request(1), first); v != nil {
@@ -321,18 +321,18 @@
 // A late report of a quarantine that was lifted does not reinstate it; a new quarantine of the same
 // request, with a higher round, does.
 func TestLaterRoundHolds(t *testing.T) {
-	a, b := NewBook(), NewBook()
+	a, b := NewDetector(), NewDetector()
 	quarantined := strikes(a, 0, request(1), 10, 11, 12)[0]
-	b.Learn(at(300), quarantined)
+	b.Merge(at(300), quarantined)
 	lifted := b.Lift(at(400), request(1))
-	if b.Learn(at(500), quarantined); b.Refuses(at(500), request(1), first) != nil {
+	if b.Merge(at(500), quarantined); b.Refuses(at(500), request(1), first) != nil {
 		t.Error("late report of the quarantine: got a verdict, want it lifted")
 	}
-	if !a.Learn(at(500), *lifted) || a.Refuses(at(500), request(1), first) != nil {
+	if !a.Merge(at(500), *lifted) || a.Refuses(at(500), request(1), first) != nil {
 		t.Error("report that it was lifted: got a verdict")
 	}
 	again := strikes(a, 5000, request(1), 13, 14, 15)[0]
-	if !b.Learn(at(5400), again) || b.Refuses(at(5400), request(1), first) == nil {
+	if !b.Merge(at(5400), again) || b.Refuses(at(5400), request(1), first) == nil {
 		t.Error("a new quarantine: got no verdict")
 	}
 	if got, want := again.Until.Sub(at(5299)), 2*holdFirst; got != want {
@@ -343,7 +343,7 @@
 // After Until a request is let through once per retryInterval, first by the process of rank 0. A
 // single crash then renews the quarantine.
 func TestTriedAgain(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	v := strikes(b, 0, request(1), 10, 11, 12)[0]
 	after := v.Until.Add(time.Millisecond)
 	if b.Refuses(after, request(1), second) == nil {
@@ -355,7 +355,7 @@
 	if b.Refuses(after.Add(time.Second), request(1), first) == nil {
 		t.Error("rank 0 a second later: got no verdict")
 	}
-	changed, _ := b.Crashed(after.Add(time.Second), request(1), 20, young, true)
+	changed, _ := b.RecordCrash(after.Add(time.Second), request(1), 20, young, true)
 	if len(changed) != 1 || changed[0].Round != 3 {
 		t.Fatalf("a crash after Until: got %v, want round 3", changed)
 	}
@@ -370,7 +370,7 @@
 // A verdict is written to the store once. Its removal from the store lifts the quarantine, unless
 // the quarantine was renewed since it was stored.
 func TestStored(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	v := strikes(b, 0, request(1), 10, 11, 12)[0]
 	if got := b.Unstored(at(300), time.Second, second); got != nil {
 		t.Errorf("to be stored by rank 1 at once: got %v, want nothing", got)
@@ -378,25 +378,25 @@
 	if got := b.Unstored(at(300), time.Second, first); got == nil || got.Round != v.Round {
 		t.Fatalf("to be stored by rank 0: got %v, want round %d", got, v.Round)
 	}
-	b.Stored(request(1), v.Round)
+	b.SetStoredRound(request(1), v.Round)
 	if got := b.Unstored(at(300), time.Second, first); got != nil {
 		t.Errorf("to be stored after it was stored: got %v, want nothing", got)
 	}
-	if got := b.Removed(at(400), request(1)); got == nil || got.InForce() {
+	if got := b.RecordRemoval(at(400), request(1)); got == nil || got.InForce() {
 		t.Errorf("removed from the store: got %v, want the verdict lifted", got)
 	}
 	strikes(b, 5000, request(1), 13, 14, 15)
-	if got := b.Removed(at(5400), request(1)); got != nil {
+	if got := b.RecordRemoval(at(5400), request(1)); got != nil {
 		t.Errorf("removed, but quarantined again since: got %v, want nothing", got)
 	}
 }
 
 func TestBounded(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for i := range 2 * suspectsMost {
 		p := Fingerprint{byte(i), byte(i >> 8), byte(i >> 16), 1}
-		b.Crashed(at(i*10), p, uint64(i), young, true)
-		b.Learn(at(i*10), Verdict{Fingerprint: p, Round: 1, Until: at(i*10 + 60_000)})
+		b.RecordCrash(at(i*10), p, uint64(i), young, true)
+		b.Merge(at(i*10), Verdict{Fingerprint: p, Round: 1, Until: at(i*10 + 60_000)})
 	}
 	if len(b.suspects) > suspectsMost || len(b.records) > recordsMost || len(b.recent) > recentMost {
 		t.Errorf("got %d suspects, %d records, %d recent crashes", len(b.suspects), len(b.records), len(b.recent))
@@ -414,12 +414,12 @@
 			}
 			list = append(list, v)
 		}
-		a, b := NewBook(), NewBook()
+		a, b := NewDetector(), NewDetector()
 		for _, v := range list {
-			a.Learn(at(100), v)
+			a.Merge(at(100), v)
 		}
 		for _, v := range append(rapid.Permutation(list).Draw(t, "order"), list[0]) {
-			b.Learn(at(200), v)
+			b.Merge(at(200), v)
 		}
 		for n := range byte(3) {
 			p := request(n)
@@ -439,7 +439,7 @@
 
 // drawn is a Detector with a request that crashes every endpoint which runs it, and others.
 type drawn struct {
-	*Book
+	*Detector
 	guilty Fingerprint
 	// crashes is the number of crashes under guilty; quarantined is set once it was quarantined.
 	crashes     int
@@ -454,9 +454,9 @@
 // strike crashes an endpoint under the guilty request.
 func (d *drawn) strike(t *rapid.T, now time.Time, endpoint uint64) {
 	d.crashes++
-	d.Crashed(now, d.guilty, endpoint, young, true)
+	d.RecordCrash(now, d.guilty, endpoint, young, true)
 	d.Judge(now.Add(49*time.Millisecond), view)
-	d.Judge(now.Add(SettleFor), view)
+	d.Judge(now.Add(SettleDelay), view)
 	refused := d.Refuses(now, d.guilty, first) != nil
 	if late := d.quarantined || d.crashes >= crashesMost; late && !refused {
 		t.Fatalf("after %d crashes, quarantined before %v: got no verdict", d.crashes, d.quarantined)
@@ -469,12 +469,12 @@
 func (d *drawn) besides(t *rapid.T, now time.Time, endpoint uint64) {
 	for range rapid.IntRange(0, 4).Draw(t, "beside") {
 		if p := other(t, "other"); d.Refuses(now, p, first) == nil {
-			d.Crashed(now, p, endpoint, young, true)
+			d.RecordCrash(now, p, endpoint, young, true)
 			d.clean[p] = false
 		}
 	}
 	if p := other(t, "answered"); rapid.Bool().Draw(t, "whole") {
-		d.Whole(now, p)
+		d.RecordSuccess(now, p)
 		d.clean[p] = true
 	}
 	for p, ok := range d.clean {
@@ -490,7 +490,7 @@
 // quarantined. A quarantined request is not sent.
 func TestBlameIsSoundAndSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := drawn{Book: NewBook(), guilty: request(1), clean: make(map[Fingerprint]bool)}
+		d := drawn{Detector: NewDetector(), guilty: request(1), clean: make(map[Fingerprint]bool)}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now, endpoint := at(step*100), uint64(step)
 			if d.Refuses(now, d.guilty, first) == nil && rapid.Bool().Draw(t, "guilty") {
@@ -504,11 +504,11 @@
 // A request that ran beside the guilty one, and has further crashes without it, is the clearer
 // cause for a moment. The verdict on the guilty one is lifted then, and its next crash renews it.
 func TestGuiltyIsLiftedForOneEndAtMost(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	guilty, other := request(1), request(7)
 	for i := range 3 {
-		b.Crashed(at(100*i), guilty, uint64(1+i), young, true)
-		b.Crashed(at(100*i), other, uint64(1+i), young, true)
+		b.RecordCrash(at(100*i), guilty, uint64(1+i), young, true)
+		b.RecordCrash(at(100*i), other, uint64(1+i), young, true)
 		b.Judge(at(100*i+99), view)
 	}
 	strikes(b, 300, request(2), 4, 5, 6)
@@ -522,12 +522,12 @@
 // A request that crashes an endpoint every few milliseconds is judged no later than others: further
 // crashes do not postpone a pending judgement.
 func TestFurtherEndsDontPutOffTheVerdict(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for ms := 0; b.Refuses(at(ms), request(1), first) == nil; ms += 5 {
 		if ms > 200 {
 			t.Fatal("after 40 crashes in 200 ms: got no verdict")
 		}
-		b.Crashed(at(ms), request(1), uint64(ms), young, true)
+		b.RecordCrash(at(ms), request(1), uint64(ms), young, true)
 		b.Judge(at(ms), view)
 	}
 }
--- a/pkg/poison/judge.go
+++ b/pkg/poison/judge.go
@@ -77,7 +77,7 @@
 	// SettleDelay is the time between the report of a crash and the judgement of its request. By
 	// then it is known what else crashed at that moment, and under which requests: a crash of
 	// many endpoints is noticed within 20 ms, and reports take 5 ms between availability zones.
-	SettleFor = 60 * time.Millisecond
+	SettleDelay = 60 * time.Millisecond
 )
 
 // Judge decides on the suspects that are due, SettleDelay after the first crash report since their
@@ -85,7 +85,7 @@
 // or changed by that, including those that it lifts. pending reports whether suspects are left
 // that are not due yet. view returns this process's view of the service of an endpoint, given by
 // its hash.
-func (b *Book) Judge(now time.Time, view func(endpoint uint64) View) (changed []Verdict, pending bool) {
+func (b *Detector) Judge(now time.Time, view func(endpoint uint64) View) (changed []Verdict, pending bool) {
 	held := b.heldCrashes()
 	for p, due := range b.pending {
 		if now.Before(due) {
@@ -107,7 +107,7 @@
 // one, as the quarantined request may itself have run beside this one. A crash is disputed if
 // another suspect with as many crashes or more was there too: the suspect judged first would be
 // quarantined for crashes that the other may have caused. The next attempt of each resolves that.
-func (b *Book) guilty(p Fingerprint, s *suspect, v View, held []Crash) bool {
+func (b *Detector) guilty(p Fingerprint, s *suspect, v View, held []Crash) bool {
 	n := len(s.crashes)
 	if n < crashesLeast {
 		return false
@@ -126,8 +126,8 @@
 	proven := f.open >= least && f.weight >= sure
 	was := s.held
 	s.held = proven && f.open-f.disputed < least
-	if s.held && !was && b.Held != nil {
-		b.Held(p, n)
+	if s.held && !was && b.OnHeld != nil {
+		b.OnHeld(p, n)
 	}
 	return proven && !s.held
 }
@@ -143,7 +143,7 @@
 }
 
 // assess returns the evidence against a suspect. held holds the crashes of all held suspects.
-func (b *Book) weigh(p Fingerprint, s *suspect, v View, held []Crash) (f findings) {
+func (b *Detector) weigh(p Fingerprint, s *suspect, v View, held []Crash) (f findings) {
 	for i, e := range s.crashes {
 		if b.explaining(e, p, 0) != nil {
 			continue
@@ -159,7 +159,7 @@
 
 // disputed reports whether a crash is also under a suspect other than p with at least so many
 // crashes.
-func (b *Book) disputed(p Fingerprint, e Crash, least int) bool {
+func (b *Detector) disputed(p Fingerprint, e Crash, least int) bool {
 	for q, s := range b.suspects {
 		if q != p && len(s.crashes) >= least && contains(s.crashes, e) {
 			return true
@@ -174,7 +174,7 @@
 // rate of other crashes. Each is taken over the endpoints with requests of this process and over
 // all, and the larger value holds. Crashes that a quarantined request explains don't count, nor
 // those in held, which one of several suspects explains.
-func (b *Book) chance(s *suspect, e Crash, age time.Duration, v View, held []Crash) float64 {
+func (b *Detector) chance(s *suspect, e Crash, age time.Duration, v View, held []Crash) float64 {
 	var burst, often [2]int
 	for i := range b.recent {
 		r := &b.recent[i]
@@ -198,7 +198,7 @@
 }
 
 // heldCrashes returns the crashes of all held suspects.
-func (b *Book) heldCrashes() (list []Crash) {
+func (b *Detector) heldCrashes() (list []Crash) {
 	for _, s := range b.suspects {
 		if s.held {
 			list = append(list, s.crashes...)
@@ -217,7 +217,7 @@
 
 // explaining returns the record of a quarantined request other than p that explains a crash and
 // has at least so many crashes; nil if there is none.
-func (b *Book) explaining(e Crash, p Fingerprint, least int) *record {
+func (b *Detector) explaining(e Crash, p Fingerprint, least int) *record {
 	for _, cause := range b.causes[e.Endpoint] {
 		if r := b.records[cause]; cause != p && len(r.Crashes) >= least && r.Explains(e) {
 			return r
@@ -228,7 +228,7 @@
 
 // quarantine quarantines a request for crashes, and returns its verdict and those that it
 // overrules.
-func (b *Book) quarantine(now time.Time, p Fingerprint, crashes []Crash) []Verdict {
+func (b *Detector) quarantine(now time.Time, p Fingerprint, crashes []Crash) []Verdict {
 	v := Verdict{Fingerprint: p}
 	if r := b.records[p]; r != nil {
 		v = r.Verdict
@@ -253,7 +253,7 @@
 // requests with at least overruleMargin more crashes, and returns the lifted verdicts. They keep
 // their crashes, so that one more crash is enough for a quarantine: the verdict may have been
 // right.
-func (b *Book) overrule(now time.Time, crashes []Crash) (lifted []Verdict) {
+func (b *Detector) overrule(now time.Time, crashes []Crash) (lifted []Verdict) {
 	for _, e := range crashes {
 		for _, p := range slices.Clone(b.causes[e.Endpoint]) {
 			if r := b.records[p]; b.overruled(r) {
@@ -268,7 +268,7 @@
 
 // overruled reports whether a request is quarantined and other requests are the clearer cause of
 // each of its crashes.
-func (b *Book) overruled(r *record) bool {
+func (b *Detector) overruled(r *record) bool {
 	open := func(e Crash) bool { return b.explaining(e, r.Fingerprint, len(r.Crashes)+clearerBy) == nil }
 	return r.InForce() && !slices.ContainsFunc(r.Crashes, open)
 }
--- a/pkg/poison/recall.go
+++ b/pkg/poison/recall.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// ToldTogether is the largest number of crashes that a report of one request carries, and
+	// MaxReportedCrashes is the largest number of crashes that a report of one request carries, and
 	// that one value returned by Suspicions holds if it has crashes alone.
-	ToldTogether = 12
+	MaxReportedCrashes = 12
 	// recalledAge is the assumed time that a request had been at an endpoint when it crashed, for
 	// crashes in suspicions, which do not carry it. It is longer than most, so that the model
 	// rather attributes frequent crashes to chance.
@@ -23,7 +23,7 @@
 // latest crash first. Each is a Verdict of round 0, to be passed to Merge; one with a zero
 // fingerprint holds crashes alone, at most MaxReportedCrashes. It returns nil if there are no
 // suspects.
-func (b *Book) Suspicions(most int) (list []Verdict) {
+func (b *Detector) Suspicions(most int) (list []Verdict) {
 	if len(b.suspects) == 0 {
 		return nil
 	}
@@ -31,7 +31,7 @@
 	for _, r := range b.recent {
 		crashes = append(crashes, r.Crash)
 	}
-	for part := range slices.Chunk(crashes, ToldTogether) {
+	for part := range slices.Chunk(crashes, MaxReportedCrashes) {
 		list = append(list, Verdict{Crashes: part})
 	}
 	names := make([]Fingerprint, 0, len(b.suspects))
@@ -47,7 +47,7 @@
 
 // recall merges a suspicion of another process. The suspect is judged only at its next crash:
 // until then the request ran no more often than other processes already know.
-func (b *Book) recall(v Verdict) {
+func (b *Detector) recall(v Verdict) {
 	for _, e := range v.Crashes {
 		b.notice(e, false)
 	}
--- a/pkg/usage/book.go
+++ b/pkg/usage/book.go
@@ -9,9 +9,9 @@
 )
 
 // Reporter identifies one incarnation of a router, that is, one run of its process.
-type Teller struct {
-	Router string
-	Life   uint64
+type Reporter struct {
+	Router      string
+	Incarnation uint64
 }
 
 // Counts are numbers of requests by the names of workspaces.
@@ -27,9 +27,9 @@
 
 // Report holds the requests that one router counted in a window, or a part of the workspaces.
 type Report struct {
-	// Teller is the router that counted the requests.
-	Teller Teller
-	Window Window
+	// Reporter is the router that counted the requests.
+	Reporter Reporter
+	Window   Window
 	// Final is set if the reporter counts no more requests in the window. Total is then the sum of
 	// all its counts, of which the report may hold a part; 0 before.
 	Final  bool
@@ -47,8 +47,8 @@
 
 // Counter holds the counts of all routers of a fleet that a process knows, by window. Create it
 // with NewCounter. It is not safe for concurrent use.
-type Book struct {
-	windows map[Window]map[Teller]*part
+type Counter struct {
+	windows map[Window]map[Reporter]*part
 }
 
 // part holds the known counts of one reporter in one window.
@@ -64,14 +64,14 @@
 func (p *part) complete() bool { return p.final && p.counts.Sum() >= p.total }
 
 // NewCounter returns an empty Counter.
-func NewBook() *Book { return &Book{windows: make(map[Window]map[Teller]*part)} }
+func NewCounter() *Counter { return &Counter{windows: make(map[Window]map[Reporter]*part)} }
 
 // part returns the counts of a reporter in a window and adds them if there are none; nil if the
 // window has maxReporters already.
-func (b *Book) part(w Window, t Teller) *part {
+func (b *Counter) part(w Window, t Reporter) *part {
 	tellers := b.windows[w]
 	if tellers == nil {
-		tellers = make(map[Teller]*part)
+		tellers = make(map[Reporter]*part)
 		b.windows[w] = tellers
 	}
 	p := tellers[t]
@@ -84,7 +84,7 @@
 
 // Add counts one request of a workspace. It drops the request without an error if maxReporters or
 // maxWorkspaces is exceeded.
-func (b *Book) Add(t Teller, w Window, workspace string) {
+func (b *Counter) Add(t Reporter, w Window, workspace string) {
 	if p := b.part(w, t); p != nil {
 		p.raise(workspace, p.counts[workspace]+1)
 	}
@@ -100,11 +100,11 @@
 
 // Merge merges a report received from a router, in the window now. It ignores reports of windows
 // that are not stored: those more than one ahead of now, and those maxWindows or more behind it.
-func (b *Book) Take(r Report, now Window) {
+func (b *Counter) Merge(r Report, now Window) {
 	if r.Window > now+1 || r.Window <= now-windowsMost {
 		return
 	}
-	p := b.part(r.Window, r.Teller)
+	p := b.part(r.Window, r.Reporter)
 	if p == nil {
 		return
 	}
@@ -117,8 +117,8 @@
 
 // Report returns the known counts of a router in a window as a report to send. final sets its
 // Final and Total.
-func (b *Book) Report(t Teller, w Window, final bool) Report {
-	r := Report{Teller: t, Window: w, Final: final, Counts: Counts{}}
+func (b *Counter) Report(t Reporter, w Window, final bool) Report {
+	r := Report{Reporter: t, Window: w, Final: final, Counts: Counts{}}
 	if p := b.windows[w][t]; p != nil {
 		r.Counts = maps.Clone(p.counts)
 	}
@@ -129,14 +129,14 @@
 }
 
 // Complete reports whether all counts of one incarnation of a router in a window are known.
-func (b *Book) Complete(t Teller, w Window) bool {
+func (b *Counter) Complete(t Reporter, w Window) bool {
 	p := b.windows[w][t]
 	return p != nil && p.complete()
 }
 
 // Missing returns, in order, the names of those routers whose counts in a window are not all known:
 // no incarnation of the router has reported the window, or one of them not completely.
-func (b *Book) Missing(w Window, routers []string) (missing []string) {
+func (b *Counter) Missing(w Window, routers []string) (missing []string) {
 	heard, untold := make(map[string]bool), make(map[string]bool)
 	for t, p := range b.windows[w] {
 		heard[t.Router] = true
@@ -152,7 +152,7 @@
 }
 
 // Sum returns the known counts of a window, added over all routers.
-func (b *Book) Sum(w Window) Counts {
+func (b *Counter) Sum(w Window) Counts {
 	sum := make(Counts)
 	for _, p := range b.windows[w] {
 		for workspace, n := range p.counts {
@@ -163,6 +163,6 @@
 }
 
 // Expire drops the windows that Merge would ignore in the window now.
-func (b *Book) Forget(now Window) {
-	maps.DeleteFunc(b.windows, func(w Window, _ map[Teller]*part) bool { return w <= now-windowsMost || w > now+1 })
+func (b *Counter) Expire(now Window) {
+	maps.DeleteFunc(b.windows, func(w Window, _ map[Reporter]*part) bool { return w <= now-windowsMost || w > now+1 })
 }
--- a/pkg/usage/book_test.go
+++ b/pkg/usage/book_test.go
@@ -36,12 +36,12 @@
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		const now = Window(100)
-		hearer := NewBook()
+		hearer := NewCounter()
 		truth := make(Counts)
 		var mail []Report
 		routers := []string{"a", "b", "c"}
 		for life, name := range routers {
-			own, teller := NewBook(), Teller{name, uint64(life)}
+			own, teller := NewCounter(), Reporter{name, uint64(life)}
 			for range rnd.IntN(40) {
 				workspace := string(rune('v' + rnd.IntN(4)))
 				own.Add(teller, now, workspace)
@@ -54,11 +54,11 @@
 		}
 		rnd.Shuffle(len(mail), func(i, j int) { mail[i], mail[j] = mail[j], mail[i] })
 		for _, r := range mail {
-			if r.Final && len(hearer.Missing(now, []string{r.Teller.Router})) == 0 {
-				t.Fatalf("seed %d: %s is not missing before its final report", seed, r.Teller.Router)
+			if r.Final && len(hearer.Missing(now, []string{r.Reporter.Router})) == 0 {
+				t.Fatalf("seed %d: %s is not missing before its final report", seed, r.Reporter.Router)
 			}
 			for range 1 + rnd.IntN(2) {
-				hearer.Take(r, now)
+				hearer.Merge(r, now)
 			}
 		}
 		if got := hearer.Missing(now, routers); len(got) != 0 {
@@ -73,9 +73,9 @@
 // An incarnation that ended without a final report keeps its router missing, and the counts that it
 // reported are summed.
 func TestLivesCountApart(t *testing.T) {
-	b := NewBook()
-	b.Take(Report{Teller: Teller{"a", 1}, Window: 7, Counts: Counts{"w": 3}}, 7)
-	b.Take(Report{Teller: Teller{"a", 2}, Window: 7, Final: true, Total: 2, Counts: Counts{"w": 2}}, 7)
+	b := NewCounter()
+	b.Merge(Report{Reporter: Reporter{"a", 1}, Window: 7, Counts: Counts{"w": 3}}, 7)
+	b.Merge(Report{Reporter: Reporter{"a", 2}, Window: 7, Final: true, Total: 2, Counts: Counts{"w": 2}}, 7)
 	if got := b.Sum(7)["w"]; got != 5 {
 		t.Errorf("sum: got %d, want 5", got)
 	}
@@ -86,12 +86,12 @@
 
 // A report that is sent in parts is complete once all parts have been merged.
 func TestPartsOfAReport(t *testing.T) {
-	b, a := NewBook(), Teller{"a", 1}
-	b.Take(Report{Teller: a, Window: 7, Final: true, Total: 5, Counts: Counts{"v": 2}}, 7)
+	b, a := NewCounter(), Reporter{"a", 1}
+	b.Merge(Report{Reporter: a, Window: 7, Final: true, Total: 5, Counts: Counts{"v": 2}}, 7)
 	if b.Complete(a, 7) {
 		t.Error("complete after one part of two")
 	}
-	b.Take(Report{Teller: a, Window: 7, Final: true, Total: 5, Counts: Counts{"w": 3}}, 7)
+	b.Merge(Report{Reporter: a, Window: 7, Final: true, Total: 5, Counts: Counts{"w": 3}}, 7)
 	if !b.Complete(a, 7) {
 		t.Error("not complete after both parts")
 	}
@@ -99,16 +99,16 @@
 
 // Memory is bounded: windows far from the current one are not stored, and old ones expire.
 func TestBookIsBounded(t *testing.T) {
-	b, a := NewBook(), Teller{"a", 1}
+	b, a := NewCounter(), Reporter{"a", 1}
 	for _, w := range []Window{100 - windowsMost, 102, -1 << 40} {
-		b.Take(Report{Teller: a, Window: w, Counts: Counts{"w": 1}}, 100)
+		b.Merge(Report{Reporter: a, Window: w, Counts: Counts{"w": 1}}, 100)
 		if got := b.Sum(w).Sum(); got != 0 {
 			t.Errorf("window %d: got %d requests, want none", w, got)
 		}
 	}
 	for w := range Window(100) {
 		b.Add(a, w, "w")
-		b.Forget(w)
+		b.Expire(w)
 	}
 	if got := len(b.windows); got > windowsMost {
 		t.Errorf("windows: got %d, want %d at most", got, windowsMost)
