--- a/pkg/duty/machine.go
+++ b/pkg/duty/machine.go
@@ -79,19 +79,19 @@
 const (
 	// authorityFraction is the part of the lease for which a holder may act after it has issued a
 	// write.
-	actFor = 0.5
+	authorityFraction = 0.5
 	// minAuthorityLeft is the authority that must be left for a call to begin.
-	actLeast = config.Span(300 * time.Millisecond)
+	minAuthorityLeft = config.Span(300 * time.Millisecond)
 	// takeoverRankDelay is the additional delay per rank before a router takes the duties over.
-	rankStep = config.Span(time.Second)
+	takeoverRankDelay = config.Span(time.Second)
 	// resignedRankDelay replaces takeoverRankDelay if the holder has resigned.
-	handStep = config.Span(300 * time.Millisecond)
+	resignedRankDelay = config.Span(300 * time.Millisecond)
 	// initialBackoff and maxBackoff bound the exponential backoff after failed calls.
-	againFirst = config.Span(400 * time.Millisecond)
-	againMost  = config.Span(4 * time.Second)
+	initialBackoff = config.Span(400 * time.Millisecond)
+	maxBackoff     = config.Span(4 * time.Second)
 	// maxFailures is the number of consecutive failed calls after which a holder resigns if there
 	// are other routers, which may reach the store or the platform where it cannot.
-	failuresMost = 2
+	maxFailures = 2
 )
 
 // Machine is the state machine of one router for the duties. It does no I/O and has no clock.
@@ -99,69 +99,69 @@
 type Machine struct {
 	// self is the name of the router's VM. incarnation identifies the router's process among those
 	// of the VM. lease is the time within which two VMs must not alternate as the holder.
-	self  string
-	life  uint64
-	lease config.Span
+	self        string
+	incarnation uint64
+	lease       config.Span
 	// startedAt is when the router started, or when the store was last found to hold no record.
 	startedAt time.Time
 	// rec is the newest known record. known is set if there is one; complete is set if it comes
 	// from the store, and not from gossip, which carries only some of its fields.
-	rec          Record
-	known, whole bool
+	rec             Record
+	known, complete bool
 	// knownAt is when rec's revision became known. holderSeenAt is when gossip was last received
 	// from its holder, or knownAt if that is later.
-	knownAt, heardAt time.Time
+	knownAt, holderSeenAt time.Time
 	// holderResigned is set if rec's holder has resigned, as its gossip reports.
-	handed bool
+	holderResigned bool
 	// authorityEnd is when this router, as the holder, must have ended all calls; zero if it may
 	// make none.
-	actsUntil time.Time
+	authorityEnd time.Time
 	// writeSeq is the sequence number of this router's last write, which was issued at
 	// writeIssuedAt. It grows with each write.
-	turn    int64
-	wroteAt time.Time
+	writeSeq      int64
+	writeIssuedAt time.Time
 	// peers is the number of other connected routers at the last call of Next.
-	others int
+	peers int
 	// inFlight is set while an action is in progress.
-	under bool
+	inFlight bool
 	// notBefore is the earliest time of the next action after a failed one. failures is the number
 	// of consecutive failures.
 	notBefore time.Time
 	failures  int
 	// writeInDoubt is set if it is not known whether a write was performed, or with which revision.
-	unsure bool
+	writeInDoubt bool
 	// accepted holds the windows whose reports the platform has accepted from this router.
-	taken map[usage.Window]bool
+	accepted map[usage.Window]bool
 	// removedRevision is the newest revision that the store was found not to hold any more. Gossip
 	// of other routers may still carry it.
-	removed int64
+	removedRevision int64
 	// settled is the newest window that the store or gossip reported as settled. It never decreases.
 	settled usage.Window
 	// resignedUntil is the time until which this router neither holds nor takes over the duties.
 	// stopped is set if that is permanent.
 	resignedUntil time.Time
-	stops         bool
+	stopped       bool
 }
 
 // New returns the machine of a router that starts now on the VM named vm. incarnation identifies
 // the process among the VM's routers. lease is the time within which two VMs must not alternate as
 // the holder.
-func New(vm string, life uint64, lease config.Span, now time.Time) *Machine {
-	return &Machine{self: vm, life: life, lease: lease, startedAt: now, taken: make(map[usage.Window]bool)}
+func New(vm string, incarnation uint64, lease config.Span, now time.Time) *Machine {
+	return &Machine{self: vm, incarnation: incarnation, lease: lease, startedAt: now, accepted: make(map[usage.Window]bool)}
 }
 
-// mine reports whether this incarnation of the router is the holder, according to the newest known
+// isHolder reports whether this incarnation of the router is the holder, according to the newest known
 // record.
-func (m *Machine) mine() bool {
-	return m.known && m.rec.Holder == m.self && m.rec.Incarnation == m.life
+func (m *Machine) isHolder() bool {
+	return m.known && m.rec.Holder == m.self && m.rec.Incarnation == m.incarnation
 }
 
 // resigned reports whether this router has resigned or stopped.
-func (m *Machine) resigned(now time.Time) bool { return m.stops || now.Before(m.resignedUntil) }
+func (m *Machine) resigned(now time.Time) bool { return m.stopped || now.Before(m.resignedUntil) }
 
 // Holds reports whether this router is the holder, by a record read from the store, and has not
 // resigned.
-func (m *Machine) Holds(now time.Time) bool { return m.mine() && m.whole && !m.resigned(now) }
+func (m *Machine) Holds(now time.Time) bool { return m.isHolder() && m.complete && !m.resigned(now) }
 
 // Settled returns the newest window that is known to be settled: its counts are final.
 func (m *Machine) Settled() usage.Window { return m.settled }
@@ -172,215 +172,215 @@
 
 // Gossip returns the message to send to other routers.
 func (m *Machine) Gossip(now time.Time) Gossip {
-	w := Gossip{Settled: m.settled}
+	g := Gossip{Settled: m.settled}
 	if m.known {
-		w.Holder, w.Incarnation, w.Revision = m.rec.Holder, m.rec.Incarnation, m.rec.Revision
-		w.Resigned = m.handed
-		if m.mine() {
+		g.Holder, g.Incarnation, g.Revision = m.rec.Holder, m.rec.Incarnation, m.rec.Revision
+		g.Resigned = m.holderResigned
+		if m.isHolder() {
 			// A call in progress may still reach the platform.
-			w.Resigned = m.resigned(now) && !m.under
+			g.Resigned = m.resigned(now) && !m.inFlight
 		}
 	}
-	return w
+	return g
 }
 
 // ReceiveGossip merges a message received from the router of the VM named from.
-func (m *Machine) ReceiveGossip(now time.Time, from string, w Gossip) {
-	m.settled = max(m.settled, w.Settled)
-	if w.Holder == "" || w.Revision <= m.removed {
+func (m *Machine) ReceiveGossip(now time.Time, from string, g Gossip) {
+	m.settled = max(m.settled, g.Settled)
+	if g.Holder == "" || g.Revision <= m.removedRevision {
 		return
 	}
-	if !m.known || w.Revision > m.rec.Revision {
-		m.rec = Record{Holder: w.Holder, Incarnation: w.Incarnation, Revision: w.Revision, Settled: m.settled}
-		m.known, m.whole, m.handed = true, false, false
-		m.actsUntil = time.Time{}
-		m.knownAt, m.heardAt = now, now
+	if !m.known || g.Revision > m.rec.Revision {
+		m.rec = Record{Holder: g.Holder, Incarnation: g.Incarnation, Revision: g.Revision, Settled: m.settled}
+		m.known, m.complete, m.holderResigned = true, false, false
+		m.authorityEnd = time.Time{}
+		m.knownAt, m.holderSeenAt = now, now
 	}
-	if w.Revision == m.rec.Revision && from == w.Holder && from != m.self {
-		m.handed = w.Resigned
-		m.heardAt = now
+	if g.Revision == m.rec.Revision && from == g.Holder && from != m.self {
+		m.holderResigned = g.Resigned
+		m.holderSeenAt = now
 	}
 }
 
 // Stop resigns the duties permanently.
-func (m *Machine) Stop() { m.stops = true }
+func (m *Machine) Stop() { m.stopped = true }
 
 // Next returns the action to perform now. It returns Nothing while an action is in progress or a
 // backoff lasts.
 func (m *Machine) Next(now time.Time, v View) Action {
-	if m.under || now.Before(m.notBefore) {
+	if m.inFlight || now.Before(m.notBefore) {
 		return Action{}
 	}
-	m.others = v.Peers
+	m.peers = v.Peers
 	var a Action
 	switch {
 	case m.resigned(now):
-	case m.unsure && v.StoreReachable:
+	case m.writeInDoubt && v.StoreReachable:
 		a.Kind = Read
-	case m.mine() && m.whole:
-		a = m.hold(now, v)
+	case m.isHolder() && m.complete:
+		a = m.holderAction(now, v)
 	case v.StoreReachable:
-		a = m.seek(now, v)
+		a = m.candidateAction(now, v)
 	}
 	if a.Kind != Nothing {
-		a.IssuedAt, m.under = now, true
+		a.IssuedAt, m.inFlight = now, true
 	}
 	if a.Kind == Write || a.Kind == Create {
-		m.turn++
-		m.wroteAt, a.Record.WriteSeq = now, m.turn
+		m.writeSeq++
+		m.writeIssuedAt, a.Record.WriteSeq = now, m.writeSeq
 	}
 	return a
 }
 
-// hold returns the action of a holder: it sends the unsent reports while its last write gives it
+// holderAction returns the action of a holder: it sends the unsent reports while its last write gives it
 // authority, and otherwise writes the record to gain authority.
-func (m *Machine) hold(now time.Time, v View) Action {
-	if m.rec.Fresh && now.Before(m.authority(m.knownAt)) {
+func (m *Machine) holderAction(now time.Time, v View) Action {
+	if m.rec.Fresh && now.Before(m.authorityFrom(m.knownAt)) {
 		// The holder named in a removed record may still have authority.
 		return Action{}
 	}
-	unsent := m.unsent()
-	if unsent != nil && actLeast.After(now).Before(m.actsUntil) {
-		return Action{Kind: Send, Report: *unsent, Fence: m.rec.EffectiveFence(), Deadline: m.actsUntil}
+	unsent := m.firstUnsent()
+	if unsent != nil && minAuthorityLeft.After(now).Before(m.authorityEnd) {
+		return Action{Kind: Send, Report: *unsent, Fence: m.rec.EffectiveFence(), Deadline: m.authorityEnd}
 	}
 	if v.StoreReachable && (unsent != nil || len(v.Ready) > 0) {
-		return Action{Kind: Write, Record: m.rec.renewed(v.Ready, m.sent, v.Window)}
+		return Action{Kind: Write, Record: m.rec.renewed(v.Ready, m.isAccepted, v.Window)}
 	}
 	return Action{}
 }
 
-// authority returns the end of the authority that a write issued at a time gives.
-func (m *Machine) authority(at time.Time) time.Time {
-	return at.Add(time.Duration(actFor * float64(m.lease)))
+// authorityFrom returns the end of the authorityFrom that a write issued at a time gives.
+func (m *Machine) authorityFrom(at time.Time) time.Time {
+	return at.Add(time.Duration(authorityFraction * float64(m.lease)))
 }
 
-// unsent returns the first stored report that the platform has not accepted; nil if there is none.
-func (m *Machine) unsent() *Report {
+// firstUnsent returns the first stored report that the platform has not accepted; nil if there is none.
+func (m *Machine) firstUnsent() *Report {
 	for i := range m.rec.Unsent {
-		if !m.taken[m.rec.Unsent[i].Window] {
+		if !m.accepted[m.rec.Unsent[i].Window] {
 			return &m.rec.Unsent[i]
 		}
 	}
 	return nil
 }
 
-// sent reports whether the platform has accepted this router's report of a window.
-func (m *Machine) sent(w usage.Window) bool { return m.taken[w] }
+// isAccepted reports whether the platform has accepted this router's report of a window.
+func (m *Machine) isAccepted(w usage.Window) bool { return m.accepted[w] }
 
-// seek returns the action of a router that is not the holder: it takes the duties over if there is
+// candidateAction returns the action of a router that is not the holder: it takes the duties over if there is
 // no record, or if nothing was received from the holder for long enough.
-func (m *Machine) seek(now time.Time, v View) Action {
+func (m *Machine) candidateAction(now time.Time, v View) Action {
 	rank := time.Duration(v.Rank)
 	if !m.known {
-		if now.Before(m.lease.After(m.startedAt).Add(rank * time.Duration(rankStep))) {
+		if now.Before(m.lease.After(m.startedAt).Add(rank * time.Duration(takeoverRankDelay))) {
 			return Action{}
 		}
-		return Action{Kind: Create, Record: Record{Holder: m.self, Incarnation: m.life, Fresh: true, Settled: max(m.settled, v.Window-1)}}
+		return Action{Kind: Create, Record: Record{Holder: m.self, Incarnation: m.incarnation, Fresh: true, Settled: max(m.settled, v.Window-1)}}
 	}
-	if now.Before(m.takeAt(rank)) {
+	if now.Before(m.takeoverAt(rank)) {
 		return Action{}
 	}
-	if !m.whole {
+	if !m.complete {
 		return Action{Kind: Read}
 	}
-	return Action{Kind: Write, Record: m.rec.taken(m.self, m.life, v.Window)}
+	return Action{Kind: Write, Record: m.rec.takeover(m.self, m.incarnation, v.Window)}
 }
 
-// takeAt returns when this router, of the given rank, may take the duties over. The holder's calls
+// takeoverAt returns when this router, of the given rank, may take the duties over. The holder's calls
 // end half a lease after the write that gave rec its revision, so that none of them arrives after
 // the lease; a holder that has resigned makes none. A VM that held the duties before waits for
 // the lease in any case, so that two VMs do not alternate within it.
-func (m *Machine) takeAt(rank time.Duration) time.Time {
+func (m *Machine) takeoverAt(rank time.Duration) time.Time {
 	switch {
 	case m.rec.Holder == m.self:
 		// The holder is an earlier incarnation of this router, or this one before it resigned.
 		return m.knownAt
-	case m.handed && !slices.Contains(m.rec.PastHolders, m.self):
-		return m.knownAt.Add(rank * time.Duration(handStep))
+	case m.holderResigned && !slices.Contains(m.rec.PastHolders, m.self):
+		return m.knownAt.Add(rank * time.Duration(resignedRankDelay))
 	default:
 		// holderSeenAt is never before knownAt.
-		last := m.heardAt
-		if m.handed {
+		last := m.holderSeenAt
+		if m.holderResigned {
 			last = m.knownAt
 		}
-		return m.lease.After(last).Add(rank * time.Duration(rankStep))
+		return m.lease.After(last).Add(rank * time.Duration(takeoverRankDelay))
 	}
 }
 
 // Done records the outcome of an action that Next returned. r is the record that the store
 // returned; it is used after Done and Conflict, except for a Create that succeeded.
 func (m *Machine) Done(now time.Time, a Action, o Outcome, r Record) {
-	m.under = false
+	m.inFlight = false
 	if a.Kind == Send {
-		m.sentDone(now, a, o)
+		m.reportDone(now, a, o)
 		return
 	}
 	switch o {
 	case Done, Conflict:
-		m.failures, m.unsure = 0, false
+		m.failures, m.writeInDoubt = 0, false
 		if a.Kind == Create && o == Done {
 			// The store does not return the revision of a created object: read it.
-			m.unsure = true
+			m.writeInDoubt = true
 			return
 		}
 		m.adopt(now, r)
 	case Missing:
-		m.failures, m.unsure = 0, false
-		m.forget(now)
+		m.failures, m.writeInDoubt = 0, false
+		m.resetRecord(now)
 	default:
-		m.unsure = m.unsure || o == Unknown && a.Kind != Read
-		m.fail(now)
+		m.writeInDoubt = m.writeInDoubt || o == Unknown && a.Kind != Read
+		m.recordFailure(now)
 	}
 }
 
-// sentDone records the outcome of sending a report.
-func (m *Machine) sentDone(now time.Time, a Action, o Outcome) {
+// reportDone records the outcome of sending a report.
+func (m *Machine) reportDone(now time.Time, a Action, o Outcome) {
 	switch o {
 	case Done:
-		m.taken[a.Report.Window] = true
+		m.accepted[a.Report.Window] = true
 		m.failures = 0
 	case Refused:
 		m.resign(now)
 	default:
-		m.fail(now)
+		m.recordFailure(now)
 	}
 }
 
 // adopt replaces the known record by one that the store returned.
 func (m *Machine) adopt(now time.Time, r Record) {
 	if !m.known || r.Revision != m.rec.Revision {
-		m.knownAt, m.heardAt, m.handed = now, now, false
+		m.knownAt, m.holderSeenAt, m.holderResigned = now, now, false
 	}
-	m.rec, m.known, m.whole = r, true, true
+	m.rec, m.known, m.complete = r, true, true
 	m.settled = max(m.settled, r.Settled)
 	m.rec.Settled = m.settled
-	m.actsUntil = time.Time{}
-	if m.mine() && r.WriteSeq == m.turn {
+	m.authorityEnd = time.Time{}
+	if m.isHolder() && r.WriteSeq == m.writeSeq {
 		// If the record comes from a read or a conflict, the write may have been performed long
 		// ago, but not before it was issued.
-		m.actsUntil = m.authority(m.wroteAt)
+		m.authorityEnd = m.authorityFrom(m.writeIssuedAt)
 	}
-	for w := range m.taken {
-		if w < m.settled-unsentMost {
-			delete(m.taken, w)
+	for w := range m.accepted {
+		if w < m.settled-maxUnsent {
+			delete(m.accepted, w)
 		}
 	}
 }
 
-// forget records that the store holds no record: the next one is created as after a start.
-func (m *Machine) forget(now time.Time) {
-	m.removed = max(m.removed, m.rec.Revision)
-	m.rec, m.known, m.whole, m.handed = Record{}, false, false, false
-	m.actsUntil, m.startedAt = time.Time{}, now
+// resetRecord records that the store holds no record: the next one is created as after a start.
+func (m *Machine) resetRecord(now time.Time) {
+	m.removedRevision = max(m.removedRevision, m.rec.Revision)
+	m.rec, m.known, m.complete, m.holderResigned = Record{}, false, false, false
+	m.authorityEnd, m.startedAt = time.Time{}, now
 }
 
-// fail records a failed call: it starts the backoff, and resigns after maxFailures if this router
+// recordFailure records a failed call: it starts the backoff, and resigns after maxFailures if this router
 // is the holder and there are others.
-func (m *Machine) fail(now time.Time) {
-	pause := min(againFirst<<min(m.failures, 8), againMost)
+func (m *Machine) recordFailure(now time.Time) {
+	pause := min(initialBackoff<<min(m.failures, 8), maxBackoff)
 	m.notBefore = pause.After(now)
 	m.failures++
-	if m.mine() && m.failures >= failuresMost && m.others > 0 {
+	if m.isHolder() && m.failures >= maxFailures && m.peers > 0 {
 		m.resign(now)
 	}
 }
@@ -388,5 +388,5 @@
 // resign leaves the duties to other routers for two leases.
 func (m *Machine) resign(now time.Time) {
 	m.resignedUntil = (2 * m.lease).After(now)
-	m.actsUntil, m.failures = time.Time{}, 0
+	m.authorityEnd, m.failures = time.Time{}, 0
 }
--- a/pkg/duty/machine_test.go
+++ b/pkg/duty/machine_test.go
@@ -18,34 +18,34 @@
 const (
 	// testLease and thawGrace come from the requirements: two VMs must not alternate as the holder
 	// within the lease, and calls of a VM within thawGrace of its thaw are exempt.
-	leaseOf = 3 * time.Second
-	thawOf  = 300 * time.Millisecond
+	testLease = 3 * time.Second
+	thawGrace = 300 * time.Millisecond
 	// reportDue is the time after the end of a window within which its report must arrive if there
 	// are no faults.
-	doneWithin = 10 * time.Second
-	windowOf   = 5 * time.Second
-	tick       = 50 * time.Millisecond
+	reportDue    = 10 * time.Second
+	windowLength = 5 * time.Second
+	tick         = 50 * time.Millisecond
 )
 
 // fakeStore is a store with one object.
-type shelf struct {
+type fakeStore struct {
 	rec      Record
-	there    bool
+	exists   bool
 	revision int64
 }
 
 // put performs a Create or Write if its condition holds.
-func (s *shelf) put(a Action) (Outcome, Record) {
+func (s *fakeStore) put(a Action) (Outcome, Record) {
 	switch {
-	case a.Kind == Create && s.there:
+	case a.Kind == Create && s.exists:
 		return Conflict, s.rec
-	case a.Kind == Write && !s.there:
+	case a.Kind == Write && !s.exists:
 		return Missing, Record{}
 	case a.Kind == Write && a.Record.Revision != s.rec.Revision:
 		return Conflict, s.rec
 	}
 	s.revision++
-	s.rec, s.there = a.Record, true
+	s.rec, s.exists = a.Record, true
 	s.rec.Revision = s.revision
 	if a.Kind == Create {
 		return Done, Record{}
@@ -53,15 +53,15 @@
 	return Done, s.rec
 }
 
-func (s *shelf) read() (Outcome, Record) {
-	if !s.there {
+func (s *fakeStore) read() (Outcome, Record) {
+	if !s.exists {
 		return Missing, Record{}
 	}
 	return Done, s.rec
 }
 
 // platformCall is a report as the platform received it.
-type act struct {
+type platformCall struct {
 	at     time.Time
 	vm     string
 	fence  int64
@@ -71,20 +71,20 @@
 }
 
 // simRouter is one VM with its router.
-type actor struct {
+type simRouter struct {
 	vm string
 	m  *Machine
-	// lives is the number of starts of the router.
-	lives uint64
-	rank  int
-	// frozen is when the VM's current or last freeze ends, and thawedAt when the last one ended or
+	// starts is the number of starts of the router.
+	starts uint64
+	rank   int
+	// frozenUntil is when the VM's current or last freeze ends, and thawedAt when the last one ended or
 	// will end.
-	frozen   time.Time
-	thawedAt time.Time
-	// cut is when the router can exchange gossip again, dark when it can reach the store again,
+	frozenUntil time.Time
+	thawedAt    time.Time
+	// isolatedUntil is when the router can exchange gossip again, storeLostUntil when it can reach the store again,
 	// and down when it runs again.
-	cut, dark time.Time
-	down      time.Time
+	isolatedUntil, storeLostUntil time.Time
+	downUntil                     time.Time
 }
 
 // event is a function to be called at a time.
@@ -94,92 +94,92 @@
 }
 
 // simulation runs routers, a store and the platform under random faults.
-type world struct {
-	rnd    *rand.Rand
-	now    time.Time
-	store  shelf
-	actors []*actor
-	events []event
-	acts   []act
-	calm   bool
-	// storeDown is the time until which the store does not answer.
-	storeDown time.Time
+type simulation struct {
+	rnd       *rand.Rand
+	now       time.Time
+	store     fakeStore
+	routers   []*simRouter
+	events    []event
+	calls     []platformCall
+	faultFree bool
+	// storeDownUntil is the time until which the store does not answer.
+	storeDownUntil time.Time
 }
 
-func (w *world) after(d time.Duration, do func(now time.Time)) {
-	w.events = append(w.events, event{w.now.Add(d), do})
+func (s *simulation) after(d time.Duration, do func(now time.Time)) {
+	s.events = append(s.events, event{s.now.Add(d), do})
 }
 
-func (w *world) chance(p float64) bool { return !w.calm && w.rnd.Float64() < p }
+func (s *simulation) chance(p float64) bool { return !s.faultFree && s.rnd.Float64() < p }
 
-func (w *world) upTo(most time.Duration) time.Duration {
-	return time.Duration(w.rnd.Int64N(int64(most)))
+func (s *simulation) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(s.rnd.Int64N(int64(limit)))
 }
 
-func (w *world) window() usage.Window {
-	return usage.Clock{Length: config.Span(windowOf)}.At(w.now)
+func (s *simulation) window() usage.Window {
+	return usage.Clock{Length: config.Span(windowLength)}.At(s.now)
 }
 
 // ready returns the reports that a router would settle. The counts differ between routers, as each
 // has received other reports.
-func (w *world) ready(a *actor) (list []Report) {
-	if !a.m.Holds(w.now) {
+func (s *simulation) ready(a *simRouter) (list []Report) {
+	if !a.m.Holds(s.now) {
 		return nil
 	}
-	for k := a.m.Settled() + 1; k < w.window(); k++ {
-		list = append(list, Report{Window: k, Counts: usage.Counts{a.vm: uint64(w.rnd.IntN(100))}})
+	for k := a.m.Settled() + 1; k < s.window(); k++ {
+		list = append(list, Report{Window: k, Counts: usage.Counts{a.vm: uint64(s.rnd.IntN(100))}})
 	}
 	return list
 }
 
 // step performs the next action of a router.
-func (w *world) step(a *actor) {
-	if w.now.Before(a.frozen) || w.now.Before(a.down) {
+func (s *simulation) step(a *simRouter) {
+	if s.now.Before(a.frozenUntil) || s.now.Before(a.downUntil) {
 		return
 	}
-	action := a.m.Next(w.now, View{Rank: a.rank, Peers: len(w.actors) - 1, StoreReachable: !w.now.Before(w.storeDown), Ready: w.ready(a), Window: w.window()})
+	action := a.m.Next(s.now, View{Rank: a.rank, Peers: len(s.routers) - 1, StoreReachable: !s.now.Before(s.storeDownUntil), Ready: s.ready(a), Window: s.window()})
 	if action.Kind == Nothing {
 		return
 	}
-	out, back := w.upTo(30*time.Millisecond), w.upTo(30*time.Millisecond)
-	end := w.ending(a, action)
+	out, back := s.randomUpTo(30*time.Millisecond), s.randomUpTo(30*time.Millisecond)
+	end := s.completion(a, action)
 	if action.Kind == Send {
-		w.send(a, action, out, back, end)
+		s.send(a, action, out, back, end)
 		return
 	}
-	lost := w.now.Before(a.dark) || w.now.Before(w.storeDown)
-	if !lost && !w.chance(0.05) {
-		w.after(out, func(time.Time) { w.after(back, end(w.stored(action))) })
+	lost := s.now.Before(a.storeLostUntil) || s.now.Before(s.storeDownUntil)
+	if !lost && !s.chance(0.05) {
+		s.after(out, func(time.Time) { s.after(back, end(s.callStore(action))) })
 		return
 	}
-	w.after(time.Second, end(Unknown, Record{}))
-	if !lost && action.Kind != Read && w.chance(0.5) {
-		w.after(time.Second+w.upTo(5*time.Second), func(time.Time) { w.store.put(action) })
+	s.after(time.Second, end(Unknown, Record{}))
+	if !lost && action.Kind != Read && s.chance(0.5) {
+		s.after(time.Second+s.randomUpTo(5*time.Second), func(time.Time) { s.store.put(action) })
 	}
 }
 
-// stored performs a call to the store. The response may be lost.
-func (w *world) stored(action Action) (Outcome, Record) {
-	o, r := w.store.read()
+// callStore performs a call to the store. The response may be lost.
+func (s *simulation) callStore(action Action) (Outcome, Record) {
+	o, r := s.store.read()
 	if action.Kind != Read {
-		o, r = w.store.put(action)
+		o, r = s.store.put(action)
 	}
-	if w.chance(0.1) {
+	if s.chance(0.1) {
 		return Unknown, Record{}
 	}
 	return o, r
 }
 
-// ending returns a function that reports the outcome of an action to the machine as soon as its VM
+// completion returns a function that reports the outcome of an action to the machine as soon as its VM
 // is not frozen, unless the router has been restarted since.
-func (w *world) ending(a *actor, action Action) (end func(o Outcome, r Record) func(now time.Time)) {
-	life, m := a.lives, a.m
+func (s *simulation) completion(a *simRouter, action Action) (end func(o Outcome, r Record) func(now time.Time)) {
+	starts, m := a.starts, a.m
 	return func(o Outcome, r Record) func(now time.Time) {
 		return func(now time.Time) {
 			switch {
-			case a.lives != life:
-			case now.Before(a.frozen):
-				w.events = append(w.events, event{a.frozen, w.ending(a, action)(o, r)})
+			case a.starts != starts:
+			case now.Before(a.frozenUntil):
+				s.events = append(s.events, event{a.frozenUntil, s.completion(a, action)(o, r)})
 			default:
 				m.Done(now, action, o, r)
 			}
@@ -188,91 +188,91 @@
 }
 
 // send sends a report to the platform. It arrives before the action's deadline, or never.
-func (w *world) send(a *actor, action Action, out, back time.Duration, end func(Outcome, Record) func(time.Time)) {
-	if w.chance(0.3) {
-		out = w.upTo(action.Deadline.Sub(w.now))
+func (s *simulation) send(a *simRouter, action Action, out, back time.Duration, end func(Outcome, Record) func(time.Time)) {
+	if s.chance(0.3) {
+		out = s.randomUpTo(action.Deadline.Sub(s.now))
 	}
-	if w.chance(0.2) || w.now.Add(out).After(action.Deadline) {
-		w.after(action.Deadline.Sub(w.now), end(Unknown, Record{}))
+	if s.chance(0.2) || s.now.Add(out).After(action.Deadline) {
+		s.after(action.Deadline.Sub(s.now), end(Unknown, Record{}))
 		return
 	}
-	w.after(out, func(now time.Time) {
-		if now.Before(a.frozen) {
-			now = a.frozen
+	s.after(out, func(now time.Time) {
+		if now.Before(a.frozenUntil) {
+			now = a.frozenUntil
 		}
-		w.acts = append(w.acts, act{now, a.vm, action.Fence, action.Report, now.Sub(a.thawedAt) < thawOf || now.Equal(a.frozen)})
-		w.after(back, end(Done, Record{}))
+		s.calls = append(s.calls, platformCall{now, a.vm, action.Fence, action.Report, now.Sub(a.thawedAt) < thawGrace || now.Equal(a.frozenUntil)})
+		s.after(back, end(Done, Record{}))
 	})
 }
 
 // exchangeGossip sends the gossip of each router to all others that it can reach.
-func (w *world) words() {
-	for _, from := range w.actors {
-		for _, to := range w.actors {
-			silent := func(a *actor) bool {
-				return w.now.Before(a.cut) || w.now.Before(a.frozen) || w.now.Before(a.down)
+func (s *simulation) exchangeGossip() {
+	for _, from := range s.routers {
+		for _, to := range s.routers {
+			silent := func(a *simRouter) bool {
+				return s.now.Before(a.isolatedUntil) || s.now.Before(a.frozenUntil) || s.now.Before(a.downUntil)
 			}
-			if from == to || silent(from) || silent(to) || w.chance(0.1) {
+			if from == to || silent(from) || silent(to) || s.chance(0.1) {
 				continue
 			}
-			word, m := from.m.Gossip(w.now), to.m
-			w.after(w.upTo(20*time.Millisecond), func(now time.Time) { m.ReceiveGossip(now, from.vm, word) })
+			gossip, m := from.m.Gossip(s.now), to.m
+			s.after(s.randomUpTo(20*time.Millisecond), func(now time.Time) { m.ReceiveGossip(now, from.vm, gossip) })
 		}
 	}
 }
 
 // injectFaults draws faults of the routers and of the store.
-func (w *world) trouble() {
-	for _, a := range w.actors {
+func (s *simulation) injectFaults() {
+	for _, a := range s.routers {
 		switch {
-		case w.now.Before(a.frozen) || w.now.Before(a.down):
-		case w.chance(0.004):
-			a.frozen = w.now.Add(w.upTo(8 * time.Second))
-			a.thawedAt = a.frozen
-		case w.chance(0.004):
-			a.cut = w.now.Add(w.upTo(8 * time.Second))
-		case w.chance(0.004):
-			a.dark = w.now.Add(w.upTo(8 * time.Second))
-		case w.chance(0.004):
-			w.restart(a)
-		case w.chance(0.002):
+		case s.now.Before(a.frozenUntil) || s.now.Before(a.downUntil):
+		case s.chance(0.004):
+			a.frozenUntil = s.now.Add(s.randomUpTo(8 * time.Second))
+			a.thawedAt = a.frozenUntil
+		case s.chance(0.004):
+			a.isolatedUntil = s.now.Add(s.randomUpTo(8 * time.Second))
+		case s.chance(0.004):
+			a.storeLostUntil = s.now.Add(s.randomUpTo(8 * time.Second))
+		case s.chance(0.004):
+			s.restart(a)
+		case s.chance(0.002):
 			a.m.Stop()
-			w.after(time.Second+w.upTo(2*time.Second), func(time.Time) { w.restart(a) })
+			s.after(time.Second+s.randomUpTo(2*time.Second), func(time.Time) { s.restart(a) })
 		}
 	}
-	if w.chance(0.002) {
-		w.storeDown = w.now.Add(w.upTo(6 * time.Second))
+	if s.chance(0.002) {
+		s.storeDownUntil = s.now.Add(s.randomUpTo(6 * time.Second))
 	}
-	if w.chance(0.001) {
-		w.store.there = false
+	if s.chance(0.001) {
+		s.store.exists = false
 	}
 }
 
 // restart kills a router and starts it again within 2 s.
-func (w *world) restart(a *actor) {
-	a.lives++
-	a.down = w.now.Add(w.upTo(2 * time.Second))
-	a.m = New(a.vm, w.rnd.Uint64(), config.Span(leaseOf), a.down)
+func (s *simulation) restart(a *simRouter) {
+	a.starts++
+	a.downUntil = s.now.Add(s.randomUpTo(2 * time.Second))
+	a.m = New(a.vm, s.rnd.Uint64(), config.Span(testLease), a.downUntil)
 }
 
 // run advances the simulation by d, in steps of tick.
-func (w *world) play(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tick) {
+func (s *simulation) run(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(tick) {
 		for done := false; !done; {
 			done = true
-			slices.SortStableFunc(w.events, func(a, b event) int { return a.at.Compare(b.at) })
-			if len(w.events) > 0 && !w.events[0].at.After(w.now) {
-				e := w.events[0]
-				w.events, done = w.events[1:], false
+			slices.SortStableFunc(s.events, func(a, b event) int { return a.at.Compare(b.at) })
+			if len(s.events) > 0 && !s.events[0].at.After(s.now) {
+				e := s.events[0]
+				s.events, done = s.events[1:], false
 				e.do(e.at)
 			}
 		}
-		w.trouble()
-		for _, a := range w.actors {
-			w.step(a)
+		s.injectFaults()
+		for _, a := range s.routers {
+			s.step(a)
 		}
-		if w.now.UnixMilli()%1000 == 0 {
-			w.words()
+		if s.now.UnixMilli()%1000 == 0 {
+			s.exchangeGossip()
 		}
 	}
 }
@@ -280,11 +280,11 @@
 // check verifies the calls that the platform received against the requirements: one VM for each
 // fence, no decrease of fences, one set of counts for each window, and no alternation of holders
 // within the lease.
-func (w *world) check(t *testing.T) {
+func (s *simulation) check(t *testing.T) {
 	holders, counts := make(map[int64]string), make(map[usage.Window]usage.Counts)
 	highest := int64(0)
-	slices.SortStableFunc(w.acts, func(a, b act) int { return a.at.Compare(b.at) })
-	for i, a := range w.acts {
+	slices.SortStableFunc(s.calls, func(a, b platformCall) int { return a.at.Compare(b.at) })
+	for i, a := range s.calls {
 		if had, ok := holders[a.fence]; ok && had != a.vm {
 			t.Errorf("fence %d: got holders %s and %s, want one", a.fence, had, a.vm)
 		}
@@ -297,38 +297,38 @@
 			t.Errorf("window %d: got counts %v and %v, want one set of counts", a.report.Window, had, a.report.Counts)
 		}
 		counts[a.report.Window] = a.report.Counts
-		for j := i - 1; j >= 0 && a.at.Sub(w.acts[j].at) < leaseOf; j-- {
-			if w.acts[j].vm != a.vm {
-				w.checkTurns(t, i, j)
+		for j := i - 1; j >= 0 && a.at.Sub(s.calls[j].at) < testLease; j-- {
+			if s.calls[j].vm != a.vm {
+				s.checkAlternation(t, i, j)
 			}
 		}
 	}
 }
 
-// checkTurns reports an error if a VM acted before and after another one within the lease. last and
+// checkAlternation reports an error if a VM acted before and after another one within the lease. last and
 // middle are the indexes of the VM's last call and of the other VM's.
-func (w *world) checkTurns(t *testing.T, last, middle int) {
-	a := w.acts[last]
-	for j := middle - 1; j >= 0 && a.at.Sub(w.acts[j].at) < leaseOf; j-- {
-		if w.acts[j].vm == a.vm && !a.thawed && !w.acts[middle].thawed && !w.acts[j].thawed {
-			t.Errorf("%v: got %s, %s, %s within %v", a.at, a.vm, w.acts[middle].vm, a.vm, a.at.Sub(w.acts[j].at))
+func (s *simulation) checkAlternation(t *testing.T, last, middle int) {
+	a := s.calls[last]
+	for j := middle - 1; j >= 0 && a.at.Sub(s.calls[j].at) < testLease; j-- {
+		if s.calls[j].vm == a.vm && !a.thawed && !s.calls[middle].thawed && !s.calls[j].thawed {
+			t.Errorf("%v: got %s, %s, %s within %v", a.at, a.vm, s.calls[middle].vm, a.vm, a.at.Sub(s.calls[j].at))
 		}
 	}
 }
 
-func newWorld(seed uint64, routers int) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1_800_000_000, 0)}
+func newSimulation(seed uint64, routers int) *simulation {
+	s := &simulation{rnd: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1_800_000_000, 0)}
 	for i := range routers {
-		a := &actor{vm: fmt.Sprintf("vm-%d", i), rank: i}
-		w.restart(a)
-		w.actors = append(w.actors, a)
+		a := &simRouter{vm: fmt.Sprintf("vm-%d", i), rank: i}
+		s.restart(a)
+		s.routers = append(s.routers, a)
 	}
-	return w
+	return s
 }
 
 // regressionSeeds exposed faults before: a record that was removed while its holder still had
 // authority (697), and mutants of the machine.
-var seedsKept = []uint64{399, 599, 697}
+var regressionSeeds = []uint64{399, 599, 697}
 
 // Under any faults of routers and store, one VM acts under each fence, fences never decrease, no
 // two holders alternate within the lease, and a window is reported with one set of counts. Once
@@ -339,29 +339,29 @@
 // the revision, and a VM that held the duties before takes them back at once from one that has
 // resigned.
 func TestOneHolderAtATime(t *testing.T) {
-	for i := range uint64(300 + len(seedsKept)) {
+	for i := range uint64(300 + len(regressionSeeds)) {
 		seed := i
 		if i >= 300 {
-			seed = seedsKept[i-300]
+			seed = regressionSeeds[i-300]
 		}
-		w := newWorld(seed, 2+int(seed%5))
-		w.play(60 * time.Second)
-		w.calm = true
-		w.storeDown = time.Time{}
-		w.play(20 * time.Second)
-		from := w.window()
-		w.play(3*windowOf + doneWithin)
-		w.check(t)
+		s := newSimulation(seed, 2+int(seed%5))
+		s.run(60 * time.Second)
+		s.faultFree = true
+		s.storeDownUntil = time.Time{}
+		s.run(20 * time.Second)
+		from := s.window()
+		s.run(3*windowLength + reportDue)
+		s.check(t)
 		got := make(map[usage.Window]time.Time)
-		for _, a := range w.acts {
+		for _, a := range s.calls {
 			if _, ok := got[a.report.Window]; !ok {
 				got[a.report.Window] = a.at
 			}
 		}
 		for k := from; k < from+3; k++ {
-			end := usage.Clock{Length: config.Span(windowOf)}.End(k)
-			if at, ok := got[k]; !ok || at.After(end.Add(doneWithin)) {
-				t.Errorf("seed %d: window %d: got its report at %v, want one by %v", seed, k, at, end.Add(doneWithin))
+			end := usage.Clock{Length: config.Span(windowLength)}.End(k)
+			if at, ok := got[k]; !ok || at.After(end.Add(reportDue)) {
+				t.Errorf("seed %d: window %d: got its report at %v, want one by %v", seed, k, at, end.Add(reportDue))
 			}
 		}
 		if t.Failed() {
@@ -372,22 +372,22 @@
 
 // A VM that held the duties before waits for the lease before it takes them back, even from a
 // holder that has resigned. A VM that did not hold them takes them over at once.
-func TestNoTurnsWithinTheLease(t *testing.T) {
+func TestNoAlternationWithinTheLease(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	for _, c := range []struct {
 		vm   string
 		past []string
 		want time.Time
 	}{
-		{"vm-a", []string{"vm-a"}, start.Add(leaseOf)},
+		{"vm-a", []string{"vm-a"}, start.Add(testLease)},
 		{"vm-c", []string{"vm-a"}, start},
 		{"vm-b", nil, start},
 	} {
-		m := New(c.vm, 1, config.Span(leaseOf), start)
+		m := New(c.vm, 1, config.Span(testLease), start)
 		m.adopt(start, Record{Holder: "vm-b", Incarnation: 2, PastHolders: c.past, Revision: 7})
 		m.ReceiveGossip(start, "vm-b", Gossip{Holder: "vm-b", Incarnation: 2, Revision: 7, Resigned: true})
 		var got time.Time
-		for now := start; got.IsZero() && now.Before(start.Add(2*leaseOf)); now = now.Add(tick) {
+		for now := start; got.IsZero() && now.Before(start.Add(2*testLease)); now = now.Add(tick) {
 			if a := m.Next(now, View{Peers: 2, StoreReachable: true}); a.Kind == Write {
 				got = now
 			}
--- a/pkg/duty/record.go
+++ b/pkg/duty/record.go
@@ -46,10 +46,10 @@
 
 const (
 	// maxPastHolders is the number of earlier holders that are stored.
-	pastMost = 8
+	maxPastHolders = 8
 	// maxUnsent bounds the reports that are stored while the platform accepts none. The oldest are
 	// dropped.
-	unsentMost = 16
+	maxUnsent = 16
 )
 
 // EffectiveFence returns the fencing token of the current tenure of a stored record: Fence, or
@@ -61,9 +61,9 @@
 	return r.Revision
 }
 
-// begun returns the base of the record that replaces r in the window now. If r is fresh, there may
+// successor returns the base of the record that replaces r in the window now. If r is fresh, there may
 // have been an earlier record, whose holder settled the windows before now.
-func (r *Record) begun(now usage.Window) Record {
+func (r *Record) successor(now usage.Window) Record {
 	next := *r
 	if r.Fresh {
 		next.Fresh, next.Settled = false, max(r.Settled, now-1)
@@ -71,31 +71,31 @@
 	return next
 }
 
-// taken returns the record with which a router, of the same VM or another one, takes the duties
+// takeover returns the record with which a router, of the same VM or another one, takes the duties
 // over in the window now.
-func (r *Record) taken(vm string, life uint64, now usage.Window) Record {
-	next := r.begun(now)
-	next.Holder, next.Incarnation, next.Fence = vm, life, 0
+func (r *Record) takeover(vm string, incarnation uint64, now usage.Window) Record {
+	next := r.successor(now)
+	next.Holder, next.Incarnation, next.Fence = vm, incarnation, 0
 	if r.Holder != "" && r.Holder != vm {
 		past := slices.DeleteFunc(slices.Clone(r.PastHolders), func(name string) bool { return name == r.Holder })
 		next.PastHolders = slices.Insert(past, 0, r.Holder)
-		next.PastHolders = next.PastHolders[:min(len(next.PastHolders), pastMost)]
+		next.PastHolders = next.PastHolders[:min(len(next.PastHolders), maxPastHolders)]
 	}
 	return next
 }
 
 // renewed returns the record with which the holder continues in the window now: it adds the newly
 // settled reports, and drops those that the platform has accepted, as sent returns.
-func (r *Record) renewed(settled []Report, sent func(usage.Window) bool, now usage.Window) Record {
-	next := r.begun(now)
+func (r *Record) renewed(settled []Report, accepted func(usage.Window) bool, now usage.Window) Record {
+	next := r.successor(now)
 	next.Fence = r.EffectiveFence()
-	next.Unsent = slices.DeleteFunc(slices.Clone(r.Unsent), func(u Report) bool { return sent(u.Window) })
+	next.Unsent = slices.DeleteFunc(slices.Clone(r.Unsent), func(u Report) bool { return accepted(u.Window) })
 	for _, s := range settled {
 		if s.Window > next.Settled {
 			next.Unsent, next.Settled = append(next.Unsent, s), s.Window
 		}
 	}
-	if over := len(next.Unsent) - unsentMost; over > 0 {
+	if over := len(next.Unsent) - maxUnsent; over > 0 {
 		next.Unsent = next.Unsent[over:]
 	}
 	return next
--- a/pkg/poison/book.go
+++ b/pkg/poison/detector.go
@@ -23,7 +23,7 @@
 	causes map[uint64][]Fingerprint
 	// recent holds the crashes that were observed or reported, under whatever requests, in the
 	// order of arrival; at most maxRecentCrashes.
-	recent []sighting
+	recent []recentCrash
 	// pending holds for each suspect to be judged the time from which it is due. Later crashes do
 	// not postpone it.
 	pending map[Fingerprint]time.Time
@@ -36,27 +36,27 @@
 	// last let through after Until.
 	changedAt, triedAt time.Time
 	// storedRound is the round of the verdict that the store holds; 0 if it holds none.
-	stored int
+	storedRound int
 }
 
 const (
 	// suspectTTL is how long a suspect is stored after its latest crash.
-	suspectFor = 10 * time.Minute
+	suspectTTL = 10 * time.Minute
 	// maxSuspects and maxRecords bound the memory; the oldest entry is evicted. Full, the suspects
 	// take 0.9 MB with two crashes each, and the records 0.5 MB with three crashes each and 5.5 MB
 	// with maxCrashesPerRequest.
-	suspectsMost = 4096
-	recordsMost  = 1024
+	maxSuspects = 4096
+	maxRecords  = 1024
 	// maxRecentCrashes bounds the recent crashes. They are stored for suspectTTL, as long as
 	// suspects: the older crashes of a suspect would otherwise seem to have come alone.
-	recentMost = 256
+	maxRecentCrashes = 256
 	// retryInterval is the interval at which one process lets a request through after Until. If
 	// the request crashes its endpoint, all processes know of that within a shorter time.
-	tryEvery = 5 * time.Second
+	retryInterval = 5 * time.Second
 	// retryRankDelay is the additional delay per rank before a process lets a request through.
-	tryStep = 2 * time.Second
+	retryRankDelay = 2 * time.Second
 	// gossipWindow is how long a changed verdict is sent to other processes repeatedly.
-	freshFor = 10 * time.Second
+	gossipWindow = 10 * time.Second
 )
 
 // NewDetector returns a Detector that knows of no requests.
@@ -65,22 +65,22 @@
 }
 
 // Empty reports whether there are neither suspects nor verdicts.
-func (b *Detector) Empty() bool { return len(b.suspects) == 0 && len(b.records) == 0 }
+func (d *Detector) Empty() bool { return len(d.suspects) == 0 && len(d.records) == 0 }
 
 // Counts returns the numbers of suspects and of quarantined requests.
-func (b *Detector) Counts() (suspects, quarantined int) {
-	for _, r := range b.records {
+func (d *Detector) Counts() (suspects, quarantined int) {
+	for _, r := range d.records {
 		if r.InForce() {
 			quarantined++
 		}
 	}
-	return len(b.suspects), quarantined
+	return len(d.suspects), quarantined
 }
 
 // Crashes returns the number of crashes under a suspect; 0 for a request that is not suspected,
 // also if it is quarantined.
-func (b *Detector) Crashes(p Fingerprint) int {
-	if s := b.suspects[p]; s != nil {
+func (d *Detector) Crashes(p Fingerprint) int {
+	if s := d.suspects[p]; s != nil {
 		return len(s.crashes)
 	}
 	return 0
@@ -88,14 +88,14 @@
 
 // ReachesThreshold reports whether a suspect would be judged if so many more endpoints had crashed
 // under it.
-func (b *Detector) ReachesThreshold(p Fingerprint, more int) bool {
-	n := b.Crashes(p)
-	return n > 0 && more > 0 && n+more >= crashesLeast
+func (d *Detector) ReachesThreshold(p Fingerprint, more int) bool {
+	n := d.Crashes(p)
+	return n > 0 && more > 0 && n+more >= minCrashes
 }
 
 // Round returns the round of the verdict on a request; 0 if there is none.
-func (b *Detector) Round(p Fingerprint) int {
-	if r := b.records[p]; r != nil {
+func (d *Detector) Round(p Fingerprint) int {
+	if r := d.records[p]; r != nil {
 		return r.Round
 	}
 	return 0
@@ -105,162 +105,162 @@
 // there for age. own is set if this process observed the crash itself. It returns the verdicts
 // that are new or changed immediately; pending reports whether Judge has to be called once
 // SettleDelay has passed.
-func (b *Detector) RecordCrash(now time.Time, p Fingerprint, endpoint uint64, age time.Duration, own bool) (changed []Verdict, pending bool) {
+func (d *Detector) RecordCrash(now time.Time, p Fingerprint, endpoint uint64, age time.Duration, own bool) (changed []Verdict, pending bool) {
 	e := Crash{endpoint, now}
-	b.notice(e, own)
-	r := b.records[p]
+	d.addRecent(e, own)
+	r := d.records[p]
 	if r != nil && r.InForce() && now.Before(r.Until) {
-		if !b.grow(now, r, e) {
+		if !d.addCrashes(now, r, e) {
 			return nil, false
 		}
-		return append([]Verdict{r.Verdict}, b.overrule(now, r.Crashes)...), false
+		return append([]Verdict{r.Verdict}, d.overrule(now, r.Crashes)...), false
 	}
-	if r != nil && len(r.Crashes) > 0 && b.explaining(e, p, 0) == nil {
-		return b.quarantine(now, p, []Crash{e}), false
+	if r != nil && len(r.Crashes) > 0 && d.explainedBy(e, p, 0) == nil {
+		return d.quarantine(now, p, []Crash{e}), false
 	}
-	return nil, b.suspect(now, p, e, age)
+	return nil, d.addToSuspect(now, p, e, age)
 }
 
-// suspect records a crash under a request that is not quarantined, and reports whether the request
+// addToSuspect records a crash under a request that is not quarantined, and reports whether the request
 // is to be judged.
-func (b *Detector) suspect(now time.Time, p Fingerprint, e Crash, age time.Duration) (pending bool) {
-	s := b.suspectOf(p)
-	if !s.add(e, age) || len(s.crashes) < crashesLeast {
+func (d *Detector) addToSuspect(now time.Time, p Fingerprint, e Crash, age time.Duration) (pending bool) {
+	s := d.getOrAddSuspect(p)
+	if !s.add(e, age) || len(s.crashes) < minCrashes {
 		return false
 	}
-	if _, ok := b.pending[p]; !ok {
-		b.pending[p] = now.Add(SettleDelay)
+	if _, ok := d.pending[p]; !ok {
+		d.pending[p] = now.Add(SettleDelay)
 	}
 	return true
 }
 
-// suspectOf returns the suspect for a request. It adds one if there is none, and evicts the one
+// getOrAddSuspect returns the suspect for a request. It adds one if there is none, and evicts the one
 // with the oldest latest crash if there are maxSuspects.
-func (b *Detector) suspectOf(p Fingerprint) *suspect {
-	s := b.suspects[p]
+func (d *Detector) getOrAddSuspect(p Fingerprint) *suspect {
+	s := d.suspects[p]
 	if s == nil {
 		s = &suspect{}
-		if len(b.suspects) >= suspectsMost {
-			delete(b.suspects, oldest(b.suspects, func(s *suspect) time.Time { return s.at }))
+		if len(d.suspects) >= maxSuspects {
+			delete(d.suspects, oldest(d.suspects, func(s *suspect) time.Time { return s.at }))
 		}
-		b.suspects[p] = s
+		d.suspects[p] = s
 	}
 	return s
 }
 
 // JudgeDueAt returns the time from which Judge decides on a request; ok is false if no judgement
 // is pending.
-func (b *Detector) JudgeDueAt(p Fingerprint) (at time.Time, ok bool) {
-	at, ok = b.pending[p]
+func (d *Detector) JudgeDueAt(p Fingerprint) (at time.Time, ok bool) {
+	at, ok = d.pending[p]
 	return at, ok
 }
 
-// notice adds a crash to the recent ones, unless it is a duplicate.
-func (b *Detector) notice(e Crash, own bool) {
-	for i := range b.recent {
-		if r := &b.recent[i]; r.same(e) {
+// addRecent adds a crash to the recent ones, unless it is a duplicate.
+func (d *Detector) addRecent(e Crash, own bool) {
+	for i := range d.recent {
+		if r := &d.recent[i]; r.same(e) {
 			r.own = r.own || own
 			return
 		}
 	}
-	if len(b.recent) >= recentMost {
-		b.recent = b.recent[1:]
+	if len(d.recent) >= maxRecentCrashes {
+		d.recent = d.recent[1:]
 	}
-	b.recent = append(b.recent, sighting{e, own})
+	d.recent = append(d.recent, recentCrash{e, own})
 }
 
 // RecordSuccess records that an endpoint answered a request completely, which proves that the
 // request does not crash what runs it. The request is no longer suspected. It returns the verdict
 // if this lifts a quarantine, else nil.
-func (b *Detector) RecordSuccess(now time.Time, p Fingerprint) *Verdict {
-	delete(b.suspects, p)
-	return b.Lift(now, p)
+func (d *Detector) RecordSuccess(now time.Time, p Fingerprint) *Verdict {
+	delete(d.suspects, p)
+	return d.Lift(now, p)
 }
 
 // Lift ends the quarantine of a request and drops its crashes. It returns the lifted verdict, or
 // nil if the request was not quarantined.
-func (b *Detector) Lift(now time.Time, p Fingerprint) *Verdict {
-	r := b.records[p]
+func (d *Detector) Lift(now time.Time, p Fingerprint) *Verdict {
+	r := d.records[p]
 	if r == nil || !r.InForce() {
 		return nil
 	}
-	v := r.next(now)
+	v := r.nextRound(now)
 	v.Crashes = nil
-	b.keep(now, v)
+	d.setVerdict(now, v)
 	return &v
 }
 
-// keep replaces the verdict on a request. It evicts the record with the earliest Until if there
+// setVerdict replaces the verdict on a request. It evicts the record with the earliest Until if there
 // are maxRecords.
-func (b *Detector) keep(now time.Time, v Verdict) {
-	r := b.records[v.Fingerprint]
+func (d *Detector) setVerdict(now time.Time, v Verdict) {
+	r := d.records[v.Fingerprint]
 	if r == nil {
-		if len(b.records) >= recordsMost {
-			b.forget(oldest(b.records, func(r *record) time.Time { return r.Until }))
+		if len(d.records) >= maxRecords {
+			d.deleteRecord(oldest(d.records, func(r *record) time.Time { return r.Until }))
 		}
 		r = &record{}
-		b.records[v.Fingerprint] = r
+		d.records[v.Fingerprint] = r
 	}
-	b.unlink(r)
+	d.unindex(r)
 	r.Verdict, r.changedAt = v, now
-	b.link(v.Fingerprint, v.Crashes)
+	d.index(v.Fingerprint, v.Crashes)
 }
 
-// grow adds crashes to a record, and reports whether any of them was new.
-func (b *Detector) grow(now time.Time, r *record, crashes ...Crash) (grown bool) {
+// addCrashes adds crashes to a record, and reports whether any of them was new.
+func (d *Detector) addCrashes(now time.Time, r *record, crashes ...Crash) (grown bool) {
 	known := len(r.Crashes)
-	if r.Crashes, grown = join(r.Crashes, crashes...); grown {
-		b.link(r.Fingerprint, r.Crashes[known:])
+	if r.Crashes, grown = mergeCrashes(r.Crashes, crashes...); grown {
+		d.index(r.Fingerprint, r.Crashes[known:])
 		r.changedAt = now
 	}
 	return grown
 }
 
-// link adds the crashes of a verdict to the index by endpoint.
-func (b *Detector) link(p Fingerprint, crashes []Crash) {
+// index adds the crashes of a verdict to the index by endpoint.
+func (d *Detector) index(p Fingerprint, crashes []Crash) {
 	for _, e := range crashes {
-		b.causes[e.Endpoint] = append(b.causes[e.Endpoint], p)
+		d.causes[e.Endpoint] = append(d.causes[e.Endpoint], p)
 	}
 }
 
-// unlink removes the crashes of a record from the index by endpoint.
-func (b *Detector) unlink(r *record) {
+// unindex removes the crashes of a record from the index by endpoint.
+func (d *Detector) unindex(r *record) {
 	for _, e := range r.Crashes {
-		list := slices.DeleteFunc(b.causes[e.Endpoint], func(p Fingerprint) bool { return p == r.Fingerprint })
-		if b.causes[e.Endpoint] = list; len(list) == 0 {
-			delete(b.causes, e.Endpoint)
+		list := slices.DeleteFunc(d.causes[e.Endpoint], func(p Fingerprint) bool { return p == r.Fingerprint })
+		if d.causes[e.Endpoint] = list; len(list) == 0 {
+			delete(d.causes, e.Endpoint)
 		}
 	}
 }
 
-// forget deletes the record of a request, which must exist.
-func (b *Detector) forget(p Fingerprint) {
-	b.unlink(b.records[p])
-	delete(b.records, p)
+// deleteRecord deletes the record of a request, which must exist.
+func (d *Detector) deleteRecord(p Fingerprint) {
+	d.unindex(d.records[p])
+	delete(d.records, p)
 }
 
 // Merge merges a verdict that was received from another process or read from the store, and
 // reports whether that changed the verdict held here. Until is limited to how long a verdict of
 // its round may last from now. A verdict of round 0 is a suspicion: its crashes are added, and
 // Merge returns false.
-func (b *Detector) Merge(now time.Time, v Verdict) bool {
+func (d *Detector) Merge(now time.Time, v Verdict) bool {
 	if v.Round <= 0 {
-		b.recall(v)
+		d.mergeSuspicion(v)
 		return false
 	}
-	if most := now.Add(v.hold()); v.Until.After(most) {
-		v.Until = most
+	if latest := now.Add(v.duration()); v.Until.After(latest) {
+		v.Until = latest
 	}
-	r := b.records[v.Fingerprint]
+	r := d.records[v.Fingerprint]
 	switch {
-	case now.After(v.forgottenAt()) || r != nil && v.Round < r.Round:
+	case now.After(v.expiresAt()) || r != nil && v.Round < r.Round:
 		return false
 	case r == nil || v.Round > r.Round:
-		v.Crashes, _ = join(nil, v.Crashes...)
-		delete(b.suspects, v.Fingerprint)
-		b.keep(now, v)
+		v.Crashes, _ = mergeCrashes(nil, v.Crashes...)
+		delete(d.suspects, v.Fingerprint)
+		d.setVerdict(now, v)
 	default:
-		return b.grow(now, r, v.Crashes...)
+		return d.addCrashes(now, r, v.Crashes...)
 	}
 	return true
 }
@@ -270,12 +270,12 @@
 // higher ranks start later: the first request that crashes its endpoint renews the verdict for all
 // processes. Each nil for a quarantined request counts as a retry. rank returns this process's
 // rank for a request.
-func (b *Detector) Refuses(now time.Time, p Fingerprint, rank func(p Fingerprint) int) *Verdict {
-	r := b.records[p]
+func (d *Detector) Refuses(now time.Time, p Fingerprint, rank func(p Fingerprint) int) *Verdict {
+	r := d.records[p]
 	if r == nil || !r.InForce() {
 		return nil
 	}
-	if now.Before(r.Until) || now.Sub(r.triedAt) < tryEvery || now.Before(r.Until.Add(time.Duration(rank(p))*tryStep)) {
+	if now.Before(r.Until) || now.Sub(r.triedAt) < retryInterval || now.Before(r.Until.Add(time.Duration(rank(p))*retryRankDelay)) {
 		return &r.Verdict
 	}
 	r.triedAt = now
@@ -284,27 +284,27 @@
 
 // RecentChanges returns at most so many verdicts that other processes may not know yet, the latest
 // change first: those that changed within gossipWindow, and quarantines that the store lacks.
-func (b *Detector) RecentChanges(now time.Time, most int) []Verdict {
+func (d *Detector) RecentChanges(now time.Time, limit int) []Verdict {
 	var list []*record
-	for _, r := range b.records {
-		if now.Sub(r.changedAt) <= freshFor || r.InForce() && r.stored != r.Round {
+	for _, r := range d.records {
+		if now.Sub(r.changedAt) <= gossipWindow || r.InForce() && r.storedRound != r.Round {
 			list = append(list, r)
 		}
 	}
 	slices.SortFunc(list, func(a, b *record) int { return b.changedAt.Compare(a.changedAt) })
-	var fresh []Verdict
-	for _, r := range list[:min(len(list), most)] {
-		fresh = append(fresh, r.Verdict)
+	var changes []Verdict
+	for _, r := range list[:min(len(list), limit)] {
+		changes = append(changes, r.Verdict)
 	}
-	return fresh
+	return changes
 }
 
 // Unstored returns a quarantine that the store lacks, or a lifted verdict that it still holds; nil
 // if there is none. rank returns this process's rank for a request: a process waits for step per
 // rank after a change, so that only one writes.
-func (b *Detector) Unstored(now time.Time, step time.Duration, rank func(p Fingerprint) int) *Verdict {
-	for _, r := range b.records {
-		due := r.InForce() && r.stored != r.Round || !r.InForce() && r.stored > 0
+func (d *Detector) Unstored(now time.Time, step time.Duration, rank func(p Fingerprint) int) *Verdict {
+	for _, r := range d.records {
+		due := r.InForce() && r.storedRound != r.Round || !r.InForce() && r.storedRound > 0
 		if due && now.Sub(r.changedAt) >= time.Duration(rank(r.Fingerprint))*step {
 			v := r.Verdict
 			return &v
@@ -315,41 +315,41 @@
 
 // SetStoredRound records the round of the verdict on a request that the store holds; 0 if it holds
 // none.
-func (b *Detector) SetStoredRound(p Fingerprint, round int) {
-	if r := b.records[p]; r != nil {
-		r.stored = round
+func (d *Detector) SetStoredRound(p Fingerprint, round int) {
+	if r := d.records[p]; r != nil {
+		r.storedRound = round
 	}
 }
 
 // RecordRemoval records that the store holds no verdict on a request any more, as an operator or
 // another process has removed it. It returns the verdict if this lifts a quarantine, else nil. A
 // verdict that was never stored, or was renewed since it was stored, stays.
-func (b *Detector) RecordRemoval(now time.Time, p Fingerprint) *Verdict {
-	r := b.records[p]
+func (d *Detector) RecordRemoval(now time.Time, p Fingerprint) *Verdict {
+	r := d.records[p]
 	if r == nil {
 		return nil
 	}
-	was := r.stored
-	r.stored = 0
+	was := r.storedRound
+	r.storedRound = 0
 	if was != r.Round {
 		return nil
 	}
-	return b.Lift(now, p)
+	return d.Lift(now, p)
 }
 
 // Expire drops suspects, recent crashes and records whose time is over. It returns the requests of
 // dropped records whose verdicts the store still holds.
-func (b *Detector) Expire(now time.Time) (stored []Fingerprint) {
-	maps.DeleteFunc(b.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.at) > suspectFor })
-	b.recent = slices.DeleteFunc(b.recent, func(e sighting) bool { return now.Sub(e.At) > suspectFor })
-	for p, r := range b.records {
-		if now.Before(r.forgottenAt()) {
+func (d *Detector) Expire(now time.Time) (stored []Fingerprint) {
+	maps.DeleteFunc(d.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.at) > suspectTTL })
+	d.recent = slices.DeleteFunc(d.recent, func(e recentCrash) bool { return now.Sub(e.At) > suspectTTL })
+	for p, r := range d.records {
+		if now.Before(r.expiresAt()) {
 			continue
 		}
-		if r.stored > 0 {
+		if r.storedRound > 0 {
 			stored = append(stored, p)
 		}
-		b.forget(p)
+		d.deleteRecord(p)
 	}
 	return stored
 }
--- a/pkg/poison/book_test.go
+++ b/pkg/poison/detector_test.go
@@ -26,33 +26,33 @@
 // view is the view of a process that observes most of a service.
 func view(uint64) View { return View{InFlight: 16, Listed: 18} }
 
-// young is the age of a request at an endpoint that it crashes.
-const young = 100 * time.Millisecond
+// requestAge is the age of a request at an endpoint that it crashes.
+const requestAge = 100 * time.Millisecond
 
-// strike records a crash under a request, calls Judge 99 ms later, and returns the changed verdicts
+// crashAndJudge records a crash under a request, calls Judge 99 ms later, and returns the changed verdicts
 // of both.
-func strike(b *Detector, ms int, p Fingerprint, endpoint uint64) []Verdict {
-	changed, _ := b.RecordCrash(at(ms), p, endpoint, young, true)
+func crashAndJudge(b *Detector, ms int, p Fingerprint, endpoint uint64) []Verdict {
+	changed, _ := b.RecordCrash(at(ms), p, endpoint, requestAge, true)
 	later, _ := b.Judge(at(ms+99), view)
 	return append(changed, later...)
 }
 
-// strikes calls strike for several endpoints, 100 ms apart, and returns the verdicts changed by the
+// crashAndJudgeEach calls strike for several endpoints, 100 ms apart, and returns the verdicts changed by the
 // last one.
-func strikes(b *Detector, ms int, p Fingerprint, endpoints ...uint64) (changed []Verdict) {
+func crashAndJudgeEach(b *Detector, ms int, p Fingerprint, endpoints ...uint64) (changed []Verdict) {
 	for i, e := range endpoints {
-		changed = strike(b, ms+100*i, p, e)
+		changed = crashAndJudge(b, ms+100*i, p, e)
 	}
 	return changed
 }
 
-func TestThirdEndBlames(t *testing.T) {
+func TestThirdCrashQuarantines(t *testing.T) {
 	b := NewDetector()
-	strikes(b, 0, request(1), 10, 11)
+	crashAndJudgeEach(b, 0, request(1), 10, 11)
 	if v := b.Refuses(at(300), request(1), first); v != nil {
 		t.Errorf("after two crashes: got %v, want no verdict", v)
 	}
-	changed := strikes(b, 300, request(1), 12)
+	changed := crashAndJudgeEach(b, 300, request(1), 12)
 	if len(changed) != 1 || !changed[0].InForce() || len(changed[0].Crashes) != 3 {
 		t.Fatalf("after three crashes: got %v, want one verdict of three", changed)
 	}
@@ -66,15 +66,15 @@
 
 // Several processes may report one crash, each repeatedly: the reports count once. An endpoint that
 // has restarted under its ID can crash again.
-func TestWordOfOneEndCountsOnce(t *testing.T) {
+func TestDuplicateReportsCountOnce(t *testing.T) {
 	b := NewDetector()
 	for ms := range 900 {
-		b.RecordCrash(at(ms), request(1), 10, young, true)
+		b.RecordCrash(at(ms), request(1), 10, requestAge, true)
 	}
 	if got := b.Crashes(request(1)); got != 1 {
 		t.Errorf("crashes after 900 reports of one crash: got %d, want 1", got)
 	}
-	b.RecordCrash(at(4000), request(1), 10, young, true)
+	b.RecordCrash(at(4000), request(1), 10, requestAge, true)
 	if got := b.Crashes(request(1)); got != 2 {
 		t.Errorf("crashes of two incarnations under one ID: got %d, want 2", got)
 	}
@@ -82,12 +82,12 @@
 
 // A request that runs beside one that crashes endpoints has crashes as well, one for each attempt
 // at the same endpoint. The crashes at which it was not running distinguish the two.
-func TestWhatRanBesideIsNotBlamed(t *testing.T) {
+func TestConcurrentRequestIsNotQuarantined(t *testing.T) {
 	b := NewDetector()
 	for i, e := range []uint64{10, 11, 12, 13, 14} {
-		b.RecordCrash(at(100*i), request(1), e, young, true)
+		b.RecordCrash(at(100*i), request(1), e, requestAge, true)
 		if e > 10 && e < 14 {
-			b.RecordCrash(at(100*i+1), request(2), e, young, true)
+			b.RecordCrash(at(100*i+1), request(2), e, requestAge, true)
 		}
 		b.Judge(at(100*i+99), view)
 	}
@@ -106,15 +106,15 @@
 		b := NewDetector()
 		for i, e := range []uint64{10, 11, 12} {
 			for _, p := range order {
-				b.RecordCrash(at(100*i), p, e, young, true)
+				b.RecordCrash(at(100*i), p, e, requestAge, true)
 			}
 			b.Judge(at(100*i+99), view)
 		}
-		strikes(b, 300, request(1), 15)
+		crashAndJudgeEach(b, 300, request(1), 15)
 		if b.Refuses(at(300), request(1), first) == nil {
 			t.Errorf("order %v: the request that crashes endpoints: got no verdict", order)
 		}
-		strikes(b, 400, request(1), 13)
+		crashAndJudgeEach(b, 400, request(1), 13)
 		if v := b.Refuses(at(600), request(2), first); v != nil {
 			t.Errorf("order %v: a request beside it: got %v, want the verdict lifted", order, v)
 		}
@@ -129,14 +129,14 @@
 //
 // Guards against a wrong quarantine: where few endpoints were left, one of 801 other requests was
 // quarantined together with the one that had crashed all three endpoints of both.
-func TestTwinsAreToldApart(t *testing.T) {
+func TestSuspectsOfTheSameCrashesAreHeld(t *testing.T) {
 	for _, order := range [][]Fingerprint{{request(1), request(2)}, {request(2), request(1)}} {
 		b := NewDetector()
 		held := 0
 		b.OnHeld = func(Fingerprint, int) { held++ }
 		for i, e := range []uint64{10, 11, 12} {
 			for _, p := range order {
-				b.RecordCrash(at(100*i), p, e, young, true)
+				b.RecordCrash(at(100*i), p, e, requestAge, true)
 			}
 			b.Judge(at(100*i+99), view)
 		}
@@ -149,7 +149,7 @@
 			}
 		}
 		b.RecordSuccess(at(400), request(2))
-		strike(b, 400, request(1), 13)
+		crashAndJudge(b, 400, request(1), 13)
 		if b.Refuses(at(500), request(1), first) == nil {
 			t.Errorf("order %v: after a fourth crash alone: got no verdict", order)
 		}
@@ -169,12 +169,12 @@
 	b := NewDetector()
 	cause := func(i uint64) Fingerprint { return request(byte(10 + i)) }
 	for i := range uint64(3) {
-		b.RecordCrash(at(0), cause(i), 100*i, young, true)
-		b.RecordCrash(at(200), cause(i), 100*i+1, young, true)
-		b.RecordCrash(at(3000), request(1), 100*i+2, young, true)
+		b.RecordCrash(at(0), cause(i), 100*i, requestAge, true)
+		b.RecordCrash(at(200), cause(i), 100*i+1, requestAge, true)
+		b.RecordCrash(at(3000), request(1), 100*i+2, requestAge, true)
 	}
 	for i := range uint64(3) {
-		b.RecordCrash(at(3010), cause(i), 100*i+2, young, true)
+		b.RecordCrash(at(3010), cause(i), 100*i+2, requestAge, true)
 	}
 	for ms := 3050; ms < 3200; ms += 10 {
 		if v := b.Refuses(at(ms), request(1), first); v != nil {
@@ -190,15 +190,15 @@
 // Guards against too many attempts: of a hundred requests at once that crash what runs them, some
 // reached endpoints four times beyond the limit and crashed eleven. Others were at each endpoint
 // that they crashed and were quarantined first, and a crash counts for only one request.
-func TestExplainedCrashesAddUp(t *testing.T) {
+func TestExplainedCrashesQuarantineEventually(t *testing.T) {
 	b := NewDetector()
-	for i := range crashesEver {
+	for i := range unconditionalCrashes {
 		cause, endpoint := request(byte(10+i)), uint64(100*i)
-		strikes(b, 1000*i, cause, endpoint, endpoint+1, endpoint+2)
-		b.RecordCrash(at(1000*i+300), cause, endpoint+3, young, true)
-		strike(b, 1000*i+300, request(1), endpoint+3)
+		crashAndJudgeEach(b, 1000*i, cause, endpoint, endpoint+1, endpoint+2)
+		b.RecordCrash(at(1000*i+300), cause, endpoint+3, requestAge, true)
+		crashAndJudge(b, 1000*i+300, request(1), endpoint+3)
 		refused := b.Refuses(at(1000*i+400), request(1), first) != nil
-		if want := i+1 >= crashesEver; refused != want {
+		if want := i+1 >= unconditionalCrashes; refused != want {
 			t.Errorf("after %d crashes beside others: quarantined: got %v, want %v", i+1, refused, want)
 		}
 	}
@@ -215,15 +215,15 @@
 	b := NewDetector()
 	for i := range 5 {
 		wave(b, 3500*i, uint64(20*i))
-		strike(b, 3500*i+1, request(1), uint64(20*i+10))
+		crashAndJudge(b, 3500*i+1, request(1), uint64(20*i+10))
 		refused := b.Refuses(at(3500*i+100), request(1), first) != nil
-		if want := i+1 >= crashesMost; refused != want {
+		if want := i+1 >= sufficientCrashes; refused != want {
 			t.Errorf("after one crash in each of %d waves: quarantined: got %v, want %v", i+1, refused, want)
 		}
 	}
 	b = NewDetector()
 	wave(b, 0, 20)
-	strikes(b, 1000, request(1), 1, 2, 3)
+	crashAndJudgeEach(b, 1000, request(1), 1, 2, 3)
 	if b.Refuses(at(1400), request(1), first) == nil {
 		t.Error("three crashes a second after a wave: got no verdict")
 	}
@@ -234,11 +234,11 @@
 func TestWavesFarApart(t *testing.T) {
 	const apart = 40_000
 	b := NewDetector()
-	for i := range crashesMost - 1 {
+	for i := range sufficientCrashes - 1 {
 		for k := range uint64(6) {
-			b.RecordCrash(at(apart*i), request(byte(100+6*i)+byte(k)), uint64(20*i)+k, young, true)
+			b.RecordCrash(at(apart*i), request(byte(100+6*i)+byte(k)), uint64(20*i)+k, requestAge, true)
 		}
-		strike(b, apart*i+1, request(1), uint64(20*i+10))
+		crashAndJudge(b, apart*i+1, request(1), uint64(20*i+10))
 		if v := b.Refuses(at(apart*i+100), request(1), first); v != nil {
 			t.Errorf("after one crash in each of %d waves: got %v, want no verdict", i+1, v)
 		}
@@ -249,43 +249,43 @@
 
 // A starting process merges the suspicions of others: the next crash counts for it as it does for
 // them, and it recognises crashes that came in a wave.
-func TestSuspicionsAreToldOn(t *testing.T) {
-	old, anew := NewDetector(), NewDetector()
-	strikes(old, 0, request(1), 10, 11)
+func TestSuspicionsAreMerged(t *testing.T) {
+	old, starting := NewDetector(), NewDetector()
+	crashAndJudgeEach(old, 0, request(1), 10, 11)
 	for k := range uint64(6) {
-		old.RecordCrash(at(500), request(byte(100+k)), 20+k, young, true)
+		old.RecordCrash(at(500), request(byte(100+k)), 20+k, requestAge, true)
 	}
-	old.RecordCrash(at(501), request(2), 30, young, true)
-	old.RecordCrash(at(502), request(2), 31, young, true)
+	old.RecordCrash(at(501), request(2), 30, requestAge, true)
+	old.RecordCrash(at(502), request(2), 31, requestAge, true)
 	for range 2 { // Suspicions may be received more than once.
 		for _, v := range old.Suspicions(100) {
-			if anew.Merge(at(5000), v) {
+			if starting.Merge(at(5000), v) {
 				t.Errorf("merge of suspicion %v: got a changed verdict, want none", v)
 			}
 		}
 	}
-	if got, want := anew.Crashes(request(1)), 2; got != want {
+	if got, want := starting.Crashes(request(1)), 2; got != want {
 		t.Errorf("crashes: got %d, want %d", got, want)
 	}
 	for k := range uint64(6) {
-		anew.RecordCrash(at(6000), request(byte(110+k)), 40+k, young, true)
+		starting.RecordCrash(at(6000), request(byte(110+k)), 40+k, requestAge, true)
 	}
-	strike(anew, 6001, request(2), 32)
-	if v := anew.Refuses(at(6100), request(2), first); v != nil {
+	crashAndJudge(starting, 6001, request(2), 32)
+	if v := starting.Refuses(at(6100), request(2), first); v != nil {
 		t.Errorf("two crashes in a wave and one in another: got %v, want no verdict", v)
 	}
-	strike(anew, 16_000, request(1), 12)
-	if anew.Refuses(at(16_100), request(1), first) == nil {
+	crashAndJudge(starting, 16_000, request(1), 12)
+	if starting.Refuses(at(16_100), request(1), first) == nil {
 		t.Error("a third crash: got no verdict")
 	}
-	if anew.Expire(at(700_000)); anew.Crashes(request(1)) != 0 || !anew.Empty() && anew.Crashes(request(2)) != 0 {
+	if starting.Expire(at(700_000)); starting.Crashes(request(1)) != 0 || !starting.Empty() && starting.Crashes(request(2)) != 0 {
 		t.Error("ten minutes later: got suspects, want none")
 	}
 }
 
 // A request that runs at one endpoint and has just left two others has three crashes in a single
 // wave, which are no proof.
-func TestWaveThatStrikesThreeTimes(t *testing.T) {
+func TestThreeCrashesInOneWave(t *testing.T) {
 	b := NewDetector()
 	for i := range uint64(3) {
 		b.RecordCrash(at(0), request(1), i, time.Second, true)
@@ -302,14 +302,14 @@
 	}
 }
 
-func TestWholeAnswerClears(t *testing.T) {
+func TestSuccessClears(t *testing.T) {
 	b := NewDetector()
-	strikes(b, 0, request(1), 10, 11)
+	crashAndJudgeEach(b, 0, request(1), 10, 11)
 	b.RecordSuccess(at(300), request(1))
-	if strikes(b, 400, request(1), 12); b.Crashes(request(1)) != 1 {
+	if crashAndJudgeEach(b, 400, request(1), 12); b.Crashes(request(1)) != 1 {
 		t.Errorf("crashes after an answer: got %d, want 1", b.Crashes(request(1)))
 	}
-	strikes(b, 500, request(1), 13, 14)
+	crashAndJudgeEach(b, 500, request(1), 13, 14)
 	if v := b.RecordSuccess(at(900), request(1)); v == nil || v.InForce() {
 		t.Errorf("an answer under way when it was quarantined: got %v, want the verdict lifted", v)
 	}
@@ -320,9 +320,9 @@
 
 // A late report of a quarantine that was lifted does not reinstate it; a new quarantine of the same
 // request, with a higher round, does.
-func TestLaterRoundHolds(t *testing.T) {
+func TestHigherRoundWins(t *testing.T) {
 	a, b := NewDetector(), NewDetector()
-	quarantined := strikes(a, 0, request(1), 10, 11, 12)[0]
+	quarantined := crashAndJudgeEach(a, 0, request(1), 10, 11, 12)[0]
 	b.Merge(at(300), quarantined)
 	lifted := b.Lift(at(400), request(1))
 	if b.Merge(at(500), quarantined); b.Refuses(at(500), request(1), first) != nil {
@@ -331,20 +331,20 @@
 	if !a.Merge(at(500), *lifted) || a.Refuses(at(500), request(1), first) != nil {
 		t.Error("report that it was lifted: got a verdict")
 	}
-	again := strikes(a, 5000, request(1), 13, 14, 15)[0]
+	again := crashAndJudgeEach(a, 5000, request(1), 13, 14, 15)[0]
 	if !b.Merge(at(5400), again) || b.Refuses(at(5400), request(1), first) == nil {
 		t.Error("a new quarantine: got no verdict")
 	}
-	if got, want := again.Until.Sub(at(5299)), 2*holdFirst; got != want {
+	if got, want := again.Until.Sub(at(5299)), 2*initialQuarantine; got != want {
 		t.Errorf("the second quarantine lasts: got %v, want %v", got, want)
 	}
 }
 
 // After Until a request is let through once per retryInterval, first by the process of rank 0. A
 // single crash then renews the quarantine.
-func TestTriedAgain(t *testing.T) {
+func TestRetryAfterQuarantine(t *testing.T) {
 	b := NewDetector()
-	v := strikes(b, 0, request(1), 10, 11, 12)[0]
+	v := crashAndJudgeEach(b, 0, request(1), 10, 11, 12)[0]
 	after := v.Until.Add(time.Millisecond)
 	if b.Refuses(after, request(1), second) == nil {
 		t.Error("rank 1 just after Until: got no verdict")
@@ -355,14 +355,14 @@
 	if b.Refuses(after.Add(time.Second), request(1), first) == nil {
 		t.Error("rank 0 a second later: got no verdict")
 	}
-	changed, _ := b.RecordCrash(after.Add(time.Second), request(1), 20, young, true)
+	changed, _ := b.RecordCrash(after.Add(time.Second), request(1), 20, requestAge, true)
 	if len(changed) != 1 || changed[0].Round != 3 {
 		t.Fatalf("a crash after Until: got %v, want round 3", changed)
 	}
 	if b.Refuses(after.Add(time.Minute), request(1), first) == nil {
 		t.Error("after that crash: got no verdict")
 	}
-	if b.Expire(changed[0].Until.Add(3 * holdFirst)); !b.Empty() {
+	if b.Expire(changed[0].Until.Add(3 * initialQuarantine)); !b.Empty() {
 		t.Errorf("long after: got %v, want an empty Detector", b)
 	}
 }
@@ -371,7 +371,7 @@
 // the quarantine was renewed since it was stored.
 func TestStored(t *testing.T) {
 	b := NewDetector()
-	v := strikes(b, 0, request(1), 10, 11, 12)[0]
+	v := crashAndJudgeEach(b, 0, request(1), 10, 11, 12)[0]
 	if got := b.Unstored(at(300), time.Second, second); got != nil {
 		t.Errorf("to be stored by rank 1 at once: got %v, want nothing", got)
 	}
@@ -385,7 +385,7 @@
 	if got := b.RecordRemoval(at(400), request(1)); got == nil || got.InForce() {
 		t.Errorf("removed from the store: got %v, want the verdict lifted", got)
 	}
-	strikes(b, 5000, request(1), 13, 14, 15)
+	crashAndJudgeEach(b, 5000, request(1), 13, 14, 15)
 	if got := b.RecordRemoval(at(5400), request(1)); got != nil {
 		t.Errorf("removed, but quarantined again since: got %v, want nothing", got)
 	}
@@ -393,18 +393,18 @@
 
 func TestBounded(t *testing.T) {
 	b := NewDetector()
-	for i := range 2 * suspectsMost {
+	for i := range 2 * maxSuspects {
 		p := Fingerprint{byte(i), byte(i >> 8), byte(i >> 16), 1}
-		b.RecordCrash(at(i*10), p, uint64(i), young, true)
+		b.RecordCrash(at(i*10), p, uint64(i), requestAge, true)
 		b.Merge(at(i*10), Verdict{Fingerprint: p, Round: 1, Until: at(i*10 + 60_000)})
 	}
-	if len(b.suspects) > suspectsMost || len(b.records) > recordsMost || len(b.recent) > recentMost {
+	if len(b.suspects) > maxSuspects || len(b.records) > maxRecords || len(b.recent) > maxRecentCrashes {
 		t.Errorf("got %d suspects, %d records, %d recent crashes", len(b.suspects), len(b.records), len(b.recent))
 	}
 }
 
 // Processes that merge the same verdicts in any order, some of them twice, reach the same state.
-func TestLearnConverges(t *testing.T) {
+func TestMergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Verdict
 		for range rapid.IntRange(1, 8).Draw(t, "verdicts") {
@@ -426,58 +426,58 @@
 			if got, want := b.Refuses(at(300), p, first) != nil, a.Refuses(at(300), p, first) != nil; got != want {
 				t.Errorf("request %d refused: got %v, want %v", n, got, want)
 			}
-			if ra, rb := a.records[p], b.records[p]; ra != nil && ra.InForce() && !sameEnds(ra.Crashes, rb.Crashes) {
+			if ra, rb := a.records[p], b.records[p]; ra != nil && ra.InForce() && !sameCrashes(ra.Crashes, rb.Crashes) {
 				t.Errorf("crashes under %d: got %v, want %v", n, rb.Crashes, ra.Crashes)
 			}
 		}
 	})
 }
 
-func sameEnds(a, b []Crash) bool {
+func sameCrashes(a, b []Crash) bool {
 	return !slices.ContainsFunc(a, func(e Crash) bool { return !contains(b, e) }) && len(a) == len(b)
 }
 
-// drawn is a Detector with a request that crashes every endpoint which runs it, and others.
-type drawn struct {
+// scenario is a Detector with a request that crashes every endpoint which runs it, and others.
+type scenario struct {
 	*Detector
-	guilty Fingerprint
+	crasher Fingerprint
 	// crashes is the number of crashes under guilty; quarantined is set once it was quarantined.
 	crashes     int
 	quarantined bool
-	// clean holds the requests that were answered completely since the last crash under them.
-	clean map[Fingerprint]bool
+	// answered holds the requests that were answered completely since the last crash under them.
+	answered map[Fingerprint]bool
 }
 
 // other draws one of the other requests.
 func other(t *rapid.T, label string) Fingerprint { return request(2 + rapid.Byte().Draw(t, label)%20) }
 
-// strike crashes an endpoint under the guilty request.
-func (d *drawn) strike(t *rapid.T, now time.Time, endpoint uint64) {
+// crash crashes an endpoint under the guilty request.
+func (d *scenario) crash(t *rapid.T, now time.Time, endpoint uint64) {
 	d.crashes++
-	d.RecordCrash(now, d.guilty, endpoint, young, true)
+	d.RecordCrash(now, d.crasher, endpoint, requestAge, true)
 	d.Judge(now.Add(49*time.Millisecond), view)
 	d.Judge(now.Add(SettleDelay), view)
-	refused := d.Refuses(now, d.guilty, first) != nil
-	if late := d.quarantined || d.crashes >= crashesMost; late && !refused {
+	refused := d.Refuses(now, d.crasher, first) != nil
+	if late := d.quarantined || d.crashes >= sufficientCrashes; late && !refused {
 		t.Fatalf("after %d crashes, quarantined before %v: got no verdict", d.crashes, d.quarantined)
 	}
 	d.quarantined = d.quarantined || refused
 }
 
-// besides records the crash under up to four other requests at the endpoint, and answers one
+// crashOthers records the crash under up to four other requests at the endpoint, and answers one
 // request completely.
-func (d *drawn) besides(t *rapid.T, now time.Time, endpoint uint64) {
+func (d *scenario) crashOthers(t *rapid.T, now time.Time, endpoint uint64) {
 	for range rapid.IntRange(0, 4).Draw(t, "beside") {
 		if p := other(t, "other"); d.Refuses(now, p, first) == nil {
-			d.RecordCrash(now, p, endpoint, young, true)
-			d.clean[p] = false
+			d.RecordCrash(now, p, endpoint, requestAge, true)
+			d.answered[p] = false
 		}
 	}
 	if p := other(t, "answered"); rapid.Bool().Draw(t, "whole") {
 		d.RecordSuccess(now, p)
-		d.clean[p] = true
+		d.answered[p] = true
 	}
-	for p, ok := range d.clean {
+	for p, ok := range d.answered {
 		if ok && d.Refuses(now, p, first) != nil {
 			t.Fatalf("request %v was answered completely: got a verdict", p)
 		}
@@ -488,46 +488,46 @@
 // crashes, whatever ran beside it and whatever else crashed. If a clearer cause lifts that verdict,
 // the next crash renews it. No request that was answered completely since its last crash is
 // quarantined. A quarantined request is not sent.
-func TestBlameIsSoundAndSoon(t *testing.T) {
+func TestQuarantineInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := drawn{Detector: NewDetector(), guilty: request(1), clean: make(map[Fingerprint]bool)}
+		d := scenario{Detector: NewDetector(), crasher: request(1), answered: make(map[Fingerprint]bool)}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now, endpoint := at(step*100), uint64(step)
-			if d.Refuses(now, d.guilty, first) == nil && rapid.Bool().Draw(t, "guilty") {
-				d.strike(t, now, endpoint)
+			if d.Refuses(now, d.crasher, first) == nil && rapid.Bool().Draw(t, "guilty") {
+				d.crash(t, now, endpoint)
 			}
-			d.besides(t, now, endpoint)
+			d.crashOthers(t, now, endpoint)
 		}
 	})
 }
 
 // A request that ran beside the guilty one, and has further crashes without it, is the clearer
 // cause for a moment. The verdict on the guilty one is lifted then, and its next crash renews it.
-func TestGuiltyIsLiftedForOneEndAtMost(t *testing.T) {
+func TestOverruledCrasherIsQuarantinedAgain(t *testing.T) {
 	b := NewDetector()
-	guilty, other := request(1), request(7)
+	crasher, other := request(1), request(7)
 	for i := range 3 {
-		b.RecordCrash(at(100*i), guilty, uint64(1+i), young, true)
-		b.RecordCrash(at(100*i), other, uint64(1+i), young, true)
+		b.RecordCrash(at(100*i), crasher, uint64(1+i), requestAge, true)
+		b.RecordCrash(at(100*i), other, uint64(1+i), requestAge, true)
 		b.Judge(at(100*i+99), view)
 	}
-	strikes(b, 300, request(2), 4, 5, 6)
-	strikes(b, 500, other, 6, 7)
-	strike(b, 800, guilty, 8)
-	if b.Refuses(at(900), guilty, first) == nil {
+	crashAndJudgeEach(b, 300, request(2), 4, 5, 6)
+	crashAndJudgeEach(b, 500, other, 6, 7)
+	crashAndJudge(b, 800, crasher, 8)
+	if b.Refuses(at(900), crasher, first) == nil {
 		t.Error("after its fourth crash: got no verdict")
 	}
 }
 
 // A request that crashes an endpoint every few milliseconds is judged no later than others: further
 // crashes do not postpone a pending judgement.
-func TestFurtherEndsDontPutOffTheVerdict(t *testing.T) {
+func TestFurtherCrashesDoNotPostponeJudgement(t *testing.T) {
 	b := NewDetector()
 	for ms := 0; b.Refuses(at(ms), request(1), first) == nil; ms += 5 {
 		if ms > 200 {
 			t.Fatal("after 40 crashes in 200 ms: got no verdict")
 		}
-		b.RecordCrash(at(ms), request(1), uint64(ms), young, true)
+		b.RecordCrash(at(ms), request(1), uint64(ms), requestAge, true)
 		b.Judge(at(ms), view)
 	}
 }
--- a/pkg/poison/fingerprint_test.go
+++ b/pkg/poison/fingerprint_test.go
@@ -7,7 +7,7 @@
 
 // Repeats of a request have the same Fingerprint, and other requests have another one. Moving the
 // boundary between two parts changes the fingerprint.
-func TestPrint(t *testing.T) {
+func TestFingerprint(t *testing.T) {
 	first := Request{Method: "POST", Host: "h", Path: "/a/b", Query: "x=1", Caller: "ws", Body: []byte("body")}
 	change := func(fn func(a *Request)) Fingerprint {
 		a := first
@@ -46,7 +46,7 @@
 	}
 }
 
-func BenchmarkPrint(b *testing.B) {
+func BenchmarkFingerprint(b *testing.B) {
 	a := Request{Method: "POST", Host: "h", Path: "/a/b", Caller: "ws", Body: make([]byte, 16<<10)}
 	b.SetBytes(int64(len(a.Body)))
 	for b.Loop() {
--- a/pkg/poison/judge.go
+++ b/pkg/poison/judge.go
@@ -24,7 +24,7 @@
 
 // add records a crash under the request, and reports whether it is new.
 func (s *suspect) add(e Crash, age time.Duration) bool {
-	list, grown := join(s.crashes, e)
+	list, grown := mergeCrashes(s.crashes, e)
 	if s.crashes = list; grown {
 		s.ages = append(s.ages, age)
 		if e.At.After(s.at) {
@@ -35,7 +35,7 @@
 }
 
 // recentCrash is a crash that was observed or reported, under whatever requests.
-type sighting struct {
+type recentCrash struct {
 	Crash
 	// own is set if this process observed the crash itself.
 	own bool
@@ -51,29 +51,29 @@
 const (
 	// minCrashes is the number of endpoints that must have crashed under a request for it to be
 	// quarantined. The specified limit on attempts counts from the third crash on.
-	crashesLeast = 3
+	minCrashes = 3
 	// sufficientCrashes is the number of crashes that is enough without the test against chance,
 	// if no quarantined request explains at least one of them: the specified limit allows three
 	// more than minCrashes. minCrashes alone is no proof: where a third of the endpoints crash
 	// together every 3.5 s, one request in two hundred meets three crashes by chance.
-	crashesMost = 5
+	sufficientCrashes = 5
 	// unconditionalCrashes is the number of crashes that is enough even if quarantined requests
 	// explain each of them, as when a hundred requests crash endpoints at once: the specified limit
 	// allows no more than three beyond minCrashes.
-	crashesEver = 6
+	unconditionalCrashes = 6
 	// minWeight is the weight from which crashes are taken as proof: the negative natural
 	// logarithm of the probability that they are chance, one in a thousand.
-	sure = 6.9
+	minWeight = 6.9
 	// minChance is the lower bound of the probability that a single crash is chance. It lets
 	// three crashes be enough if nothing else crashes.
-	chanceLeast = 0.001
+	minChance = 0.001
 	// burstWindow is the largest time between crashes that may have one cause: processes notice
 	// endpoints that crash together within milliseconds, and reports of it take up to half a
 	// second.
-	burstFor = 500 * time.Millisecond
+	burstWindow = 500 * time.Millisecond
 	// rateWindow is the time before and after a crash over which the rate of other crashes is
 	// counted.
-	waveFor = 10 * time.Second
+	rateWindow = 10 * time.Second
 	// SettleDelay is the time between the report of a crash and the judgement of its request. By
 	// then it is known what else crashed at that moment, and under which requests: a crash of
 	// many endpoints is noticed within 20 ms, and reports take 5 ms between availability zones.
@@ -85,72 +85,72 @@
 // or changed by that, including those that it lifts. pending reports whether suspects are left
 // that are not due yet. view returns this process's view of the service of an endpoint, given by
 // its hash.
-func (b *Detector) Judge(now time.Time, view func(endpoint uint64) View) (changed []Verdict, pending bool) {
-	held := b.heldCrashes()
-	for p, due := range b.pending {
+func (d *Detector) Judge(now time.Time, view func(endpoint uint64) View) (changed []Verdict, pending bool) {
+	held := d.heldCrashes()
+	for p, due := range d.pending {
 		if now.Before(due) {
 			pending = true
 			continue
 		}
-		delete(b.pending, p)
-		if s := b.suspects[p]; s != nil && b.guilty(p, s, view(s.crashes[len(s.crashes)-1].Endpoint), held) {
-			changed = append(changed, b.quarantine(now, p, s.crashes)...)
+		delete(d.pending, p)
+		if s := d.suspects[p]; s != nil && d.shouldQuarantine(p, s, view(s.crashes[len(s.crashes)-1].Endpoint), held) {
+			changed = append(changed, d.quarantine(now, p, s.crashes)...)
 		}
 	}
 	return changed, pending
 }
 
-// guilty reports whether a suspect is to be quarantined, and updates s.held.
+// shouldQuarantine reports whether a suspect is to be quarantined, and updates s.held.
 //
 // A request that ran beside a quarantined one is affected by its crashes. A suspect of minCrashes
 // therefore needs two crashes that no quarantined request explains, and one of more crashes needs
 // one, as the quarantined request may itself have run beside this one. A crash is disputed if
 // another suspect with as many crashes or more was there too: the suspect judged first would be
 // quarantined for crashes that the other may have caused. The next attempt of each resolves that.
-func (b *Detector) guilty(p Fingerprint, s *suspect, v View, held []Crash) bool {
+func (d *Detector) shouldQuarantine(p Fingerprint, s *suspect, v View, held []Crash) bool {
 	n := len(s.crashes)
-	if n < crashesLeast {
+	if n < minCrashes {
 		return false
 	}
-	f := b.weigh(p, s, v, held)
+	f := d.assess(p, s, v, held)
 	switch {
-	case n >= crashesEver:
+	case n >= unconditionalCrashes:
 		return true
-	case n >= crashesMost:
-		return f.open > 0
+	case n >= sufficientCrashes:
+		return f.unexplained > 0
 	}
-	least := 1
-	if n == crashesLeast {
-		least = 2
+	required := 1
+	if n == minCrashes {
+		required = 2
 	}
-	proven := f.open >= least && f.weight >= sure
+	proven := f.unexplained >= required && f.weight >= minWeight
 	was := s.held
-	s.held = proven && f.open-f.disputed < least
-	if s.held && !was && b.OnHeld != nil {
-		b.OnHeld(p, n)
+	s.held = proven && f.unexplained-f.disputed < required
+	if s.held && !was && d.OnHeld != nil {
+		d.OnHeld(p, n)
 	}
 	return proven && !s.held
 }
 
 // evidence summarises the crashes under a suspect.
-type findings struct {
+type evidence struct {
 	// unexplained is the number of crashes that no quarantined request explains. disputed is the
 	// number of these that are also under another suspect with as many crashes or more.
-	open, disputed int
+	unexplained, disputed int
 	// weight is the negative natural logarithm of the probability that all unexplained crashes
 	// are chance.
 	weight float64
 }
 
 // assess returns the evidence against a suspect. held holds the crashes of all held suspects.
-func (b *Detector) weigh(p Fingerprint, s *suspect, v View, held []Crash) (f findings) {
+func (d *Detector) assess(p Fingerprint, s *suspect, v View, held []Crash) (f evidence) {
 	for i, e := range s.crashes {
-		if b.explaining(e, p, 0) != nil {
+		if d.explainedBy(e, p, 0) != nil {
 			continue
 		}
-		f.open++
-		f.weight -= math.Log(b.chance(s, e, s.ages[i], v, held))
-		if b.disputed(p, e, len(s.crashes)) {
+		f.unexplained++
+		f.weight -= math.Log(d.chance(s, e, s.ages[i], v, held))
+		if d.disputed(p, e, len(s.crashes)) {
 			f.disputed++
 		}
 	}
@@ -159,9 +159,9 @@
 
 // disputed reports whether a crash is also under a suspect other than p with at least so many
 // crashes.
-func (b *Detector) disputed(p Fingerprint, e Crash, least int) bool {
-	for q, s := range b.suspects {
-		if q != p && len(s.crashes) >= least && contains(s.crashes, e) {
+func (d *Detector) disputed(p Fingerprint, e Crash, atLeast int) bool {
+	for q, s := range d.suspects {
+		if q != p && len(s.crashes) >= atLeast && contains(s.crashes, e) {
 			return true
 		}
 	}
@@ -174,32 +174,32 @@
 // rate of other crashes. Each is taken over the endpoints with requests of this process and over
 // all, and the larger value holds. Crashes that a quarantined request explains don't count, nor
 // those in held, which one of several suspects explains.
-func (b *Detector) chance(s *suspect, e Crash, age time.Duration, v View, held []Crash) float64 {
-	var burst, often [2]int
-	for i := range b.recent {
-		r := &b.recent[i]
-		if contains(s.crashes, r.Crash) || b.explaining(r.Crash, Fingerprint{}, 0) != nil || contains(held, r.Crash) {
+func (d *Detector) chance(s *suspect, e Crash, age time.Duration, v View, held []Crash) float64 {
+	var inBurst, inRateWindow [2]int
+	for i := range d.recent {
+		r := &d.recent[i]
+		if contains(s.crashes, r.Crash) || d.explainedBy(r.Crash, Fingerprint{}, 0) != nil || contains(held, r.Crash) {
 			continue
 		}
 		apart := r.At.Sub(e.At).Abs()
 		for k, counts := range []bool{r.own, true} {
-			if counts && apart <= burstFor {
-				burst[k]++
+			if counts && apart <= burstWindow {
+				inBurst[k]++
 			}
-			if counts && apart <= waveFor {
-				often[k]++
+			if counts && apart <= rateWindow {
+				inRateWindow[k]++
 			}
 		}
 	}
-	p := max(part(burst[0], v.InFlight), part(burst[1], v.Listed))
-	rate := max(part(often[0], v.InFlight), part(often[1], v.Listed)) / waveFor.Seconds()
+	p := max(fraction(inBurst[0], v.InFlight), fraction(inBurst[1], v.Listed))
+	rate := max(fraction(inRateWindow[0], v.InFlight), fraction(inRateWindow[1], v.Listed)) / rateWindow.Seconds()
 	p = max(p, 1-math.Exp(-rate*age.Seconds()))
-	return min(max(p, chanceLeast), 1)
+	return min(max(p, minChance), 1)
 }
 
 // heldCrashes returns the crashes of all held suspects.
-func (b *Detector) heldCrashes() (list []Crash) {
-	for _, s := range b.suspects {
+func (d *Detector) heldCrashes() (list []Crash) {
+	for _, s := range d.suspects {
 		if s.held {
 			list = append(list, s.crashes...)
 		}
@@ -208,18 +208,18 @@
 }
 
 // fraction returns n/all, at most 1, or 0 if all is not positive.
-func part(n, all int) float64 {
+func fraction(n, all int) float64 {
 	if all <= 0 {
 		return 0
 	}
 	return min(float64(n)/float64(all), 1)
 }
 
-// explaining returns the record of a quarantined request other than p that explains a crash and
+// explainedBy returns the record of a quarantined request other than p that explains a crash and
 // has at least so many crashes; nil if there is none.
-func (b *Detector) explaining(e Crash, p Fingerprint, least int) *record {
-	for _, cause := range b.causes[e.Endpoint] {
-		if r := b.records[cause]; cause != p && len(r.Crashes) >= least && r.Explains(e) {
+func (d *Detector) explainedBy(e Crash, p Fingerprint, atLeast int) *record {
+	for _, cause := range d.causes[e.Endpoint] {
+		if r := d.records[cause]; cause != p && len(r.Crashes) >= atLeast && r.Explains(e) {
 			return r
 		}
 	}
@@ -228,37 +228,37 @@
 
 // quarantine quarantines a request for crashes, and returns its verdict and those that it
 // overrules.
-func (b *Detector) quarantine(now time.Time, p Fingerprint, crashes []Crash) []Verdict {
+func (d *Detector) quarantine(now time.Time, p Fingerprint, crashes []Crash) []Verdict {
 	v := Verdict{Fingerprint: p}
-	if r := b.records[p]; r != nil {
+	if r := d.records[p]; r != nil {
 		v = r.Verdict
 		if v.InForce() {
 			// The request was retried after Until and crashed an endpoint again.
 			v.Round++
 		}
 	}
-	v = v.next(now)
-	v.Crashes, _ = join(crashes, v.Crashes...)
-	delete(b.suspects, p)
-	b.keep(now, v)
-	return append([]Verdict{v}, b.overrule(now, v.Crashes)...)
+	v = v.nextRound(now)
+	v.Crashes, _ = mergeCrashes(crashes, v.Crashes...)
+	delete(d.suspects, p)
+	d.setVerdict(now, v)
+	return append([]Verdict{v}, d.overrule(now, v.Crashes)...)
 }
 
 // overruleMargin is the number of crashes by which another request must exceed a quarantined one
 // to be the clearer cause. A request that was quarantined wrongly is not sent any more, so it
 // hardly exceeds the actual cause again.
-const clearerBy = 2
+const overruleMargin = 2
 
 // overrule lifts the verdicts on the endpoints of crashes whose every crash is explained by other
 // requests with at least overruleMargin more crashes, and returns the lifted verdicts. They keep
 // their crashes, so that one more crash is enough for a quarantine: the verdict may have been
 // right.
-func (b *Detector) overrule(now time.Time, crashes []Crash) (lifted []Verdict) {
+func (d *Detector) overrule(now time.Time, crashes []Crash) (lifted []Verdict) {
 	for _, e := range crashes {
-		for _, p := range slices.Clone(b.causes[e.Endpoint]) {
-			if r := b.records[p]; b.overruled(r) {
-				v := r.next(now)
-				b.keep(now, v)
+		for _, p := range slices.Clone(d.causes[e.Endpoint]) {
+			if r := d.records[p]; d.isOverruled(r) {
+				v := r.nextRound(now)
+				d.setVerdict(now, v)
 				lifted = append(lifted, v)
 			}
 		}
@@ -266,9 +266,9 @@
 	return lifted
 }
 
-// overruled reports whether a request is quarantined and other requests are the clearer cause of
+// isOverruled reports whether a request is quarantined and other requests are the clearer cause of
 // each of its crashes.
-func (b *Detector) overruled(r *record) bool {
-	open := func(e Crash) bool { return b.explaining(e, r.Fingerprint, len(r.Crashes)+clearerBy) == nil }
-	return r.InForce() && !slices.ContainsFunc(r.Crashes, open)
+func (d *Detector) isOverruled(r *record) bool {
+	unexplained := func(e Crash) bool { return d.explainedBy(e, r.Fingerprint, len(r.Crashes)+overruleMargin) == nil }
+	return r.InForce() && !slices.ContainsFunc(r.Crashes, unexplained)
 }
--- a/pkg/poison/verdict.go
+++ b/pkg/poison/verdict.go
@@ -19,13 +19,13 @@
 // same reports whether two reports are of the same crash. An endpoint that restarts under its
 // ID may crash again, so the ID alone does not identify a crash.
 func (e Crash) same(o Crash) bool {
-	return e.Endpoint == o.Endpoint && e.At.Sub(o.At).Abs() <= sameWithin
+	return e.Endpoint == o.Endpoint && e.At.Sub(o.At).Abs() <= sameCrashWindow
 }
 
-// sameWithin is the largest difference between the times in reports of one crash. Processes
+// sameCrashWindow is the largest difference between the times in reports of one crash. Processes
 // notice a crash within milliseconds, reports take up to half a second, and endpoints are back
 // only after some seconds.
-const sameWithin = time.Second
+const sameCrashWindow = time.Second
 
 // Verdict is the decision on one request: quarantined, or lifted. A Verdict of round 0 is a
 // suspicion, as Detector.Suspicions returns it.
@@ -44,47 +44,47 @@
 	Crashes []Crash
 }
 
-// crashesKept is the largest number of crashes stored for a request. A request that arrives ten
+// maxCrashesPerRequest is the largest number of crashes stored for a request. A request that arrives ten
 // times a second crashes some twenty endpoints before all processes know of it.
-const crashesKept = 32
+const maxCrashesPerRequest = 32
 
 // InForce reports whether the request is quarantined, as opposed to lifted.
 func (v *Verdict) InForce() bool { return v.Round%2 == 1 }
 
 const (
-	// holdFirst is the length of the first quarantine of a request. It doubles with each further
+	// initialQuarantine is the length of the first quarantine of a request. It doubles with each further
 	// quarantine up to holdMost, so that a request that is repeated without end crashes ten
 	// endpoints in the first week, and one that was quarantined wrongly is served again after
 	// ten minutes.
-	holdFirst = 10 * time.Minute
-	holdMost  = 24 * time.Hour
-	// liftedFor is how long a lifted verdict is stored, so that a late report of the quarantine
+	initialQuarantine = 10 * time.Minute
+	maxQuarantine     = 24 * time.Hour
+	// liftedTTL is how long a lifted verdict is stored, so that a late report of the quarantine
 	// does not reinstate it.
-	liftedFor = 10 * time.Minute
+	liftedTTL = 10 * time.Minute
 )
 
-// hold returns how long the verdict's round lasts.
-func (v *Verdict) hold() time.Duration {
+// duration returns how long the verdict's round lasts.
+func (v *Verdict) duration() time.Duration {
 	if !v.InForce() {
-		return liftedFor
+		return liftedTTL
 	}
-	return min(holdFirst<<min(v.Round/2, 16), holdMost)
+	return min(initialQuarantine<<min(v.Round/2, 16), maxQuarantine)
 }
 
-// next returns the verdict of the next round, which starts now. It keeps the crashes.
-func (v *Verdict) next(now time.Time) Verdict {
+// nextRound returns the verdict of the nextRound round, which starts now. It keeps the crashes.
+func (v *Verdict) nextRound(now time.Time) Verdict {
 	n := Verdict{Fingerprint: v.Fingerprint, Round: v.Round + 1, Crashes: v.Crashes}
-	n.Until = now.Add(n.hold())
+	n.Until = now.Add(n.duration())
 	return n
 }
 
-// forgottenAt returns when the verdict is dropped. A quarantine is stored for its own length
+// expiresAt returns when the verdict is dropped. A quarantine is stored for its own length
 // beyond Until; a single crash within that time renews it.
-func (v *Verdict) forgottenAt() time.Time {
+func (v *Verdict) expiresAt() time.Time {
 	if !v.InForce() {
 		return v.Until
 	}
-	return v.Until.Add(v.hold())
+	return v.Until.Add(v.duration())
 }
 
 // Explains reports whether the verdict attributes a crash to its request: the request is
@@ -94,12 +94,12 @@
 // contains reports whether a crash is in a list.
 func contains(list []Crash, e Crash) bool { return slices.ContainsFunc(list, e.same) }
 
-// join appends to list the crashes of more that it lacks, up to maxCrashesPerRequest in all, and
+// mergeCrashes appends to list the crashes of more that it lacks, up to maxCrashesPerRequest in all, and
 // reports whether there were any. It does not modify the array behind list.
-func join(list []Crash, more ...Crash) ([]Crash, bool) {
+func mergeCrashes(list []Crash, more ...Crash) ([]Crash, bool) {
 	was := len(list)
 	for _, e := range more {
-		if len(list) < crashesKept && !contains(list, e) {
+		if len(list) < maxCrashesPerRequest && !contains(list, e) {
 			list = append(slices.Clip(list), e)
 		}
 	}
--- a/pkg/usage/book.go
+++ b/pkg/usage/counter.go
@@ -39,20 +39,20 @@
 
 const (
 	// maxWindows is the number of windows that are stored: those that may still be reported.
-	windowsMost = 16
+	maxWindows = 16
 	// maxReporters bounds the reporters per window, maxWorkspaces the workspaces per reporter.
-	tellersMost    = 4096
-	workspacesMost = 4096
+	maxReporters  = 4096
+	maxWorkspaces = 4096
 )
 
 // Counter holds the counts of all routers of a fleet that a process knows, by window. Create it
 // with NewCounter. It is not safe for concurrent use.
 type Counter struct {
-	windows map[Window]map[Reporter]*part
+	windows map[Window]map[Reporter]*reporterCounts
 }
 
-// part holds the known counts of one reporter in one window.
-type part struct {
+// reporterCounts holds the known counts of one reporter in one window.
+type reporterCounts struct {
 	counts Counts
 	// total is the sum of the reporter's counts once final is set. total never decreases, and final
 	// is never reset.
@@ -61,50 +61,50 @@
 }
 
 // complete reports whether all counts of the reporter are known.
-func (p *part) complete() bool { return p.final && p.counts.Sum() >= p.total }
+func (p *reporterCounts) complete() bool { return p.final && p.counts.Sum() >= p.total }
 
 // NewCounter returns an empty Counter.
-func NewCounter() *Counter { return &Counter{windows: make(map[Window]map[Reporter]*part)} }
+func NewCounter() *Counter { return &Counter{windows: make(map[Window]map[Reporter]*reporterCounts)} }
 
-// part returns the counts of a reporter in a window and adds them if there are none; nil if the
+// getOrAdd returns the counts of a reporter in a window and adds them if there are none; nil if the
 // window has maxReporters already.
-func (b *Counter) part(w Window, t Reporter) *part {
-	tellers := b.windows[w]
-	if tellers == nil {
-		tellers = make(map[Reporter]*part)
-		b.windows[w] = tellers
+func (c *Counter) getOrAdd(w Window, from Reporter) *reporterCounts {
+	reporters := c.windows[w]
+	if reporters == nil {
+		reporters = make(map[Reporter]*reporterCounts)
+		c.windows[w] = reporters
 	}
-	p := tellers[t]
-	if p == nil && len(tellers) < tellersMost {
-		p = &part{counts: make(Counts)}
-		tellers[t] = p
+	p := reporters[from]
+	if p == nil && len(reporters) < maxReporters {
+		p = &reporterCounts{counts: make(Counts)}
+		reporters[from] = p
 	}
 	return p
 }
 
 // Add counts one request of a workspace. It drops the request without an error if maxReporters or
 // maxWorkspaces is exceeded.
-func (b *Counter) Add(t Reporter, w Window, workspace string) {
-	if p := b.part(w, t); p != nil {
+func (c *Counter) Add(from Reporter, w Window, workspace string) {
+	if p := c.getOrAdd(w, from); p != nil {
 		p.raise(workspace, p.counts[workspace]+1)
 	}
 }
 
 // raise sets the count of a workspace to n unless it is higher already. It ignores workspaces
 // beyond maxWorkspaces.
-func (p *part) raise(workspace string, n uint64) {
-	if _, ok := p.counts[workspace]; ok || len(p.counts) < workspacesMost {
+func (p *reporterCounts) raise(workspace string, n uint64) {
+	if _, ok := p.counts[workspace]; ok || len(p.counts) < maxWorkspaces {
 		p.counts[workspace] = max(p.counts[workspace], n)
 	}
 }
 
 // Merge merges a report received from a router, in the window now. It ignores reports of windows
 // that are not stored: those more than one ahead of now, and those maxWindows or more behind it.
-func (b *Counter) Merge(r Report, now Window) {
-	if r.Window > now+1 || r.Window <= now-windowsMost {
+func (c *Counter) Merge(r Report, now Window) {
+	if r.Window > now+1 || r.Window <= now-maxWindows {
 		return
 	}
-	p := b.part(r.Window, r.Reporter)
+	p := c.getOrAdd(r.Window, r.Reporter)
 	if p == nil {
 		return
 	}
@@ -117,9 +117,9 @@
 
 // Report returns the known counts of a router in a window as a report to send. final sets its
 // Final and Total.
-func (b *Counter) Report(t Reporter, w Window, final bool) Report {
-	r := Report{Reporter: t, Window: w, Final: final, Counts: Counts{}}
-	if p := b.windows[w][t]; p != nil {
+func (c *Counter) Report(from Reporter, w Window, final bool) Report {
+	r := Report{Reporter: from, Window: w, Final: final, Counts: Counts{}}
+	if p := c.windows[w][from]; p != nil {
 		r.Counts = maps.Clone(p.counts)
 	}
 	if final {
@@ -129,21 +129,21 @@
 }
 
 // Complete reports whether all counts of one incarnation of a router in a window are known.
-func (b *Counter) Complete(t Reporter, w Window) bool {
-	p := b.windows[w][t]
+func (c *Counter) Complete(from Reporter, w Window) bool {
+	p := c.windows[w][from]
 	return p != nil && p.complete()
 }
 
 // Missing returns, in order, the names of those routers whose counts in a window are not all known:
 // no incarnation of the router has reported the window, or one of them not completely.
-func (b *Counter) Missing(w Window, routers []string) (missing []string) {
-	heard, untold := make(map[string]bool), make(map[string]bool)
-	for t, p := range b.windows[w] {
-		heard[t.Router] = true
-		untold[t.Router] = untold[t.Router] || !p.complete()
+func (c *Counter) Missing(w Window, routers []string) (missing []string) {
+	reported, incomplete := make(map[string]bool), make(map[string]bool)
+	for from, p := range c.windows[w] {
+		reported[from.Router] = true
+		incomplete[from.Router] = incomplete[from.Router] || !p.complete()
 	}
 	for _, name := range routers {
-		if !heard[name] || untold[name] {
+		if !reported[name] || incomplete[name] {
 			missing = append(missing, name)
 		}
 	}
@@ -152,9 +152,9 @@
 }
 
 // Sum returns the known counts of a window, added over all routers.
-func (b *Counter) Sum(w Window) Counts {
+func (c *Counter) Sum(w Window) Counts {
 	sum := make(Counts)
-	for _, p := range b.windows[w] {
+	for _, p := range c.windows[w] {
 		for workspace, n := range p.counts {
 			sum[workspace] += n
 		}
@@ -163,6 +163,6 @@
 }
 
 // Expire drops the windows that Merge would ignore in the window now.
-func (b *Counter) Expire(now Window) {
-	maps.DeleteFunc(b.windows, func(w Window, _ map[Reporter]*part) bool { return w <= now-windowsMost || w > now+1 })
+func (c *Counter) Expire(now Window) {
+	maps.DeleteFunc(c.windows, func(w Window, _ map[Reporter]*reporterCounts) bool { return w <= now-maxWindows || w > now+1 })
 }
--- a/pkg/usage/book_test.go
+++ b/pkg/usage/counter_test.go
@@ -36,35 +36,35 @@
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		const now = Window(100)
-		hearer := NewCounter()
+		receiver := NewCounter()
 		truth := make(Counts)
-		var mail []Report
+		var reports []Report
 		routers := []string{"a", "b", "c"}
-		for life, name := range routers {
-			own, teller := NewCounter(), Reporter{name, uint64(life)}
+		for incarnation, name := range routers {
+			own, reporter := NewCounter(), Reporter{name, uint64(incarnation)}
 			for range rnd.IntN(40) {
 				workspace := string(rune('v' + rnd.IntN(4)))
-				own.Add(teller, now, workspace)
+				own.Add(reporter, now, workspace)
 				truth[workspace]++
 				if rnd.IntN(4) == 0 {
-					mail = append(mail, own.Report(teller, now, false))
+					reports = append(reports, own.Report(reporter, now, false))
 				}
 			}
-			mail = append(mail, own.Report(teller, now, true))
+			reports = append(reports, own.Report(reporter, now, true))
 		}
-		rnd.Shuffle(len(mail), func(i, j int) { mail[i], mail[j] = mail[j], mail[i] })
-		for _, r := range mail {
-			if r.Final && len(hearer.Missing(now, []string{r.Reporter.Router})) == 0 {
+		rnd.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
+		for _, r := range reports {
+			if r.Final && len(receiver.Missing(now, []string{r.Reporter.Router})) == 0 {
 				t.Fatalf("seed %d: %s is not missing before its final report", seed, r.Reporter.Router)
 			}
 			for range 1 + rnd.IntN(2) {
-				hearer.Merge(r, now)
+				receiver.Merge(r, now)
 			}
 		}
-		if got := hearer.Missing(now, routers); len(got) != 0 {
+		if got := receiver.Missing(now, routers); len(got) != 0 {
 			t.Errorf("seed %d: missing at the end: got %v, want none", seed, got)
 		}
-		if got := hearer.Sum(now); !maps.Equal(got, truth) {
+		if got := receiver.Sum(now); !maps.Equal(got, truth) {
 			t.Errorf("seed %d: got %v, want %v", seed, got, truth)
 		}
 	}
@@ -72,7 +72,7 @@
 
 // An incarnation that ended without a final report keeps its router missing, and the counts that it
 // reported are summed.
-func TestLivesCountApart(t *testing.T) {
+func TestIncarnationsCountSeparately(t *testing.T) {
 	b := NewCounter()
 	b.Merge(Report{Reporter: Reporter{"a", 1}, Window: 7, Counts: Counts{"w": 3}}, 7)
 	b.Merge(Report{Reporter: Reporter{"a", 2}, Window: 7, Final: true, Total: 2, Counts: Counts{"w": 2}}, 7)
@@ -98,9 +98,9 @@
 }
 
 // Memory is bounded: windows far from the current one are not stored, and old ones expire.
-func TestBookIsBounded(t *testing.T) {
+func TestCounterIsBounded(t *testing.T) {
 	b, a := NewCounter(), Reporter{"a", 1}
-	for _, w := range []Window{100 - windowsMost, 102, -1 << 40} {
+	for _, w := range []Window{100 - maxWindows, 102, -1 << 40} {
 		b.Merge(Report{Reporter: a, Window: w, Counts: Counts{"w": 1}}, 100)
 		if got := b.Sum(w).Sum(); got != 0 {
 			t.Errorf("window %d: got %d requests, want none", w, got)
@@ -110,7 +110,7 @@
 		b.Add(a, w, "w")
 		b.Expire(w)
 	}
-	if got := len(b.windows); got > windowsMost {
-		t.Errorf("windows: got %d, want %d at most", got, windowsMost)
+	if got := len(b.windows); got > maxWindows {
+		t.Errorf("windows: got %d, want %d at most", got, maxWindows)
 	}
 }
