--- a/pkg/duty/machine.go
+++ b/pkg/duty/machine.go
@@ -150,8 +150,8 @@
 	return &Machine{self: vm, incarnation: incarnation, lease: lease, startedAt: now, accepted: make(map[usage.Window]bool)}
 }
 
-// isHolder reports whether this incarnation of the router is the holder, according to the newest known
-// record.
+// isHolder reports whether this incarnation of the router is the holder, according to the newest
+// known record.
 func (m *Machine) isHolder() bool {
 	return m.known && m.rec.Holder == m.self && m.rec.Incarnation == m.incarnation
 }
@@ -232,8 +232,8 @@
 	return a
 }
 
-// holderAction returns the action of a holder: it sends the unsent reports while its last write gives it
-// authority, and otherwise writes the record to gain authority.
+// holderAction returns the action of a holder: it sends the unsent reports while its last write
+// gives it authority, and otherwise writes the record to gain authority.
 func (m *Machine) holderAction(now time.Time, v View) Action {
 	if m.rec.Fresh && now.Before(m.authorityFrom(m.knownAt)) {
 		// The holder named in a removed record may still have authority.
@@ -249,12 +249,13 @@
 	return Action{}
 }
 
-// authorityFrom returns the end of the authorityFrom that a write issued at a time gives.
+// authorityFrom returns the end of the authority that a write issued at a time gives.
 func (m *Machine) authorityFrom(at time.Time) time.Time {
 	return at.Add(time.Duration(authorityFraction * float64(m.lease)))
 }
 
-// firstUnsent returns the first stored report that the platform has not accepted; nil if there is none.
+// firstUnsent returns the first stored report that the platform has not accepted; nil if there is
+// none.
 func (m *Machine) firstUnsent() *Report {
 	for i := range m.rec.Unsent {
 		if !m.accepted[m.rec.Unsent[i].Window] {
@@ -267,8 +268,8 @@
 // isAccepted reports whether the platform has accepted this router's report of a window.
 func (m *Machine) isAccepted(w usage.Window) bool { return m.accepted[w] }
 
-// candidateAction returns the action of a router that is not the holder: it takes the duties over if there is
-// no record, or if nothing was received from the holder for long enough.
+// candidateAction returns the action of a router that is not the holder: it takes the duties over
+// if there is no record, or if nothing was received from the holder for long enough.
 func (m *Machine) candidateAction(now time.Time, v View) Action {
 	rank := time.Duration(v.Rank)
 	if !m.known {
@@ -286,10 +287,10 @@
 	return Action{Kind: Write, Record: m.rec.takeover(m.self, m.incarnation, v.Window)}
 }
 
-// takeoverAt returns when this router, of the given rank, may take the duties over. The holder's calls
-// end half a lease after the write that gave rec its revision, so that none of them arrives after
-// the lease; a holder that has resigned makes none. A VM that held the duties before waits for
-// the lease in any case, so that two VMs do not alternate within it.
+// takeoverAt returns when this router, of the given rank, may take the duties over. The holder's
+// calls end half a lease after the write that gave rec its revision, so that none of them arrives
+// after the lease; a holder that has resigned makes none. A VM that held the duties before waits
+// for the lease in any case, so that two VMs do not alternate within it.
 func (m *Machine) takeoverAt(rank time.Duration) time.Time {
 	switch {
 	case m.rec.Holder == m.self:
@@ -374,8 +375,8 @@
 	m.authorityEnd, m.startedAt = time.Time{}, now
 }
 
-// recordFailure records a failed call: it starts the backoff, and resigns after maxFailures if this router
-// is the holder and there are others.
+// recordFailure records a failed call: it starts the backoff, and resigns after maxFailures if this
+// router is the holder and there are others.
 func (m *Machine) recordFailure(now time.Time) {
 	pause := min(initialBackoff<<min(m.failures, 8), maxBackoff)
 	m.notBefore = pause.After(now)
--- a/pkg/duty/machine_test.go
+++ b/pkg/duty/machine_test.go
@@ -77,12 +77,11 @@
 	// starts is the number of starts of the router.
 	starts uint64
 	rank   int
-	// frozenUntil is when the VM's current or last freeze ends, and thawedAt when the last one ended or
-	// will end.
+	// frozenUntil is the end of the VM's current or last freeze. thawedAt has the same value.
 	frozenUntil time.Time
 	thawedAt    time.Time
-	// isolatedUntil is when the router can exchange gossip again, storeLostUntil when it can reach the store again,
-	// and down when it runs again.
+	// isolatedUntil is when the router can exchange gossip again, storeLostUntil when it can reach
+	// the store again, and downUntil when it runs again.
 	isolatedUntil, storeLostUntil time.Time
 	downUntil                     time.Time
 }
@@ -170,8 +169,8 @@
 	return o, r
 }
 
-// completion returns a function that reports the outcome of an action to the machine as soon as its VM
-// is not frozen, unless the router has been restarted since.
+// completion returns a function that reports the outcome of an action to the machine as soon as its
+// VM is not frozen, unless the router has been restarted since.
 func (s *simulation) completion(a *simRouter, action Action) (end func(o Outcome, r Record) func(now time.Time)) {
 	starts, m := a.starts, a.m
 	return func(o Outcome, r Record) func(now time.Time) {
@@ -305,8 +304,8 @@
 	}
 }
 
-// checkAlternation reports an error if a VM acted before and after another one within the lease. last and
-// middle are the indexes of the VM's last call and of the other VM's.
+// checkAlternation reports an error if a VM acted before and after another one within the lease.
+// last and middle are the indexes of the VM's last call and of the other VM's.
 func (s *simulation) checkAlternation(t *testing.T, last, middle int) {
 	a := s.calls[last]
 	for j := middle - 1; j >= 0 && a.at.Sub(s.calls[j].at) < testLease; j-- {
--- a/pkg/duty/record.go
+++ b/pkg/duty/record.go
@@ -61,8 +61,8 @@
 	return r.Revision
 }
 
-// successor returns the base of the record that replaces r in the window now. If r is fresh, there may
-// have been an earlier record, whose holder settled the windows before now.
+// successor returns the base of the record that replaces r in the window now. If r is fresh, there
+// may have been an earlier record, whose holder settled the windows before now.
 func (r *Record) successor(now usage.Window) Record {
 	next := *r
 	if r.Fresh {
@@ -85,7 +85,7 @@
 }
 
 // renewed returns the record with which the holder continues in the window now: it adds the newly
-// settled reports, and drops those that the platform has accepted, as sent returns.
+// settled reports, and drops those of windows for which accepted returns true.
 func (r *Record) renewed(settled []Report, accepted func(usage.Window) bool, now usage.Window) Record {
 	next := r.successor(now)
 	next.Fence = r.EffectiveFence()
--- a/pkg/poison/detector.go
+++ b/pkg/poison/detector.go
@@ -121,8 +121,8 @@
 	return nil, d.addToSuspect(now, p, e, age)
 }
 
-// addToSuspect records a crash under a request that is not quarantined, and reports whether the request
-// is to be judged.
+// addToSuspect records a crash under a request that is not quarantined, and reports whether the
+// request is to be judged.
 func (d *Detector) addToSuspect(now time.Time, p Fingerprint, e Crash, age time.Duration) (pending bool) {
 	s := d.getOrAddSuspect(p)
 	if !s.add(e, age) || len(s.crashes) < minCrashes {
@@ -134,8 +134,8 @@
 	return true
 }
 
-// getOrAddSuspect returns the suspect for a request. It adds one if there is none, and evicts the one
-// with the oldest latest crash if there are maxSuspects.
+// getOrAddSuspect returns the suspect for a request. It adds one if there is none, and then evicts
+// the one whose latest crash is the oldest if there are maxSuspects.
 func (d *Detector) getOrAddSuspect(p Fingerprint) *suspect {
 	s := d.suspects[p]
 	if s == nil {
@@ -190,8 +190,8 @@
 	return &v
 }
 
-// setVerdict replaces the verdict on a request. It evicts the record with the earliest Until if there
-// are maxRecords.
+// setVerdict replaces the verdict on a request. To add a record when there are maxRecords, it evicts
+// the one with the earliest Until.
 func (d *Detector) setVerdict(now time.Time, v Verdict) {
 	r := d.records[v.Fingerprint]
 	if r == nil {
--- a/pkg/poison/detector_test.go
+++ b/pkg/poison/detector_test.go
@@ -29,16 +29,16 @@
 // requestAge is the age of a request at an endpoint that it crashes.
 const requestAge = 100 * time.Millisecond
 
-// crashAndJudge records a crash under a request, calls Judge 99 ms later, and returns the changed verdicts
-// of both.
+// crashAndJudge records a crash under a request, calls Judge 99 ms later, and returns the verdicts
+// changed by both.
 func crashAndJudge(b *Detector, ms int, p Fingerprint, endpoint uint64) []Verdict {
 	changed, _ := b.RecordCrash(at(ms), p, endpoint, requestAge, true)
 	later, _ := b.Judge(at(ms+99), view)
 	return append(changed, later...)
 }
 
-// crashAndJudgeEach calls strike for several endpoints, 100 ms apart, and returns the verdicts changed by the
-// last one.
+// crashAndJudgeEach calls crashAndJudge for several endpoints, 100 ms apart, and returns the verdicts
+// changed by the last call.
 func crashAndJudgeEach(b *Detector, ms int, p Fingerprint, endpoints ...uint64) (changed []Verdict) {
 	for i, e := range endpoints {
 		changed = crashAndJudge(b, ms+100*i, p, e)
@@ -408,7 +408,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Verdict
 		for range rapid.IntRange(1, 8).Draw(t, "verdicts") {
-			v := Verdict{Fingerprint: request(rapid.Byte().Draw(t, "print") % 3), Round: rapid.IntRange(0, 4).Draw(t, "round"), Until: at(60_000)}
+			v := Verdict{Fingerprint: request(rapid.Byte().Draw(t, "fingerprint") % 3), Round: rapid.IntRange(0, 4).Draw(t, "round"), Until: at(60_000)}
 			for range rapid.IntRange(0, 3).Draw(t, "crashes") {
 				v.Crashes = append(v.Crashes, Crash{rapid.Uint64Range(1, 5).Draw(t, "endpoint"), start})
 			}
@@ -441,7 +441,7 @@
 type scenario struct {
 	*Detector
 	crasher Fingerprint
-	// crashes is the number of crashes under guilty; quarantined is set once it was quarantined.
+	// crashes is the number of crashes under crasher; quarantined is set once it was quarantined.
 	crashes     int
 	quarantined bool
 	// answered holds the requests that were answered completely since the last crash under them.
@@ -451,7 +451,7 @@
 // other draws one of the other requests.
 func other(t *rapid.T, label string) Fingerprint { return request(2 + rapid.Byte().Draw(t, label)%20) }
 
-// crash crashes an endpoint under the guilty request.
+// crash crashes an endpoint under the crasher, and checks that it is quarantined in time.
 func (d *scenario) crash(t *rapid.T, now time.Time, endpoint uint64) {
 	d.crashes++
 	d.RecordCrash(now, d.crasher, endpoint, requestAge, true)
@@ -493,7 +493,7 @@
 		d := scenario{Detector: NewDetector(), crasher: request(1), answered: make(map[Fingerprint]bool)}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now, endpoint := at(step*100), uint64(step)
-			if d.Refuses(now, d.crasher, first) == nil && rapid.Bool().Draw(t, "guilty") {
+			if d.Refuses(now, d.crasher, first) == nil && rapid.Bool().Draw(t, "crash") {
 				d.crash(t, now, endpoint)
 			}
 			d.crashOthers(t, now, endpoint)
@@ -501,8 +501,9 @@
 	})
 }
 
-// A request that ran beside the guilty one, and has further crashes without it, is the clearer
-// cause for a moment. The verdict on the guilty one is lifted then, and its next crash renews it.
+// A request that ran beside the one that crashes endpoints, and has further crashes without it, is
+// the clearer cause for a moment. The verdict on the actual cause is lifted then, and its next
+// crash renews it.
 func TestOverruledCrasherIsQuarantinedAgain(t *testing.T) {
 	b := NewDetector()
 	crasher, other := request(1), request(7)
--- a/pkg/poison/suspicion.go
+++ b/pkg/poison/suspicion.go
@@ -45,8 +45,8 @@
 	return list
 }
 
-// mergeSuspicion merges a suspicion of another process. The suspect is judged only at its next crash:
-// until then the request ran no more often than other processes already know.
+// mergeSuspicion merges a suspicion of another process. The suspect is judged only at its next
+// crash: until then the request ran no more often than other processes already know.
 func (d *Detector) mergeSuspicion(v Verdict) {
 	for _, e := range v.Crashes {
 		d.addRecent(e, false)
--- a/pkg/poison/verdict.go
+++ b/pkg/poison/verdict.go
@@ -44,17 +44,17 @@
 	Crashes []Crash
 }
 
-// maxCrashesPerRequest is the largest number of crashes stored for a request. A request that arrives ten
-// times a second crashes some twenty endpoints before all processes know of it.
+// maxCrashesPerRequest is the largest number of crashes stored for a request. A request that arrives
+// ten times a second crashes some twenty endpoints before all processes know of it.
 const maxCrashesPerRequest = 32
 
 // InForce reports whether the request is quarantined, as opposed to lifted.
 func (v *Verdict) InForce() bool { return v.Round%2 == 1 }
 
 const (
-	// initialQuarantine is the length of the first quarantine of a request. It doubles with each further
-	// quarantine up to holdMost, so that a request that is repeated without end crashes ten
-	// endpoints in the first week, and one that was quarantined wrongly is served again after
+	// initialQuarantine is the length of the first quarantine of a request. It doubles with each
+	// further quarantine up to maxQuarantine, so that a request that is repeated without end crashes
+	// ten endpoints in the first week, and one that was quarantined wrongly is served again after
 	// ten minutes.
 	initialQuarantine = 10 * time.Minute
 	maxQuarantine     = 24 * time.Hour
@@ -94,8 +94,8 @@
 // contains reports whether a crash is in a list.
 func contains(list []Crash, e Crash) bool { return slices.ContainsFunc(list, e.same) }
 
-// mergeCrashes appends to list the crashes of more that it lacks, up to maxCrashesPerRequest in all, and
-// reports whether there were any. It does not modify the array behind list.
+// mergeCrashes appends to list the crashes of more that it lacks, up to maxCrashesPerRequest in all,
+// and reports whether there were any. It does not modify the array behind list.
 func mergeCrashes(list []Crash, more ...Crash) ([]Crash, bool) {
 	was := len(list)
 	for _, e := range more {
