--- a/pkg/poison/detector_test.go
+++ b/pkg/poison/detector_test.go
@@ -31,35 +31,35 @@
 
 // crashAndJudge records a crash under a request, calls Judge 99 ms later, and returns the verdicts
 // changed by both.
-func crashAndJudge(b *Detector, ms int, p Fingerprint, endpoint uint64) []Verdict {
-	changed, _ := b.RecordCrash(at(ms), p, endpoint, requestAge, true)
-	later, _ := b.Judge(at(ms+99), view)
+func crashAndJudge(d *Detector, ms int, p Fingerprint, endpoint uint64) []Verdict {
+	changed, _ := d.RecordCrash(at(ms), p, endpoint, requestAge, true)
+	later, _ := d.Judge(at(ms+99), view)
 	return append(changed, later...)
 }
 
 // crashAndJudgeEach calls crashAndJudge for several endpoints, 100 ms apart, and returns the verdicts
 // changed by the last call.
-func crashAndJudgeEach(b *Detector, ms int, p Fingerprint, endpoints ...uint64) (changed []Verdict) {
+func crashAndJudgeEach(d *Detector, ms int, p Fingerprint, endpoints ...uint64) (changed []Verdict) {
 	for i, e := range endpoints {
-		changed = crashAndJudge(b, ms+100*i, p, e)
+		changed = crashAndJudge(d, ms+100*i, p, e)
 	}
 	return changed
 }
 
 func TestThirdCrashQuarantines(t *testing.T) {
-	b := NewDetector()
-	crashAndJudgeEach(b, 0, request(1), 10, 11)
-	if v := b.Refuses(at(300), request(1), first); v != nil {
+	d := NewDetector()
+	crashAndJudgeEach(d, 0, request(1), 10, 11)
+	if v := d.Refuses(at(300), request(1), first); v != nil {
 		t.Errorf("after two crashes: got %v, want no verdict", v)
 	}
-	changed := crashAndJudgeEach(b, 300, request(1), 12)
+	changed := crashAndJudgeEach(d, 300, request(1), 12)
 	if len(changed) != 1 || !changed[0].InForce() || len(changed[0].Crashes) != 3 {
 		t.Fatalf("after three crashes: got %v, want one verdict of three", changed)
 	}
-	if v := b.Refuses(at(301), request(1), first); v == nil {
+	if v := d.Refuses(at(301), request(1), first); v == nil {
 		t.Error("after three crashes: got no verdict")
 	}
-	if v := b.Refuses(at(301), request(2), first); v != nil {
+	if v := d.Refuses(at(301), request(2), first); v != nil {
 		t.Errorf("another request: got %v, want no verdict", v)
 	}
 }
@@ -67,15 +67,15 @@
 // Several processes may report one crash, each repeatedly: the reports count once. An endpoint that
 // has restarted under its ID can crash again.
 func TestDuplicateReportsCountOnce(t *testing.T) {
-	b := NewDetector()
+	d := NewDetector()
 	for ms := range 900 {
-		b.RecordCrash(at(ms), request(1), 10, requestAge, true)
+		d.RecordCrash(at(ms), request(1), 10, requestAge, true)
 	}
-	if got := b.Crashes(request(1)); got != 1 {
+	if got := d.Crashes(request(1)); got != 1 {
 		t.Errorf("crashes after 900 reports of one crash: got %d, want 1", got)
 	}
-	b.RecordCrash(at(4000), request(1), 10, requestAge, true)
-	if got := b.Crashes(request(1)); got != 2 {
+	d.RecordCrash(at(4000), request(1), 10, requestAge, true)
+	if got := d.Crashes(request(1)); got != 2 {
 		t.Errorf("crashes of two incarnations under one ID: got %d, want 2", got)
 	}
 }
@@ -83,18 +83,18 @@
 // A request that runs beside one that crashes endpoints has crashes as well, one for each attempt
 // at the same endpoint. The crashes at which it was not running distinguish the two.
 func TestConcurrentRequestIsNotQuarantined(t *testing.T) {
-	b := NewDetector()
+	d := NewDetector()
 	for i, e := range []uint64{10, 11, 12, 13, 14} {
-		b.RecordCrash(at(100*i), request(1), e, requestAge, true)
+		d.RecordCrash(at(100*i), request(1), e, requestAge, true)
 		if e > 10 && e < 14 {
-			b.RecordCrash(at(100*i+1), request(2), e, requestAge, true)
+			d.RecordCrash(at(100*i+1), request(2), e, requestAge, true)
 		}
-		b.Judge(at(100*i+99), view)
+		d.Judge(at(100*i+99), view)
 	}
-	if v := b.Refuses(at(1000), request(1), first); v == nil {
+	if v := d.Refuses(at(1000), request(1), first); v == nil {
 		t.Error("the request that crashes endpoints: got no verdict")
 	}
-	if v := b.Refuses(at(1000), request(2), first); v != nil {
+	if v := d.Refuses(at(1000), request(2), first); v != nil {
 		t.Errorf("a request beside it: got %v, want no verdict", v)
 	}
 }
@@ -103,22 +103,22 @@
 // clear the other, whichever was reported first.
 func TestTieIsResolved(t *testing.T) {
 	for _, order := range [][]Fingerprint{{request(1), request(2)}, {request(2), request(1)}} {
-		b := NewDetector()
+		d := NewDetector()
 		for i, e := range []uint64{10, 11, 12} {
 			for _, p := range order {
-				b.RecordCrash(at(100*i), p, e, requestAge, true)
+				d.RecordCrash(at(100*i), p, e, requestAge, true)
 			}
-			b.Judge(at(100*i+99), view)
+			d.Judge(at(100*i+99), view)
 		}
-		crashAndJudgeEach(b, 300, request(1), 15)
-		if b.Refuses(at(300), request(1), first) == nil {
+		crashAndJudgeEach(d, 300, request(1), 15)
+		if d.Refuses(at(300), request(1), first) == nil {
 			t.Errorf("order %v: the request that crashes endpoints: got no verdict", order)
 		}
-		crashAndJudgeEach(b, 400, request(1), 13)
-		if v := b.Refuses(at(600), request(2), first); v != nil {
+		crashAndJudgeEach(d, 400, request(1), 13)
+		if v := d.Refuses(at(600), request(2), first); v != nil {
 			t.Errorf("order %v: a request beside it: got %v, want the verdict lifted", order, v)
 		}
-		if b.Refuses(at(600), request(1), first) == nil {
+		if d.Refuses(at(600), request(1), first) == nil {
 			t.Errorf("order %v: after the fifth crash: got no verdict", order)
 		}
 	}
@@ -131,29 +131,29 @@
 // quarantined together with the one that had crashed all three endpoints of both.
 func TestSuspectsOfTheSameCrashesAreHeld(t *testing.T) {
 	for _, order := range [][]Fingerprint{{request(1), request(2)}, {request(2), request(1)}} {
-		b := NewDetector()
+		d := NewDetector()
 		held := 0
-		b.OnHeld = func(Fingerprint, int) { held++ }
+		d.OnHeld = func(Fingerprint, int) { held++ }
 		for i, e := range []uint64{10, 11, 12} {
 			for _, p := range order {
-				b.RecordCrash(at(100*i), p, e, requestAge, true)
+				d.RecordCrash(at(100*i), p, e, requestAge, true)
 			}
-			b.Judge(at(100*i+99), view)
+			d.Judge(at(100*i+99), view)
 		}
 		if held != 2 {
 			t.Errorf("order %v: calls of OnHeld: got %d, want 2", order, held)
 		}
 		for _, p := range order {
-			if v := b.Refuses(at(300), p, first); v != nil {
+			if v := d.Refuses(at(300), p, first); v != nil {
 				t.Errorf("order %v: request %v after three crashes together: got %v, want no verdict", order, p, v)
 			}
 		}
-		b.RecordSuccess(at(400), request(2))
-		crashAndJudge(b, 400, request(1), 13)
-		if b.Refuses(at(500), request(1), first) == nil {
+		d.RecordSuccess(at(400), request(2))
+		crashAndJudge(d, 400, request(1), 13)
+		if d.Refuses(at(500), request(1), first) == nil {
 			t.Errorf("order %v: after a fourth crash alone: got no verdict", order)
 		}
-		if v := b.Refuses(at(500), request(2), first); v != nil {
+		if v := d.Refuses(at(500), request(2), first); v != nil {
 			t.Errorf("order %v: the other, answered whole: got %v, want no verdict", order, v)
 		}
 	}
@@ -166,21 +166,21 @@
 // about to be quarantined when one of 599 others was, for three crashes that they had caused. The
 // verdict was lifted 15 ms later, but its caller had been answered to retry in ten minutes.
 func TestDisputedCrashesWait(t *testing.T) {
-	b := NewDetector()
+	d := NewDetector()
 	cause := func(i uint64) Fingerprint { return request(byte(10 + i)) }
 	for i := range uint64(3) {
-		b.RecordCrash(at(0), cause(i), 100*i, requestAge, true)
-		b.RecordCrash(at(200), cause(i), 100*i+1, requestAge, true)
-		b.RecordCrash(at(3000), request(1), 100*i+2, requestAge, true)
+		d.RecordCrash(at(0), cause(i), 100*i, requestAge, true)
+		d.RecordCrash(at(200), cause(i), 100*i+1, requestAge, true)
+		d.RecordCrash(at(3000), request(1), 100*i+2, requestAge, true)
 	}
 	for i := range uint64(3) {
-		b.RecordCrash(at(3010), cause(i), 100*i+2, requestAge, true)
+		d.RecordCrash(at(3010), cause(i), 100*i+2, requestAge, true)
 	}
 	for ms := 3050; ms < 3200; ms += 10 {
-		if v := b.Refuses(at(ms), request(1), first); v != nil {
+		if v := d.Refuses(at(ms), request(1), first); v != nil {
 			t.Fatalf("after %d ms: got %v, want no verdict", ms, v)
 		}
-		b.Judge(at(ms), view)
+		d.Judge(at(ms), view)
 	}
 }
 
@@ -191,13 +191,13 @@
 // reached endpoints four times beyond the limit and crashed eleven. Others were at each endpoint
 // that they crashed and were quarantined first, and a crash counts for only one request.
 func TestExplainedCrashesQuarantineEventually(t *testing.T) {
-	b := NewDetector()
+	d := NewDetector()
 	for i := range unconditionalCrashes {
 		cause, endpoint := request(byte(10+i)), uint64(100*i)
-		crashAndJudgeEach(b, 1000*i, cause, endpoint, endpoint+1, endpoint+2)
-		b.RecordCrash(at(1000*i+300), cause, endpoint+3, requestAge, true)
-		crashAndJudge(b, 1000*i+300, request(1), endpoint+3)
-		refused := b.Refuses(at(1000*i+400), request(1), first) != nil
+		crashAndJudgeEach(d, 1000*i, cause, endpoint, endpoint+1, endpoint+2)
+		d.RecordCrash(at(1000*i+300), cause, endpoint+3, requestAge, true)
+		crashAndJudge(d, 1000*i+300, request(1), endpoint+3)
+		refused := d.Refuses(at(1000*i+400), request(1), first) != nil
 		if want := i+1 >= unconditionalCrashes; refused != want {
 			t.Errorf("after %d crashes beside others: quarantined: got %v, want %v", i+1, refused, want)
 		}
@@ -207,24 +207,24 @@
 // Endpoints that crash together, in a wave, crash under unrelated requests: three such crashes are
 // no proof, five are enough. Three crashes at other times than the wave are enough.
 func TestWave(t *testing.T) {
-	wave := func(b *Detector, ms int, first uint64) {
+	wave := func(d *Detector, ms int, first uint64) {
 		for i := range uint64(6) {
-			b.RecordCrash(at(ms), request(byte(100+first+i)), first+i, 5*time.Second, true)
+			d.RecordCrash(at(ms), request(byte(100+first+i)), first+i, 5*time.Second, true)
 		}
 	}
-	b := NewDetector()
+	d := NewDetector()
 	for i := range 5 {
-		wave(b, 3500*i, uint64(20*i))
-		crashAndJudge(b, 3500*i+1, request(1), uint64(20*i+10))
-		refused := b.Refuses(at(3500*i+100), request(1), first) != nil
+		wave(d, 3500*i, uint64(20*i))
+		crashAndJudge(d, 3500*i+1, request(1), uint64(20*i+10))
+		refused := d.Refuses(at(3500*i+100), request(1), first) != nil
 		if want := i+1 >= sufficientCrashes; refused != want {
 			t.Errorf("after one crash in each of %d waves: quarantined: got %v, want %v", i+1, refused, want)
 		}
 	}
-	b = NewDetector()
-	wave(b, 0, 20)
-	crashAndJudgeEach(b, 1000, request(1), 1, 2, 3)
-	if b.Refuses(at(1400), request(1), first) == nil {
+	d = NewDetector()
+	wave(d, 0, 20)
+	crashAndJudgeEach(d, 1000, request(1), 1, 2, 3)
+	if d.Refuses(at(1400), request(1), first) == nil {
 		t.Error("three crashes a second after a wave: got no verdict")
 	}
 }
@@ -233,17 +233,17 @@
 // apart do not lead to a quarantine either.
 func TestWavesFarApart(t *testing.T) {
 	const apart = 40_000
-	b := NewDetector()
+	d := NewDetector()
 	for i := range sufficientCrashes - 1 {
 		for k := range uint64(6) {
-			b.RecordCrash(at(apart*i), request(byte(100+6*i)+byte(k)), uint64(20*i)+k, requestAge, true)
+			d.RecordCrash(at(apart*i), request(byte(100+6*i)+byte(k)), uint64(20*i)+k, requestAge, true)
 		}
-		crashAndJudge(b, apart*i+1, request(1), uint64(20*i+10))
-		if v := b.Refuses(at(apart*i+100), request(1), first); v != nil {
+		crashAndJudge(d, apart*i+1, request(1), uint64(20*i+10))
+		if v := d.Refuses(at(apart*i+100), request(1), first); v != nil {
 			t.Errorf("after one crash in each of %d waves: got %v, want no verdict", i+1, v)
 		}
-		b.Expire(at(apart*i + apart/2))
-		b.Expire(at(apart*(i+1) - 1))
+		d.Expire(at(apart*i + apart/2))
+		d.Expire(at(apart*(i+1) - 1))
 	}
 }
 
@@ -286,34 +286,34 @@
 // A request that runs at one endpoint and has just left two others has three crashes in a single
 // wave, which are no proof.
 func TestThreeCrashesInOneWave(t *testing.T) {
-	b := NewDetector()
+	d := NewDetector()
 	for i := range uint64(3) {
-		b.RecordCrash(at(0), request(1), i, time.Second, true)
+		d.RecordCrash(at(0), request(1), i, time.Second, true)
 	}
 	for i := range uint64(4) {
-		b.RecordCrash(at(8), request(byte(10+i)), 10+i, time.Second, true)
+		d.RecordCrash(at(8), request(byte(10+i)), 10+i, time.Second, true)
 	}
-	if _, pending := b.Judge(at(20), view); !pending {
+	if _, pending := d.Judge(at(20), view); !pending {
 		t.Error("before SettleDelay has passed: got nothing pending")
 	}
-	b.Judge(at(100), view)
-	if v := b.Refuses(at(101), request(1), first); v != nil {
+	d.Judge(at(100), view)
+	if v := d.Refuses(at(101), request(1), first); v != nil {
 		t.Errorf("got %v, want no verdict", v)
 	}
 }
 
 func TestSuccessClears(t *testing.T) {
-	b := NewDetector()
-	crashAndJudgeEach(b, 0, request(1), 10, 11)
-	b.RecordSuccess(at(300), request(1))
-	if crashAndJudgeEach(b, 400, request(1), 12); b.Crashes(request(1)) != 1 {
-		t.Errorf("crashes after an answer: got %d, want 1", b.Crashes(request(1)))
-	}
-	crashAndJudgeEach(b, 500, request(1), 13, 14)
-	if v := b.RecordSuccess(at(900), request(1)); v == nil || v.InForce() {
+	d := NewDetector()
+	crashAndJudgeEach(d, 0, request(1), 10, 11)
+	d.RecordSuccess(at(300), request(1))
+	if crashAndJudgeEach(d, 400, request(1), 12); d.Crashes(request(1)) != 1 {
+		t.Errorf("crashes after an answer: got %d, want 1", d.Crashes(request(1)))
+	}
+	crashAndJudgeEach(d, 500, request(1), 13, 14)
+	if v := d.RecordSuccess(at(900), request(1)); v == nil || v.InForce() {
 		t.Errorf("an answer under way when it was quarantined: got %v, want the verdict lifted", v)
 	}
-	if v := b.Refuses(at(901), request(1), first); v != nil {
+	if v := d.Refuses(at(901), request(1), first); v != nil {
 		t.Errorf("after an answer: got %v, want no verdict", v)
 	}
 }
@@ -343,63 +343,63 @@
 // After Until a request is let through once per retryInterval, first by the process of rank 0. A
 // single crash then renews the quarantine.
 func TestRetryAfterQuarantine(t *testing.T) {
-	b := NewDetector()
-	v := crashAndJudgeEach(b, 0, request(1), 10, 11, 12)[0]
+	d := NewDetector()
+	v := crashAndJudgeEach(d, 0, request(1), 10, 11, 12)[0]
 	after := v.Until.Add(time.Millisecond)
-	if b.Refuses(after, request(1), second) == nil {
+	if d.Refuses(after, request(1), second) == nil {
 		t.Error("rank 1 just after Until: got no verdict")
 	}
-	if v := b.Refuses(after, request(1), first); v != nil {
+	if v := d.Refuses(after, request(1), first); v != nil {
 		t.Errorf("rank 0 just after Until: got %v, want it let through", v)
 	}
-	if b.Refuses(after.Add(time.Second), request(1), first) == nil {
+	if d.Refuses(after.Add(time.Second), request(1), first) == nil {
 		t.Error("rank 0 a second later: got no verdict")
 	}
-	changed, _ := b.RecordCrash(after.Add(time.Second), request(1), 20, requestAge, true)
+	changed, _ := d.RecordCrash(after.Add(time.Second), request(1), 20, requestAge, true)
 	if len(changed) != 1 || changed[0].Round != 3 {
 		t.Fatalf("a crash after Until: got %v, want round 3", changed)
 	}
-	if b.Refuses(after.Add(time.Minute), request(1), first) == nil {
+	if d.Refuses(after.Add(time.Minute), request(1), first) == nil {
 		t.Error("after that crash: got no verdict")
 	}
-	if b.Expire(changed[0].Until.Add(3 * initialQuarantine)); !b.Empty() {
-		t.Errorf("long after: got %v, want an empty Detector", b)
+	if d.Expire(changed[0].Until.Add(3 * initialQuarantine)); !d.Empty() {
+		t.Errorf("long after: got %v, want an empty Detector", d)
 	}
 }
 
 // A verdict is written to the store once. Its removal from the store lifts the quarantine, unless
 // the quarantine was renewed since it was stored.
 func TestStored(t *testing.T) {
-	b := NewDetector()
-	v := crashAndJudgeEach(b, 0, request(1), 10, 11, 12)[0]
-	if got := b.Unstored(at(300), time.Second, second); got != nil {
+	d := NewDetector()
+	v := crashAndJudgeEach(d, 0, request(1), 10, 11, 12)[0]
+	if got := d.Unstored(at(300), time.Second, second); got != nil {
 		t.Errorf("to be stored by rank 1 at once: got %v, want nothing", got)
 	}
-	if got := b.Unstored(at(300), time.Second, first); got == nil || got.Round != v.Round {
+	if got := d.Unstored(at(300), time.Second, first); got == nil || got.Round != v.Round {
 		t.Fatalf("to be stored by rank 0: got %v, want round %d", got, v.Round)
 	}
-	b.SetStoredRound(request(1), v.Round)
-	if got := b.Unstored(at(300), time.Second, first); got != nil {
+	d.SetStoredRound(request(1), v.Round)
+	if got := d.Unstored(at(300), time.Second, first); got != nil {
 		t.Errorf("to be stored after it was stored: got %v, want nothing", got)
 	}
-	if got := b.RecordRemoval(at(400), request(1)); got == nil || got.InForce() {
+	if got := d.RecordRemoval(at(400), request(1)); got == nil || got.InForce() {
 		t.Errorf("removed from the store: got %v, want the verdict lifted", got)
 	}
-	crashAndJudgeEach(b, 5000, request(1), 13, 14, 15)
-	if got := b.RecordRemoval(at(5400), request(1)); got != nil {
+	crashAndJudgeEach(d, 5000, request(1), 13, 14, 15)
+	if got := d.RecordRemoval(at(5400), request(1)); got != nil {
 		t.Errorf("removed, but quarantined again since: got %v, want nothing", got)
 	}
 }
 
 func TestBounded(t *testing.T) {
-	b := NewDetector()
+	d := NewDetector()
 	for i := range 2 * maxSuspects {
 		p := Fingerprint{byte(i), byte(i >> 8), byte(i >> 16), 1}
-		b.RecordCrash(at(i*10), p, uint64(i), requestAge, true)
-		b.Merge(at(i*10), Verdict{Fingerprint: p, Round: 1, Until: at(i*10 + 60_000)})
+		d.RecordCrash(at(i*10), p, uint64(i), requestAge, true)
+		d.Merge(at(i*10), Verdict{Fingerprint: p, Round: 1, Until: at(i*10 + 60_000)})
 	}
-	if len(b.suspects) > maxSuspects || len(b.records) > maxRecords || len(b.recent) > maxRecentCrashes {
-		t.Errorf("got %d suspects, %d records, %d recent crashes", len(b.suspects), len(b.records), len(b.recent))
+	if len(d.suspects) > maxSuspects || len(d.records) > maxRecords || len(d.recent) > maxRecentCrashes {
+		t.Errorf("got %d suspects, %d records, %d recent crashes", len(d.suspects), len(d.records), len(d.recent))
 	}
 }
 
@@ -505,17 +505,17 @@
 // the clearer cause for a moment. The verdict on the actual cause is lifted then, and its next
 // crash renews it.
 func TestOverruledCrasherIsQuarantinedAgain(t *testing.T) {
-	b := NewDetector()
+	d := NewDetector()
 	crasher, other := request(1), request(7)
 	for i := range 3 {
-		b.RecordCrash(at(100*i), crasher, uint64(1+i), requestAge, true)
-		b.RecordCrash(at(100*i), other, uint64(1+i), requestAge, true)
-		b.Judge(at(100*i+99), view)
-	}
-	crashAndJudgeEach(b, 300, request(2), 4, 5, 6)
-	crashAndJudgeEach(b, 500, other, 6, 7)
-	crashAndJudge(b, 800, crasher, 8)
-	if b.Refuses(at(900), crasher, first) == nil {
+		d.RecordCrash(at(100*i), crasher, uint64(1+i), requestAge, true)
+		d.RecordCrash(at(100*i), other, uint64(1+i), requestAge, true)
+		d.Judge(at(100*i+99), view)
+	}
+	crashAndJudgeEach(d, 300, request(2), 4, 5, 6)
+	crashAndJudgeEach(d, 500, other, 6, 7)
+	crashAndJudge(d, 800, crasher, 8)
+	if d.Refuses(at(900), crasher, first) == nil {
 		t.Error("after its fourth crash: got no verdict")
 	}
 }
@@ -523,12 +523,12 @@
 // A request that crashes an endpoint every few milliseconds is judged no later than others: further
 // crashes do not postpone a pending judgement.
 func TestFurtherCrashesDoNotPostponeJudgement(t *testing.T) {
-	b := NewDetector()
-	for ms := 0; b.Refuses(at(ms), request(1), first) == nil; ms += 5 {
+	d := NewDetector()
+	for ms := 0; d.Refuses(at(ms), request(1), first) == nil; ms += 5 {
 		if ms > 200 {
 			t.Fatal("after 40 crashes in 200 ms: got no verdict")
 		}
-		b.RecordCrash(at(ms), request(1), uint64(ms), requestAge, true)
-		b.Judge(at(ms), view)
+		d.RecordCrash(at(ms), request(1), uint64(ms), requestAge, true)
+		d.Judge(at(ms), view)
 	}
 }
--- a/pkg/usage/counter_test.go
+++ b/pkg/usage/counter_test.go
@@ -73,44 +73,44 @@
 // An incarnation that ended without a final report keeps its router missing, and the counts that it
 // reported are summed.
 func TestIncarnationsCountSeparately(t *testing.T) {
-	b := NewCounter()
-	b.Merge(Report{Reporter: Reporter{"a", 1}, Window: 7, Counts: Counts{"w": 3}}, 7)
-	b.Merge(Report{Reporter: Reporter{"a", 2}, Window: 7, Final: true, Total: 2, Counts: Counts{"w": 2}}, 7)
-	if got := b.Sum(7)["w"]; got != 5 {
+	c := NewCounter()
+	c.Merge(Report{Reporter: Reporter{"a", 1}, Window: 7, Counts: Counts{"w": 3}}, 7)
+	c.Merge(Report{Reporter: Reporter{"a", 2}, Window: 7, Final: true, Total: 2, Counts: Counts{"w": 2}}, 7)
+	if got := c.Sum(7)["w"]; got != 5 {
 		t.Errorf("sum: got %d, want 5", got)
 	}
-	if got := b.Missing(7, []string{"a"}); len(got) != 1 {
+	if got := c.Missing(7, []string{"a"}); len(got) != 1 {
 		t.Errorf("missing: got %v, want a", got)
 	}
 }
 
 // A report that is sent in parts is complete once all parts have been merged.
 func TestPartsOfAReport(t *testing.T) {
-	b, a := NewCounter(), Reporter{"a", 1}
-	b.Merge(Report{Reporter: a, Window: 7, Final: true, Total: 5, Counts: Counts{"v": 2}}, 7)
-	if b.Complete(a, 7) {
+	c, a := NewCounter(), Reporter{"a", 1}
+	c.Merge(Report{Reporter: a, Window: 7, Final: true, Total: 5, Counts: Counts{"v": 2}}, 7)
+	if c.Complete(a, 7) {
 		t.Error("complete after one part of two")
 	}
-	b.Merge(Report{Reporter: a, Window: 7, Final: true, Total: 5, Counts: Counts{"w": 3}}, 7)
-	if !b.Complete(a, 7) {
+	c.Merge(Report{Reporter: a, Window: 7, Final: true, Total: 5, Counts: Counts{"w": 3}}, 7)
+	if !c.Complete(a, 7) {
 		t.Error("not complete after both parts")
 	}
 }
 
 // Memory is bounded: windows far from the current one are not stored, and old ones expire.
 func TestCounterIsBounded(t *testing.T) {
-	b, a := NewCounter(), Reporter{"a", 1}
+	c, a := NewCounter(), Reporter{"a", 1}
 	for _, w := range []Window{100 - maxWindows, 102, -1 << 40} {
-		b.Merge(Report{Reporter: a, Window: w, Counts: Counts{"w": 1}}, 100)
-		if got := b.Sum(w).Sum(); got != 0 {
+		c.Merge(Report{Reporter: a, Window: w, Counts: Counts{"w": 1}}, 100)
+		if got := c.Sum(w).Sum(); got != 0 {
 			t.Errorf("window %d: got %d requests, want none", w, got)
 		}
 	}
 	for w := range Window(100) {
-		b.Add(a, w, "w")
-		b.Expire(w)
+		c.Add(a, w, "w")
+		c.Expire(w)
 	}
-	if got := len(b.windows); got > maxWindows {
+	if got := len(c.windows); got > maxWindows {
 		t.Errorf("windows: got %d, want %d at most", got, maxWindows)
 	}
 }
