--- a/pkg/duty/machine.go
+++ b/pkg/duty/machine.go
@@ -86,7 +86,8 @@
 	takeoverRankDelay = config.Span(time.Second)
 	// resignedRankDelay replaces takeoverRankDelay if the holder has resigned.
 	resignedRankDelay = config.Span(300 * time.Millisecond)
-	// initialBackoff and maxBackoff bound the exponential backoff after failed calls.
+	// initialBackoff is the pause after a failed call. It doubles with each further failure, up to
+	// maxBackoff.
 	initialBackoff = config.Span(400 * time.Millisecond)
 	maxBackoff     = config.Span(4 * time.Second)
 	// maxFailures is the number of consecutive failed calls after which a holder resigns if there
