--- /dev/null
+++ b/pkg/poison/detector.go
@@ -0,0 +1,366 @@
+// Copyright 2026 The traildrift authors.
+// SPDX-License-Identifier: BSD-3-Clause
+
+package poison
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Detector holds the suspects and verdicts that one process knows, with the crashes behind them.
+// Create it with NewDetector. It is not safe for concurrent use.
+type Detector struct {
+	// OnHeld is called by Judge when a suspect becomes held: it would be quarantined, but other
+	// suspects were at its crashes. crashes is the number of crashes under it. Set it before the
+	// first crash; it may be nil.
+	OnHeld   func(p Fingerprint, crashes int)
+	suspects map[Fingerprint]*suspect
+	records  map[Fingerprint]*record
+	// causes indexes the records by endpoint: for the hash of an endpoint it holds the requests
+	// whose verdicts list a crash of it.
+	causes map[uint64][]Fingerprint
+	// recent holds the crashes that were observed or reported, under whatever requests, in the
+	// order of arrival; at most maxRecentCrashes.
+	recent []recentCrash
+	// pending holds for each suspect to be judged the time from which it is due. Later crashes do
+	// not postpone it.
+	pending map[Fingerprint]time.Time
+}
+
+// record is a verdict with this process's own state of it.
+type record struct {
+	Verdict
+	// changedAt is when the verdict was received or changed here. triedAt is when the request was
+	// last let through after Until.
+	changedAt, triedAt time.Time
+	// storedRound is the round of the verdict that the store holds; 0 if it holds none.
+	storedRound int
+}
+
+const (
+	// suspectTTL is how long a suspect is stored after its latest crash.
+	suspectTTL = 10 * time.Minute
+	// maxSuspects and maxRecords bound the memory; the oldest entry is evicted. Full, the suspects
+	// take 0.9 MB with two crashes each, and the records 0.5 MB with three crashes each and 5.5 MB
+	// with maxCrashesPerRequest.
+	maxSuspects = 4096
+	maxRecords  = 1024
+	// maxRecentCrashes bounds the recent crashes. They are stored for suspectTTL, as long as
+	// suspects: the older crashes of a suspect would otherwise seem to have come alone.
+	maxRecentCrashes = 256
+	// retryInterval is the interval at which one process lets a request through after Until. If
+	// the request crashes its endpoint, all processes know of that within a shorter time.
+	retryInterval = 5 * time.Second
+	// retryRankDelay is the additional delay per rank before a process lets a request through.
+	retryRankDelay = 2 * time.Second
+	// gossipWindow is how long a changed verdict is sent to other processes repeatedly.
+	gossipWindow = 10 * time.Second
+)
+
+// NewDetector returns a Detector that knows of no requests.
+func NewDetector() *Detector {
+	return &Detector{suspects: make(map[Fingerprint]*suspect), records: make(map[Fingerprint]*record), causes: make(map[uint64][]Fingerprint), pending: make(map[Fingerprint]time.Time)}
+}
+
+// Empty reports whether there are neither suspects nor verdicts.
+func (d *Detector) Empty() bool { return len(d.suspects) == 0 && len(d.records) == 0 }
+
+// Counts returns the numbers of suspects and of quarantined requests.
+func (d *Detector) Counts() (suspects, quarantined int) {
+	for _, r := range d.records {
+		if r.InForce() {
+			quarantined++
+		}
+	}
+	return len(d.suspects), quarantined
+}
+
+// Crashes returns the number of crashes under a suspect; 0 for a request that is not suspected,
+// also if it is quarantined.
+func (d *Detector) Crashes(p Fingerprint) int {
+	if s := d.suspects[p]; s != nil {
+		return len(s.crashes)
+	}
+	return 0
+}
+
+// ReachesThreshold reports whether a suspect would be judged if so many more endpoints had crashed
+// under it.
+func (d *Detector) ReachesThreshold(p Fingerprint, more int) bool {
+	n := d.Crashes(p)
+	return n > 0 && more > 0 && n+more >= minCrashes
+}
+
+// Round returns the round of the verdict on a request; 0 if there is none.
+func (d *Detector) Round(p Fingerprint) int {
+	if r := d.records[p]; r != nil {
+		return r.Round
+	}
+	return 0
+}
+
+// RecordCrash records that an endpoint, given by its hash, crashed under a request that had been
+// there for age. own is set if this process observed the crash itself. It returns the verdicts
+// that are new or changed immediately; pending reports whether Judge has to be called once
+// SettleDelay has passed.
+func (d *Detector) RecordCrash(now time.Time, p Fingerprint, endpoint uint64, age time.Duration, own bool) (changed []Verdict, pending bool) {
+	e := Crash{endpoint, now}
+	d.addRecent(e, own)
+	r := d.records[p]
+	if r != nil && r.InForce() && now.Before(r.Until) {
+		if !d.addCrashes(now, r, e) {
+			return nil, false
+		}
+		return append([]Verdict{r.Verdict}, d.overrule(now, r.Crashes)...), false
+	}
+	if r != nil && len(r.Crashes) > 0 && d.explainedBy(e, p, 0) == nil {
+		return d.quarantine(now, p, []Crash{e}), false
+	}
+	return nil, d.addToSuspect(now, p, e, age)
+}
+
+// addToSuspect records a crash under a request that is not quarantined, and reports whether the
+// request is to be judged.
+func (d *Detector) addToSuspect(now time.Time, p Fingerprint, e Crash, age time.Duration) (pending bool) {
+	s := d.getOrAddSuspect(p)
+	if !s.add(e, age) || len(s.crashes) < minCrashes {
+		return false
+	}
+	if _, ok := d.pending[p]; !ok {
+		d.pending[p] = now.Add(SettleDelay)
+	}
+	return true
+}
+
+// getOrAddSuspect returns the suspect for a request. It adds one if there is none, and then evicts
+// the one whose latest crash is the oldest if there are maxSuspects.
+func (d *Detector) getOrAddSuspect(p Fingerprint) *suspect {
+	s := d.suspects[p]
+	if s == nil {
+		s = &suspect{}
+		if len(d.suspects) >= maxSuspects {
+			delete(d.suspects, oldest(d.suspects, func(s *suspect) time.Time { return s.at }))
+		}
+		d.suspects[p] = s
+	}
+	return s
+}
+
+// JudgeDueAt returns the time from which Judge decides on a request; ok is false if no judgement
+// is pending.
+func (d *Detector) JudgeDueAt(p Fingerprint) (at time.Time, ok bool) {
+	at, ok = d.pending[p]
+	return at, ok
+}
+
+// addRecent adds a crash to the recent ones, unless it is a duplicate.
+func (d *Detector) addRecent(e Crash, own bool) {
+	for i := range d.recent {
+		if r := &d.recent[i]; r.same(e) {
+			r.own = r.own || own
+			return
+		}
+	}
+	if len(d.recent) >= maxRecentCrashes {
+		d.recent = d.recent[1:]
+	}
+	d.recent = append(d.recent, recentCrash{e, own})
+}
+
+// RecordSuccess records that an endpoint answered a request completely, which proves that the
+// request does not crash what runs it. The request is no longer suspected. It returns the verdict
+// if this lifts a quarantine, else nil.
+func (d *Detector) RecordSuccess(now time.Time, p Fingerprint) *Verdict {
+	delete(d.suspects, p)
+	return d.Lift(now, p)
+}
+
+// Lift ends the quarantine of a request and drops its crashes. It returns the lifted verdict, or
+// nil if the request was not quarantined.
+func (d *Detector) Lift(now time.Time, p Fingerprint) *Verdict {
+	r := d.records[p]
+	if r == nil || !r.InForce() {
+		return nil
+	}
+	v := r.nextRound(now)
+	v.Crashes = nil
+	d.setVerdict(now, v)
+	return &v
+}
+
+// setVerdict replaces the verdict on a request. To add a record when there are maxRecords, it evicts
+// the one with the earliest Until.
+func (d *Detector) setVerdict(now time.Time, v Verdict) {
+	r := d.records[v.Fingerprint]
+	if r == nil {
+		if len(d.records) >= maxRecords {
+			d.deleteRecord(oldest(d.records, func(r *record) time.Time { return r.Until }))
+		}
+		r = &record{}
+		d.records[v.Fingerprint] = r
+	}
+	d.unindex(r)
+	r.Verdict, r.changedAt = v, now
+	d.index(v.Fingerprint, v.Crashes)
+}
+
+// addCrashes adds crashes to a record, and reports whether any of them was new.
+func (d *Detector) addCrashes(now time.Time, r *record, crashes ...Crash) (grown bool) {
+	known := len(r.Crashes)
+	if r.Crashes, grown = mergeCrashes(r.Crashes, crashes...); grown {
+		d.index(r.Fingerprint, r.Crashes[known:])
+		r.changedAt = now
+	}
+	return grown
+}
+
+// index adds the crashes of a verdict to the index by endpoint.
+func (d *Detector) index(p Fingerprint, crashes []Crash) {
+	for _, e := range crashes {
+		d.causes[e.Endpoint] = append(d.causes[e.Endpoint], p)
+	}
+}
+
+// unindex removes the crashes of a record from the index by endpoint.
+func (d *Detector) unindex(r *record) {
+	for _, e := range r.Crashes {
+		list := slices.DeleteFunc(d.causes[e.Endpoint], func(p Fingerprint) bool { return p == r.Fingerprint })
+		if d.causes[e.Endpoint] = list; len(list) == 0 {
+			delete(d.causes, e.Endpoint)
+		}
+	}
+}
+
+// deleteRecord deletes the record of a request, which must exist.
+func (d *Detector) deleteRecord(p Fingerprint) {
+	d.unindex(d.records[p])
+	delete(d.records, p)
+}
+
+// Merge merges a verdict that was received from another process or read from the store, and
+// reports whether that changed the verdict held here. Until is limited to how long a verdict of
+// its round may last from now. A verdict of round 0 is a suspicion: its crashes are added, and
+// Merge returns false.
+func (d *Detector) Merge(now time.Time, v Verdict) bool {
+	if v.Round <= 0 {
+		d.mergeSuspicion(v)
+		return false
+	}
+	if latest := now.Add(v.duration()); v.Until.After(latest) {
+		v.Until = latest
+	}
+	r := d.records[v.Fingerprint]
+	switch {
+	case now.After(v.expiresAt()) || r != nil && v.Round < r.Round:
+		return false
+	case r == nil || v.Round > r.Round:
+		v.Crashes, _ = mergeCrashes(nil, v.Crashes...)
+		delete(d.suspects, v.Fingerprint)
+		d.setVerdict(now, v)
+	default:
+		return d.addCrashes(now, r, v.Crashes...)
+	}
+	return true
+}
+
+// Refuses returns the verdict because of which a request must not be sent now, or nil if it may be
+// sent. After Until the process of rank 0 lets one request through per retryInterval, and those of
+// higher ranks start later: the first request that crashes its endpoint renews the verdict for all
+// processes. Each nil for a quarantined request counts as a retry. rank returns this process's
+// rank for a request.
+func (d *Detector) Refuses(now time.Time, p Fingerprint, rank func(p Fingerprint) int) *Verdict {
+	r := d.records[p]
+	if r == nil || !r.InForce() {
+		return nil
+	}
+	if now.Before(r.Until) || now.Sub(r.triedAt) < retryInterval || now.Before(r.Until.Add(time.Duration(rank(p))*retryRankDelay)) {
+		return &r.Verdict
+	}
+	r.triedAt = now
+	return nil
+}
+
+// RecentChanges returns at most so many verdicts that other processes may not know yet, the latest
+// change first: those that changed within gossipWindow, and quarantines that the store lacks.
+func (d *Detector) RecentChanges(now time.Time, limit int) []Verdict {
+	var list []*record
+	for _, r := range d.records {
+		if now.Sub(r.changedAt) <= gossipWindow || r.InForce() && r.storedRound != r.Round {
+			list = append(list, r)
+		}
+	}
+	slices.SortFunc(list, func(a, b *record) int { return b.changedAt.Compare(a.changedAt) })
+	var changes []Verdict
+	for _, r := range list[:min(len(list), limit)] {
+		changes = append(changes, r.Verdict)
+	}
+	return changes
+}
+
+// Unstored returns a quarantine that the store lacks, or a lifted verdict that it still holds; nil
+// if there is none. rank returns this process's rank for a request: a process waits for step per
+// rank after a change, so that only one writes.
+func (d *Detector) Unstored(now time.Time, step time.Duration, rank func(p Fingerprint) int) *Verdict {
+	for _, r := range d.records {
+		due := r.InForce() && r.storedRound != r.Round || !r.InForce() && r.storedRound > 0
+		if due && now.Sub(r.changedAt) >= time.Duration(rank(r.Fingerprint))*step {
+			v := r.Verdict
+			return &v
+		}
+	}
+	return nil
+}
+
+// SetStoredRound records the round of the verdict on a request that the store holds; 0 if it holds
+// none.
+func (d *Detector) SetStoredRound(p Fingerprint, round int) {
+	if r := d.records[p]; r != nil {
+		r.storedRound = round
+	}
+}
+
+// RecordRemoval records that the store holds no verdict on a request any more, as an operator or
+// another process has removed it. It returns the verdict if this lifts a quarantine, else nil. A
+// verdict that was never stored, or was renewed since it was stored, stays.
+func (d *Detector) RecordRemoval(now time.Time, p Fingerprint) *Verdict {
+	r := d.records[p]
+	if r == nil {
+		return nil
+	}
+	was := r.storedRound
+	r.storedRound = 0
+	if was != r.Round {
+		return nil
+	}
+	return d.Lift(now, p)
+}
+
+// Expire drops suspects, recent crashes and records whose time is over. It returns the requests of
+// dropped records whose verdicts the store still holds.
+func (d *Detector) Expire(now time.Time) (stored []Fingerprint) {
+	maps.DeleteFunc(d.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.at) > suspectTTL })
+	d.recent = slices.DeleteFunc(d.recent, func(e recentCrash) bool { return now.Sub(e.At) > suspectTTL })
+	for p, r := range d.records {
+		if now.Before(r.expiresAt()) {
+			continue
+		}
+		if r.storedRound > 0 {
+			stored = append(stored, p)
+		}
+		d.deleteRecord(p)
+	}
+	return stored
+}
+
+// oldest returns the key of the value with the earliest time. The map must not be empty.
+func oldest[T any](in map[Fingerprint]*T, at func(*T) time.Time) (first Fingerprint) {
+	var firstAt time.Time
+	for p, v := range in {
+		if t := at(v); firstAt.IsZero() || t.Before(firstAt) {
+			first, firstAt = p, t
+		}
+	}
+	return first
+}
