--- a/pkg/budget/budget.go
+++ b/pkg/budget/budget.go
@@ -1,42 +1,44 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package budget keeps the extra attempts of a service within a share of its
-// requests over a sliding window. It reads no clock and takes no lock.
+// Package budget implements a retry budget: it keeps the extra attempts of a service within
+// a ratio of its requests over a sliding window. It reads no clock and takes no lock.
 package budget
 
 import "time"
 
-// slices is how finely the window is kept; a whole slice more than the window is
-// counted, so that no span of the window's length holds more than allowed.
+// bucketsPerWindow is the number of buckets in the length of a window. One more bucket is
+// counted, so that no span of the window's length holds more extra attempts than allowed.
 const slices = 20
 
-// Window counts requests and extra attempts. The zero value allows none; set
-// Ratio, Slack and Slice first.
+// Window counts requests and extra attempts over a sliding window. The zero value has
+// neither ratio nor length: call SetLimits first. A Window is not safe for concurrent use.
 type Window struct {
-	// Ratio is how many extra attempts one request pays for.
+	// Ratio is the number of extra attempts that each request adds to the budget.
 	Ratio float64
-	// Slack is how many extra attempts are allowed beyond that.
+	// Slack is the number of extra attempts in a window that are allowed in addition.
 	Slack float64
-	// Slice is the time that one slice covers: the window's length over 20.
-	// It is positive.
+	// BucketLength is the time that one bucket covers: the window's length over 20. It is
+	// positive.
 	Slice time.Duration
-	// start is when the newest slice began.
+	// bucketStart is when the newest bucket began; zero before the first use.
 	start time.Time
-	// ring holds the slices; at is the newest. The sums equal the ring's.
+	// ring holds the buckets, newest is the index of the newest one. requests and extra are
+	// the sums over the ring.
 	ring          [slices + 1]slice
 	at            int
 	requests, ext int
 }
 
+// bucket holds the counts of one part of the window.
 type slice struct{ requests, ext int }
 
-// Set makes the window count over length, keeping what was counted.
+// SetLimits sets the length of the window and its limits. What was counted is kept.
 func (w *Window) Set(length time.Duration, ratio, slack float64) {
 	w.Slice, w.Ratio, w.Slack = length/slices, ratio, slack
 }
 
-// turn drops the slices that have left the window.
+// advance drops the buckets that have left the window.
 func (w *Window) turn(now time.Time) {
 	if w.start.IsZero() || now.Sub(w.start) > time.Duration(len(w.ring))*w.Slice {
 		w.ring, w.requests, w.ext, w.start = [slices + 1]slice{}, 0, 0, now
@@ -51,14 +53,14 @@
 	}
 }
 
-// Request counts a request.
+// AddRequest counts a request.
 func (w *Window) Request(now time.Time) {
 	w.turn(now)
 	w.ring[w.at].requests++
 	w.requests++
 }
 
-// Take takes one extra attempt, if at least reserve more would be left, and
+// Take takes one extra attempt from the budget if at least reserve more remain after it. It
 // reports whether it did.
 func (w *Window) Take(now time.Time, reserve float64) bool {
 	if w.Left(now) < 1+reserve {
@@ -69,7 +71,8 @@
 	return true
 }
 
-// Give returns an extra attempt that was not made after all.
+// Refund returns an extra attempt that was taken but not made. It has no effect if none was
+// taken in the present bucket.
 func (w *Window) Give(now time.Time) {
 	w.turn(now)
 	if w.ring[w.at].ext > 0 {
@@ -78,11 +81,12 @@
 	}
 }
 
-// Left returns how many extra attempts may be made.
+// Remaining returns the number of extra attempts that may still be made. It can be negative
+// once requests have left the window.
 func (w *Window) Left(now time.Time) float64 { return w.Allowed(now) - float64(w.ext) }
 
-// Allowed returns how many extra attempts the requests of the window and the slack pay for, those
-// that were made included.
+// Allowed returns the number of extra attempts that the requests in the window and the slack
+// allow, including those already made.
 func (w *Window) Allowed(now time.Time) float64 {
 	w.turn(now)
 	return w.Ratio*float64(w.requests) + w.Slack
--- a/pkg/budget/budget_test.go
+++ b/pkg/budget/budget_test.go
@@ -17,27 +17,27 @@
 		w.Request(now)
 	}
 	if got, want := w.Left(now), 4.0; got != want {
-		t.Fatalf("left: got %v, want %v", got, want)
+		t.Fatalf("remaining: got %v, want %v", got, want)
 	}
 	for i := range 4 {
 		if !w.Take(now, 0) {
-			t.Fatalf("take %d: got false, want true", i)
+			t.Fatalf("Take %d: got false, want true", i)
 		}
 	}
 	if w.Take(now, 0) {
-		t.Error("take beyond the budget: got true, want false")
+		t.Error("Take beyond the budget: got true, want false")
 	}
 	w.Give(now)
 	if w.Take(now, 1) {
-		t.Error("take into the reserve: got true, want false")
+		t.Error("Take from the reserve: got true, want false")
 	}
 	if got, want := w.Left(now.Add(11*time.Second)), 2.0; got != want {
-		t.Errorf("left after the window: got %v, want %v", got, want)
+		t.Errorf("remaining after the window: got %v, want %v", got, want)
 	}
 }
 
-// No span of the window's length may hold more than its requests and the slack
-// pay for, counting the requests of that span and the slice around it.
+// TestWindowNeverOver checks that no span of the window's length holds more extra attempts
+// than the slack and the requests of the span and of one more bucket before it allow.
 func TestWindowNeverOver(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var w Window
--- a/pkg/mixer/mixer.go
+++ b/pkg/mixer/mixer.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package mixer spreads numbers evenly and cheaply, the same way in every process:
-// SplitMix64 (Steele, Lea and Flood, 2014).
+// Package mixer provides deterministic pseudo-random numbers and a 64-bit hash finalizer,
+// the same in every process: SplitMix64 (Steele, Lea and Flood, 2014).
 package mixer
 
-// gamma is the increment of SplitMix64.
+// gamma is the increment of SplitMix64's state.
 const gamma = 0x9e3779b97f4a7c15
 
-// Mix returns a number that looks random and that z determines.
+// Mix hashes z. It returns the number that SplitMix64 generates from state z.
 func Mix(z uint64) uint64 {
 	z += gamma
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -16,7 +16,8 @@
 	return z ^ (z >> 31)
 }
 
-// Next returns the next number of the sequence whose state is x.
+// Next returns the next number of the sequence and advances its state x. Any value of x is a
+// valid seed.
 func Next(x *uint64) uint64 {
 	n := Mix(*x)
 	*x += gamma
--- a/pkg/mixer/mixer_test.go
+++ b/pkg/mixer/mixer_test.go
@@ -5,8 +5,7 @@
 
 import "testing"
 
-// TestSequence holds the first numbers from state 0 against those that are
-// published for SplitMix64.
+// TestSequence compares the first numbers from state 0 with those published for SplitMix64.
 func TestSequence(t *testing.T) {
 	x := uint64(0)
 	for i, want := range []uint64{0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f} {
--- a/pkg/roll/board.go
+++ b/pkg/roll/board.go
@@ -23,8 +23,9 @@
 
 // The states of a roll-out. Done and Aborted are final.
 const (
-	Running  State = "running"
-	Paused   State = "paused"
+	Running State = "running"
+	Paused  State = "paused"
+	// Aborting lasts until the withdrawal of the version is in the settings.
 	Aborting State = "aborting"
 	Aborted  State = "aborted"
 	Done     State = "done"
@@ -35,49 +36,53 @@
 
 // The states of a version on one VM.
 const (
+	// Waiting means that no load is in progress.
 	Waiting Load = "waiting"
 	Loading Load = "loading"
-	Loaded  Load = "loaded"
+	// Loaded means that the VM's guard reported the version.
+	Loaded Load = "loaded"
 )
 
-// Target is one VM that must have the version.
+// Target is one VM on which a roll-out loads its version.
 type Target struct {
 	VM    string `json:"vm"`
 	State Load   `json:"state"`
-	// GiveUpAt is when a load that is not reported counts as lost and the VM
-	// waits again.
+	// GiveUpAt is the deadline of a load in progress: if the guard has not
+	// reported the version by then, the target is Waiting again.
 	GiveUpAt time.Time `json:"giveUpAt,omitzero"`
 }
 
-// Rollout is one version on its way.
+// Rollout is the roll-out of one version to a pool, as it is stored.
 type Rollout struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Pool    string `json:"pool"`
 	State   State  `json:"state"`
-	Author  string `json:"author"`
-	Reason  string `json:"reason"`
-	// Waves are the shares of requests, growing to 1.
+	// Author and Reason are those of the operator's order.
+	Author string `json:"author"`
+	Reason string `json:"reason"`
+	// Waves are the shares of requests, 0 to 1, that the version gets in turn. They
+	// increase and end at 1.
 	Waves []float64 `json:"waves"`
-	// Wave counts the waves that are in force; it only grows.
+	// Wave is the number of waves that were begun. It never decreases.
 	Wave int `json:"wave"`
-	// HoldSeconds is how long each wave is held, as the operator gave it.
+	// HoldSeconds is the minimum duration of each wave, set by the operator.
 	HoldSeconds float64 `json:"holdSeconds"`
-	// HoldUntil is when the next wave may begin.
+	// HoldUntil is the earliest time at which the next wave may begin.
 	HoldUntil time.Time `json:"holdUntil,omitzero"`
-	// Targets are the VMs of the pool.
+	// Targets are the live VMs of the pool; Board.Step keeps them up to date.
 	Targets []Target `json:"targets"`
-	// Applied counts the waves whose settings change was accepted; never more
-	// than Wave.
+	// Applied is the number of waves whose settings change was accepted. It is at
+	// most Wave.
 	Applied int `json:"applied"`
-	// ID makes the IDs of the roll-out's settings changes.
+	// ID is the prefix of the IDs of the roll-out's settings changes.
 	ID string `json:"id"`
 }
 
 // Name returns model@version.
 func (r *Rollout) Name() string { return r.Model + "@" + r.Version }
 
-// ended reports whether the roll-out will not change any more.
+// ended reports whether the state of the roll-out is final.
 func (r *Rollout) ended() bool { return r.State == Done || r.State == Aborted }
 
 // loaded reports whether every target has the version.
@@ -85,17 +90,20 @@
 	return !slices.ContainsFunc(r.Targets, func(t Target) bool { return t.State != Loaded })
 }
 
-// Board holds the roll-outs, newest last.
+// Board holds all roll-outs. It is stored as one object.
 type Board struct {
+	// Rollouts are in the order of their start, newest last.
 	Rollouts []Rollout `json:"rollouts"`
-	// LoadsAtOnce bounds the loads under way, over all roll-outs.
+	// LoadsAtOnce is the maximum number of concurrent loads over all roll-outs;
+	// values below 1 count as 1.
 	LoadsAtOnce int `json:"loadsAtOnce"`
 }
 
-// endedKept is how many ended roll-outs a board keeps.
+// maxEndedRollouts is the number of roll-outs above which Start removes the oldest
+// ended ones.
 const endedKept = 20
 
-// find returns the newest roll-out of a version.
+// find returns the newest roll-out of a version, and nil if there is none.
 func (b *Board) find(name string) *Rollout {
 	for i := len(b.Rollouts) - 1; i >= 0; i-- {
 		if b.Rollouts[i].Name() == name {
@@ -105,7 +113,8 @@
 	return nil
 }
 
-// Start adds a roll-out. It returns ErrWaves or ErrExists.
+// Start adds a roll-out in state Running. It returns ErrWaves if r.Waves are not
+// valid and ErrExists if a roll-out of the version has not ended.
 func (b *Board) Start(r Rollout) error {
 	if !growing(r.Waves) {
 		return ErrWaves
@@ -124,6 +133,7 @@
 	return nil
 }
 
+// validWaves reports whether the shares increase from above 0 to exactly 1.
 func growing(waves []float64) bool {
 	last := 0.0
 	for _, w := range waves {
@@ -135,8 +145,9 @@
 	return last == 1
 }
 
-// Order changes the state of a running or paused roll-out to Running, Paused
-// or Aborting. It returns ErrUnknown or ErrEnded.
+// SetState changes the state of the newest roll-out of a version, given as
+// model@version, to Running, Paused or Aborting. It returns ErrUnknown if there is
+// no such roll-out and ErrEnded if it has ended or is being aborted.
 func (b *Board) Order(name string, s State) error {
 	r := b.find(name)
 	if r == nil {
--- a/pkg/roll/evidence.go
+++ b/pkg/roll/evidence.go
@@ -5,69 +5,76 @@
 
 import "math"
 
-// evidence holds the tests of one route, or of all, for a share of bad answers that
-// is higher than the old version's by excess.
+// evidence holds the sequential tests of one route, or of all routes together. They
+// compare two hypotheses about the new version: that its share of bad answers equals
+// the old version's, and that it is higher by excess. A positive log likelihood ratio
+// is evidence against the new version.
 type evidence struct {
-	// oldBad is the decayed share of bad answers of the old version, and oldSeen
-	// how many answers made it.
+	// oldBadShare is the moving average of the old version's share of bad answers, 0
+	// to 1, and oldAnswers the number of its answers.
 	oldBad  float64
 	oldSeen int
-	// sum is the log likelihood ratio since it was last 0, never negative: the
-	// cumulative sum test (Page, 1954), which finds a version bad that turns bad
-	// late. by holds the parts of it that the bad answers of each endpoint made.
+	// cusum is the log likelihood ratio since it was last 0, never negative: the
+	// cumulative sum test (Page, 1954), which also detects a version that turns bad
+	// late. cusumByEndpoint holds the sum's positive terms, those of bad answers, by
+	// endpoint.
 	sum float64
 	by  map[uint32]float64
-	// any is the log likelihood ratio of all answers since the start, and loaded that
-	// of the answers under a load like the old version's, against a share that is
-	// higher by loadedExcess. Neither is below -ratioMost.
+	// llr is the log likelihood ratio of all answers since the start. loadedLLR is that
+	// of the answers under a load like the old version's, against a share that is higher
+	// by loadedExcess. Good answers lower neither below -maxGoodLLR.
 	any, loaded float64
 	// newGood and newBad count the new version's answers.
 	newGood, newBad int
 }
 
 const (
-	// oldFirst is the share of bad answers that an old version is taken to have
-	// before one of its answers was seen, and oldFirstWeight for how many answers
-	// that counts.
+	// priorBadShare is the share of bad answers that an old version is assumed to have
+	// before its first answer, and priorAnswers the number of answers that this prior
+	// counts as.
 	oldFirst       = 0.1
 	oldFirstWeight = 5
-	// oldWeight is how much one answer counts in the old version's share: some
-	// seconds of a small fleet, as what holds up both versions passes in seconds.
+	// minOldWeight is the weight of one answer in the moving average of the old version's
+	// share once many were received. The average covers some seconds of a small fleet's
+	// answers, as disturbances that affect both versions last seconds.
 	oldWeight = 0.01
-	// oldLeast and oldMost bound the share that an old version is taken to have,
-	// so that single failures prove nothing and more of them something.
+	// minOldShare and maxOldShare bound the share that an old version is assumed to have.
+	// Within them single failures of the new version are no proof, and several are.
 	oldLeast, oldMost = 0.03, 0.7
-	// oldEnough is how many answers of the old version on a route let it speak
-	// alone.
+	// minOldAnswers is the number of the old version's answers on a route from which the
+	// route is tested by itself.
 	oldEnough = 10
-	// excess is how much higher the share of a bad version is taken to be: one with 8
-	// bad answers of 100 more than the old one is as likely to be found either way.
+	// excess is how much higher the share of bad answers of a bad version is assumed to
+	// be. A version with 8 bad answers of 100 more than the old one is as likely to be
+	// found bad as not.
 	excess = 0.15
-	// loadedExcess is that of a version which is bad under load, as few answers tell.
+	// loadedExcess is the excess of a version that is bad under load. It is higher, as
+	// few answers are given under that load.
 	loadedExcess = 0.2
-	// convincing is the sum at which a version is bad: odds of about 8,000, as
-	// it is looked at after each of some thousand answers.
+	// badThreshold is the cumulative sum at which a version is bad: odds of about 8,000,
+	// as the sum is tested after each of some thousand answers.
 	convincing = 9
-	// doubtful is the sum from which on a version is not good: odds of 90, as it is
-	// looked at ten times in a second.
+	// doubtfulThreshold is the cumulative sum from which a version is not good: odds of
+	// 90, as the sum is tested ten times a second.
 	doubtful = 4.5
-	// against is the log likelihood ratio of one route from which on a version is not
-	// good: odds of 4 to 5 for a route that may have had few answers.
+	// doubtfulLLR is the log likelihood ratio of one route, or of the answers under load,
+	// above which a version is not good: odds of 4 to 5, as a route may have few answers.
 	against = 1.5
-	// promising is the log likelihood ratio at which a version is fair: odds of 6,
-	// which takes 11 good answers. acquitting is that at which it is good: odds of
-	// 100, if odds of 10 come from 10 good answers under load.
+	// fairLLR is the negated log likelihood ratio at which a version is fair: odds of 6,
+	// which takes 11 good answers. goodLLR is that at which it is good: odds of 100,
+	// provided that the answers under load reach goodLoadedLLR: odds of 10, which takes
+	// 10 good answers.
 	promising        = 1.8
 	acquitting       = 4.6
 	acquittingLoaded = 2.3
-	// ratioMost bounds the evidence for a version that may turn bad late.
+	// maxGoodLLR bounds the evidence in favour of a version, as it may turn bad late.
 	ratioMost = 7
-	// oneMost is how much of a sum one endpoint makes at most: a failing
-	// endpoint alone does not make a version bad.
+	// maxEndpointSum is the part of a cumulative sum that one endpoint contributes at
+	// most: one failing endpoint alone does not make a version bad.
 	oneMost = 5
 )
 
-// old notes n answers of the old version.
+// addOld adds n answers of the old version.
 func (e *evidence) old(bad bool, n int) {
 	x := 0.0
 	if bad {
@@ -82,10 +89,11 @@
 	}
 }
 
-// batchMost bounds the answers of one report that count.
+// maxBatch is the maximum number of answers that one count of a report contributes.
 const batchMost = 2000
 
-// share returns the share of bad answers that the old version is taken to have.
+// oldShare returns the share of bad answers, 0 to 1, that the old version is assumed to
+// have.
 func (e *evidence) share() float64 {
 	if e.oldSeen == 0 {
 		return oldFirst
@@ -93,7 +101,8 @@
 	return min(max(e.oldBad, oldLeast), oldMost)
 }
 
-// good notes n good answers of the new version.
+// addGood adds n good answers of the new version; loaded says that they were given under
+// a load like the old version's.
 func (e *evidence) good(loaded bool, n int) {
 	e.newGood += n
 	old, times := e.share(), float64(min(n, batchMost))
@@ -108,7 +117,8 @@
 	}
 }
 
-// bad notes n bad answers that an endpoint of the new version gave.
+// addBad adds n bad answers of an endpoint of the new version; loaded says that they were
+// given under a load like the old version's.
 func (e *evidence) bad(endpoint uint32, loaded bool, n int) {
 	if n <= 0 {
 		return
@@ -127,8 +137,8 @@
 	e.by[endpoint] += ratio
 }
 
-// oneSided returns by how much the endpoint with the most bad answers makes more of the
-// sum than one endpoint may.
+// endpointOverage returns by how much the contribution of the endpoint with the most bad
+// answers exceeds maxEndpointSum; 0 if it does not.
 func (e *evidence) oneSided() float64 {
 	most := 0.0
 	for _, ratio := range e.by {
--- a/pkg/roll/interleave_test.go
+++ b/pkg/roll/interleave_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// stored is the object that holds a trial: a write succeeds only on the revision that was
+// storedTrial is the object that holds a trial. A write succeeds only at the revision that was
 // read.
 type stored struct{ trial Trial }
 
@@ -22,13 +22,13 @@
 	return true
 }
 
-// process is a router that takes steps of a trial. Its view may be old.
+// process is a router that takes steps of a trial. Its view may be stale.
 type process struct {
 	view   Trial
 	stepAt time.Time
-	// late is a write whose answer was lost and that is done later; nil for none.
+	// late is a write that is delayed in transit and applied later; nil for none.
 	late *Trial
-	// bad is when this process finds the version bad.
+	// bad is when this process finds the version bad; zero for never.
 	bad time.Time
 }
 
@@ -39,8 +39,8 @@
 	p.view = s.trial
 }
 
-// step takes the next step if there is one; the write may be lost, late, or done without
-// an answer.
+// step takes the next step if one is due. The write may be lost or delayed. The process does
+// not learn whether it succeeded.
 func (p *process) step(s *stored, now time.Time, rnd *rand.Rand, v Verdict) {
 	if !p.bad.IsZero() && !now.Before(p.bad) {
 		v = Bad
@@ -50,7 +50,7 @@
 		return
 	}
 	switch rnd.IntN(5) {
-	case 0: // lost on the way
+	case 0: // The write is lost.
 	case 1:
 		p.late = &next
 	default:
@@ -58,10 +58,9 @@
 	}
 }
 
-// TestInterleavedSteps lets processes with old views take steps in drawn order, with writes
-// that are lost or late, and kills. Whatever comes first: a trial ends once, its steps only
-// grow by one, and a version that somebody found bad before its end and nobody good is never
-// proven.
+// TestInterleavedSteps lets processes with stale views take steps in random order, with lost
+// and delayed writes and restarts. In any order a trial ends once, its step grows by one at a
+// time, and a version that no process found good is never proven.
 func TestInterleavedSteps(t *testing.T) {
 	const whole = 20 * time.Second
 	for seed := range uint64(3000) {
@@ -84,7 +83,7 @@
 				verdict = []Verdict{Fair, Good}[rnd.IntN(2)]
 			}
 			switch rnd.IntN(8) {
-			case 0: // A kill loses what the process knew; it reads the store when it starts.
+			case 0: // A restart loses the process's state; it reads the store when it starts.
 				*p = process{bad: p.bad}
 				p.read(s, now)
 			case 1:
--- a/pkg/roll/judge.go
+++ b/pkg/roll/judge.go
@@ -5,63 +5,69 @@
 
 import "time"
 
-// Verdict is what the evidence says of a new version.
+// Verdict is the result of comparing a new version with the old one.
 type Verdict int
 
 // The verdicts. Bad is final; the others may change with each answer.
 const (
-	// Unknown is the verdict on too little evidence, Doubtful that on mixed evidence.
+	// Unknown means too little evidence, Doubtful contradictory evidence.
 	Unknown Verdict = iota
 	Doubtful
-	// Fair is that on a version that is as good as the old one under a lighter
-	// load than the old one had.
+	// Fair means that the version is as good as the old one, under a lighter load than
+	// the old one had.
 	Fair
-	// Good is that on a version that is as good as the old one under its load.
+	// Good means that the version is as good as the old one under the old one's load.
 	Good
-	// Bad is that on a version that is worse.
+	// Bad means that the version is worse than the old one.
 	Bad
 )
 
-// String returns the verdict's name.
+// String returns the verdict's name in lower case.
 func (v Verdict) String() string { return [...]string{"unknown", "doubtful", "fair", "good", "bad"}[v] }
 
-// Judge weighs the answers of a new version against those of the old one, route by
-// route and over all, by two sequential tests: a cumulative sum finds a version bad
-// and a log likelihood ratio finds it good. Answers that other processes saw come in
-// by their reports. The zero value is ready for use.
+// Judge compares the answers of a new version with those of the old one, by route and
+// over all routes, using two sequential tests: a cumulative sum detects a bad version
+// and a log likelihood ratio confirms a good one. Answers that other processes received
+// are merged from their reports. The zero value is ready for use. A Judge is not safe
+// for concurrent use.
 type Judge struct {
-	// Endpoints is how many endpoints the new version has: of a single one it cannot
-	// be told whether it or the version fails.
+	// Endpoints is the number of endpoints of the new version; the caller keeps it up to
+	// date. With a single endpoint, a failure of the endpoint cannot be told from one of
+	// the version.
 	Endpoints int
 	routes    map[uint32]*evidence
-	// all is the evidence over all routes.
+	// overall is the evidence over all routes.
 	all evidence
-	// own is what this process saw; heard is what each life of another one told
-	// last, and requests and exposed are the sums of all their requests.
+	// own holds the counts of this process, and received the last report of each process
+	// by Report.Reporter. requests and exposed are the sums of Requests and Exposed over
+	// own and received.
 	own               Report
 	heard             map[uint64]Report
 	requests, exposed int
-	bad               bool
+	// bad is set once the version was found bad and never cleared.
+	bad bool
 }
 
-// heardMost bounds the lives of processes whose reports are kept, some hundred bytes each: four
-// lives each of 370 routers, which is as often as they can be stopped in turn within a trial.
+// maxReporters bounds the processes whose reports are kept, some hundred bytes each. Each
+// restart of a router counts as a process of its own: 1,480 are four restarts each of 370
+// routers, as many as can be made one after another within a trial.
 const heardMost = 1480
 
-// Answer is an answer as evidence.
+// Answer is one answer, or one aspect of an answer, as evidence.
 type Answer struct {
-	// Route is made by RouteOf or AspectOf, Endpoint is a hash of its name.
+	// Route is made by RouteOf or AspectOf; Endpoint is a hash of the endpoint's name.
 	Route, Endpoint uint32
-	// New says that the new version gave the answer.
+	// New says that the new version gave the answer, not the old one.
 	New bool
-	// Bad says that it failed or came later than was to be expected.
+	// Bad says that the answer was a failure or later than expected.
 	Bad bool
-	// Loaded says that an endpoint of the new version bore a load like the old
-	// version's.
+	// Loaded says that the new version's endpoint had a load like that of the old
+	// version's endpoints.
 	Loaded bool
 }
 
-// Sent notes a request to the service.
+// AddRequest counts a request that this process sent to the service; isNew says that it
+// was sent to the new version.
 func (j *Judge) Sent(isNew bool) {
 	j.own.Requests++
 	j.requests++
@@ -71,7 +77,7 @@
 	}
 }
 
-// Add takes in an answer that this process saw.
+// Add adds an answer that this process received.
 func (j *Judge) Add(a Answer) {
 	row := j.own.row(a.Route)
 	c := j.own.counts(row)
@@ -97,11 +103,14 @@
 	j.conclude()
 }
 
-// Own returns what this process saw. It is valid until the next call of Add or Sent.
+// LocalReport returns the counts of this process, without Trial and Reporter. The report
+// shares memory with j and is valid until the next call of Add or AddRequest.
 func (j *Judge) Own() Report { return j.own }
 
-// Hear takes in what another process has seen since its last report. Reports that
-// come late, twice or not at all do no harm: each holds all that its process saw.
+// Merge adds what another process counted since its last merged report. Late, repeated
+// and lost reports do no harm, as each report holds all counts of its process. Merge
+// ignores a report with a count below that of the last one, and reports of new processes
+// beyond maxReporters.
 func (j *Judge) Hear(r Report) {
 	was, ok := j.heard[r.Teller]
 	if !ok && len(j.heard) >= heardMost || ok && !r.follows(&was) {
@@ -128,10 +137,11 @@
 	j.conclude()
 }
 
-// routesKept bounds the routes of a Judge, some hundred bytes each; beyond them, a route's
-// evidence counts over all routes alone.
+// maxJudgedRoutes bounds the routes and aspects of a Judge, some hundred bytes each. The
+// evidence of further ones counts only in the overall evidence.
 const routesKept = 256
 
+// evidenceFor returns the evidence of a route or an aspect, and creates it if needed.
 func (j *Judge) of(route uint32) *evidence {
 	e, ok := j.routes[route]
 	if !ok && len(j.routes) >= routesKept {
@@ -147,16 +157,17 @@
 	return e
 }
 
-// aspectBit marks what is an aspect of answers, not a route.
+// aspectBit is set in the IDs of aspects and cleared in those of routes.
 const aspectBit uint32 = 1 << 31
 
-// RouteOf returns what stands for a route, by the hash of its name.
+// RouteOf returns the ID of a route, given the hash of its name.
 func RouteOf(hash uint64) uint32 { return uint32(hash) &^ aspectBit }
 
-// AspectOf returns what stands for an aspect of answers which is compared between the
-// versions beside the routes, by the hash of its name. An answer that is looked at in
-// several ways is still one answer: good aspects are evidence on their own row alone, bad ones
-// over all routes too, so that an answer is good over all if all of it is.
+// AspectOf returns the ID of an aspect, given the hash of its name. An aspect is a
+// property of answers, such as the pace of a stream, that is compared between the versions
+// in addition to the routes. Several aspects of one answer are not independent: good ones
+// are evidence for their aspect only, bad ones also count in the overall evidence, so that
+// an answer is good overall only if all its aspects are.
 func AspectOf(hash uint64) uint32 { return uint32(hash) | aspectBit }
 
 func isAspect(route uint32) bool { return route&aspectBit != 0 }
@@ -180,17 +191,19 @@
 	j.all.bad(endpoint, loaded, n)
 }
 
-// conclude finds the version bad if the evidence suffices.
+// updateBad sets bad once the evidence reaches badThreshold.
 func (j *Judge) conclude() { j.bad = j.bad || j.Sum() >= convincing }
 
-// Bad reports whether the version was found bad; it never goes back.
+// Bad reports whether the version was found bad. Once true, it stays true.
 func (j *Judge) Bad() bool { return j.bad }
 
-// Sum returns the strongest evidence against the version.
+// MaxSum returns the highest cumulative sum of the log likelihood ratio, over all routes
+// together and over each route with enough answers of the old version: the strongest
+// evidence against the new version.
 func (j *Judge) Sum() float64 {
 	most := j.guilt(&j.all)
 	for _, e := range j.routes {
-		// A route that the old version hardly served says nothing alone.
+		// With few answers of the old version there is nothing to compare with.
 		if e.oldSeen >= oldEnough {
 			most = max(most, j.guilt(e))
 		}
@@ -198,11 +211,12 @@
 	return most
 }
 
-// guilt returns the evidence against the version, without what may be the fault of one
-// endpoint.
+// adjustedSum returns the cumulative sum without the part that a single failing endpoint
+// may have caused.
 func (j *Judge) guilt(e *evidence) float64 { return max(e.sum-j.excused(e), 0) }
 
-// excused returns how much of the evidence may be the fault of one endpoint.
+// endpointDiscount returns the part of the evidence that a single failing endpoint may
+// have caused; 0 if the version has only one endpoint.
 func (j *Judge) excused(e *evidence) float64 {
 	if j.Endpoints == 1 {
 		return 0
@@ -210,7 +224,7 @@
 	return e.oneSided()
 }
 
-// Verdict returns what the evidence says.
+// Verdict returns the verdict on the present evidence.
 func (j *Judge) Verdict() Verdict {
 	switch {
 	case j.bad:
@@ -226,12 +240,12 @@
 	}
 }
 
-// ratio returns the log likelihood ratio over all routes, without what may be the fault of
-// one endpoint.
+// adjustedLLR returns the log likelihood ratio over all routes, without the part that a
+// single failing endpoint may have caused.
 func (j *Judge) ratio() float64 { return j.all.any - j.excused(&j.all) }
 
-// speaksAgainst reports whether the evidence under load, or that of any route which the old
-// version served, is clearly against the version.
+// llrDoubtful reports whether the log likelihood ratio of the answers under load, or that
+// of any route with enough answers of the old version, exceeds doubtfulLLR.
 func (j *Judge) speaksAgainst() bool {
 	if j.all.loaded > against {
 		return true
@@ -244,22 +258,22 @@
 	return false
 }
 
-// Exposed returns how many requests the new version got of how many, over all
-// processes that were heard of.
+// Exposed returns the number n of requests sent to the new version, of the number of
+// requests to the service, over this process and those whose reports were merged.
 func (j *Judge) Exposed() (n, of int) { return j.exposed, j.requests }
 
 const (
-	// slower is how many times the usual time makes an answer a slow one. Of the old
-	// version's answers, up to a tenth take as long; they count as bad too, so that what
-	// holds up both versions convicts neither.
+	// slowFactor is the multiple of the usual time beyond which an answer is slow. Up to a
+	// tenth of the old version's answers take as long. They count as bad as well, so that
+	// a disturbance of both versions is no evidence against either.
 	slower = 1.75
-	// slowLeast is how much longer it takes at least: less is the jitter of busy
-	// processes.
+	// minSlowDelay is how much longer than usual a slow answer takes at least: less is the
+	// jitter of busy processes.
 	slowLeast = 10 * time.Millisecond
 )
 
-// Slow reports whether a time is beyond what the old version usually needs; never where
-// that is not known.
+// Slow reports whether d is longer than an answer of the old version usually takes. It
+// returns false if the usual time is unknown, that is 0.
 func Slow(d, usual time.Duration) bool {
 	return usual > 0 && d > usual+slowLeast && float64(d) > slower*float64(usual)
 }
--- a/pkg/roll/judge_test.go
+++ b/pkg/roll/judge_test.go
@@ -8,17 +8,18 @@
 	"testing"
 )
 
-// case of a version: the shares of bad answers of the old and the new version, the
-// endpoints that give the new one's bad answers, and whether these bear the old load.
+// scenario holds the shares of bad answers of the old and the new version, the number of
+// endpoints that give the new one's bad answers, and whether the new version's endpoints have
+// the old version's load.
 type version struct {
 	oldBad, newBad float64
 	endpoints      int
 	loaded         bool
 }
 
-// judged lets routers see 300 answers of the old and 100 of the new version, all told
-// each other, and returns the last verdict and after how many answers of the new version
-// it was found bad.
+// runJudges gives routers, which exchange reports, up to 300 answers of the old and 100 of the
+// new version. It returns the last verdict and, for a bad version, the number of its answers
+// when it was found bad.
 func judged(seed uint64, v version, routers int) (verdict Verdict, after int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	js := make([]Judge, routers)
@@ -56,8 +57,8 @@
 	for _, c := range []struct {
 		name string
 		version
-		// most is after how many answers a bad version is found at the latest, wrong
-		// how many verdicts of 100 may be others at that moment.
+		// most is the number of the new version's answers by which it must be found bad, and
+		// wrong the number of runs of 100 that may miss this or end with another verdict.
 		most, wrong int
 		want        Verdict
 	}{
@@ -84,13 +85,14 @@
 				t.Errorf("%s, %d routers: got %d verdicts of 100 that are not %v, want at most %d", c.name, routers, wrong, c.want, c.wrong)
 			}
 			if c.want != Bad && convicted > 2 {
-				t.Errorf("%s, %d routers: got %d convictions of 100, want at most 2", c.name, routers, convicted)
+				t.Errorf("%s, %d routers: found bad in %d runs of 100, want at most 2", c.name, routers, convicted)
 			}
 		}
 	}
 }
 
-// Old answers alone, and too few of a new version, prove nothing.
+// TestJudgeWithoutEvidence checks that answers of the old version with too few of the new one
+// give no verdict.
 func TestJudgeWithoutEvidence(t *testing.T) {
 	var j Judge
 	for range 100 {
@@ -104,8 +106,8 @@
 	}
 }
 
-// TestReportsMayBeLostAndComeTwice lets a judge hear reports in a drawn order, some of
-// them not at all and some again, and the last one: it knows what the teller knows.
+// TestMergeLostAndRepeatedReports merges reports in random order, some of them repeatedly and
+// some not at all, and finally the last one: the counts must equal the reporter's.
 func TestReportsMayBeLostAndComeTwice(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
@@ -134,7 +136,8 @@
 	}
 }
 
-// A report that holds more than one may is left out.
+// TestReportIsBounded checks that a report keeps its bounds with more routes and endpoints than
+// it has room for: a report beyond them is not sent.
 func TestReportIsBounded(t *testing.T) {
 	var j Judge
 	for i := range uint32(100) {
@@ -146,8 +149,9 @@
 	}
 }
 
-// An answer that is looked at in several ways is one answer: its good aspects prove a version
-// no sooner, while one bad aspect in four answers convicts it.
+// TestAspectsOfOneAnswer checks that several aspects of an answer count as one answer: good ones
+// do not make a version good any sooner, while one bad aspect in every fourth answer makes it
+// bad.
 func TestAspectsOfOneAnswer(t *testing.T) {
 	aspects := []uint32{AspectOf(1), AspectOf(2), AspectOf(3)}
 	answers := func(n int, badAspect func(i int) bool) *Judge {
@@ -163,18 +167,19 @@
 	}
 	sound := func(int) bool { return false }
 	if got := answers(14, sound).Verdict(); got == Good {
-		t.Errorf("after 14 good answers: got %v, want less, as for answers looked at in one way", got)
+		t.Errorf("after 14 good answers: got %v, want a lower verdict, as without aspects", got)
 	}
 	if got := answers(40, sound).Verdict(); got != Good {
 		t.Errorf("after 40 good answers: got %v, want %v", got, Good)
 	}
 	if got := answers(60, func(i int) bool { return i%4 == 0 }).Verdict(); got != Bad {
-		t.Errorf("one aspect bad in four answers: got %v, want %v", got, Bad)
+		t.Errorf("one aspect bad in every fourth answer: got %v, want %v", got, Bad)
 	}
 }
 
-// A version that is bad on one route of many is found bad by who sees it, and by reports though
-// they have no row for each route; aspects have rows however many routes there are.
+// TestBadOnOneRouteOfMany checks that a version that is bad on one route of many is found bad by
+// the process that received its answers, and by others from a report that has no row for each
+// route. Aspects have rows whatever the number of routes.
 func TestBadOnOneRouteOfMany(t *testing.T) {
 	judges := func(routes int) (teller, hearer Judge) {
 		for i := range 60 {
@@ -195,14 +200,15 @@
 		return teller, hearer
 	}
 	if teller, _ := judges(40); teller.Verdict() != Bad {
-		t.Errorf("who sees the bad one of 40 routes: got %v, want %v", teller.Verdict(), Bad)
+		t.Errorf("reporter, one bad route of 40: got %v, want %v", teller.Verdict(), Bad)
 	}
 	if _, hearer := judges(RoutesMost + 2); hearer.Verdict() != Bad {
-		t.Errorf("who hears of the bad one of %d routes: got %v, want %v", RoutesMost+2, hearer.Verdict(), Bad)
+		t.Errorf("receiver, one bad route of %d: got %v, want %v", RoutesMost+2, hearer.Verdict(), Bad)
 	}
 }
 
-// The evidence of many routers that were restarted meanwhile counts: of 370 routers, twice.
+// TestMergeManyReporters checks that the reports of 370 routers that were all restarted once are
+// merged.
 func TestManyLivesAreHeard(t *testing.T) {
 	var j Judge
 	for life := range uint64(740) {
--- a/pkg/roll/report.go
+++ b/pkg/roll/report.go
@@ -5,29 +5,31 @@
 
 import "slices"
 
-// Report is what one process has seen of a trial since it began: counts that only
-// grow, so that of two reports of one life the later one has all that the earlier
-// one had.
+// Report holds what one process counted of a trial since it first knew the trial. Counts
+// never decrease, so that of two reports of one process the later one contains the earlier
+// one.
 type Report struct {
-	// Trial is the hash of service and version.
+	// Trial is a hash of the service and the version; the sender sets it.
 	Trial uint64
-	// Teller names one life of a process.
+	// Reporter identifies the process; it is new with each restart. The sender sets it.
 	Teller uint64
-	// Requests counts what was sent to the service, and Exposed what of it was
+	// Requests is the number of requests sent to the service, Exposed the number of these
 	// sent to the new version.
 	Requests, Exposed uint32
-	// Routes holds at most RoutesMost routes and AspectsMost aspects, Faults at most
-	// FaultsMost.
+	// Routes has at most MaxRoutes routes and MaxAspects aspects, Faults at most MaxFaults
+	// entries.
 	Routes []RouteCounts
 	Faults []Fault
 }
 
-// RouteCounts are the answers of one route, but for the bad ones of the new version.
+// RouteCounts counts the answers of one route or aspect, except the bad ones of the new
+// version, which FaultCounts counts.
 type RouteCounts struct {
 	// Route is as in an Answer.
 	Route uint32
-	// OldGood and OldBad are the old version's answers, Good and Light the new
-	// one's good ones under a load like the old version's and under a lighter one.
+	// OldGood and OldBad count the old version's answers. NewGood and NewGoodLight count
+	// the new version's good ones, under a load like the old version's and under a lighter
+	// one.
 	OldGood, OldBad, Good, Light uint32
 }
 
@@ -35,11 +37,14 @@
 	return c.OldGood >= was.OldGood && c.OldBad >= was.OldBad && c.Good >= was.Good && c.Light >= was.Light
 }
 
-// Fault counts the bad answers of the new version on a route at an endpoint: under a load
-// like the old version's, and under a lighter one.
+// FaultCounts counts the bad answers of one endpoint of the new version on one route or
+// aspect.
 type Fault struct {
+	// Route and Endpoint are as in an Answer.
 	Route, Endpoint uint32
-	Loaded, Light   uint32
+	// Loaded counts the answers under a load like the old version's, Light those under a
+	// lighter one.
+	Loaded, Light uint32
 }
 
 func (f *Fault) count(loaded bool) {
@@ -50,8 +55,9 @@
 	}
 }
 
-// Bounds of a report: with 20 bytes for each row and 16 for each fault it fits into one
-// datagram. The last row of routes stands for all that have none of their own.
+// Bounds of a report. With 20 bytes for each row and 16 for each fault it fits into one
+// datagram. A row is an entry of Report.Routes; the last one of the routes and of the
+// aspects holds all those without a row of their own.
 const (
 	RoutesMost  = 16
 	AspectsMost = 4
@@ -59,15 +65,16 @@
 	FaultsMost  = 40
 )
 
-// otherRoutes stands for the routes, and otherAspects for the aspects, without a row.
+// otherRoutes is the ID of the row of all routes without a row of their own, otherAspects
+// that of the aspects.
 const (
 	otherRoutes  = aspectBit - 1
 	otherAspects = aspectBit | otherRoutes
 )
 
-// row returns what stands for a route or an aspect in a report: itself if it has a row or
-// there is room for one, else all others. Evidence is pooled where there is no room, never
-// left out.
+// row returns the ID of the row in which a route or an aspect is counted: its own if it
+// has one or there is room for one, else that of all others. Without room, counts are
+// pooled rather than dropped.
 func (r *Report) row(route uint32) uint32 {
 	most, others := RoutesMost, otherRoutes
 	if isAspect(route) {
@@ -88,7 +95,7 @@
 	return others
 }
 
-// counts returns the counts of a row.
+// countsFor returns the counts of a row, which it adds if needed.
 func (r *Report) counts(row uint32) *RouteCounts {
 	for i := range r.Routes {
 		if r.Routes[i].Route == row {
@@ -99,8 +106,8 @@
 	return &r.Routes[len(r.Routes)-1]
 }
 
-// fault counts a bad answer; where there is no room for another endpoint, it counts
-// as the last one's.
+// addFault counts a bad answer of the new version. Without room for another entry, it
+// counts in the last one.
 func (r *Report) fault(route, endpoint uint32, loaded bool) {
 	for i := range r.Faults {
 		if f := &r.Faults[i]; f.Route == route && f.Endpoint == endpoint {
@@ -114,6 +121,7 @@
 	r.Faults[len(r.Faults)-1].count(loaded)
 }
 
+// countsOf returns the counts of a row, and zeros if there is none.
 func (r *Report) countsOf(route uint32) RouteCounts {
 	if i := slices.IndexFunc(r.Routes, func(c RouteCounts) bool { return c.Route == route }); i >= 0 {
 		return r.Routes[i]
@@ -121,6 +129,7 @@
 	return RouteCounts{Route: route}
 }
 
+// faultsOf returns the bad answers of an endpoint on a row, and zeros if there are none.
 func (r *Report) faultOf(route, endpoint uint32) Fault {
 	for _, f := range r.Faults {
 		if f.Route == route && f.Endpoint == endpoint {
@@ -130,7 +139,8 @@
 	return Fault{Route: route, Endpoint: endpoint}
 }
 
-// follows reports whether no count is below an earlier report's.
+// follows reports whether r keeps the bounds of a report and no count is below that of an
+// earlier report.
 func (r *Report) follows(was *Report) bool {
 	if r.Requests < was.Requests || r.Exposed < was.Exposed || len(r.Routes) > RowsMost || len(r.Faults) > FaultsMost {
 		return false
@@ -148,7 +158,7 @@
 	return true
 }
 
-// Copy returns a copy that shares nothing with r.
+// Copy returns a deep copy of r.
 func (r *Report) Copy() Report {
 	c := *r
 	c.Routes, c.Faults = slices.Clone(r.Routes), slices.Clone(r.Faults)
--- a/pkg/roll/past.go
+++ b/pkg/roll/retired.go
@@ -5,19 +5,21 @@
 
 import "slices"
 
-// Past holds the versions of a service that were rolled back, given up or replaced, the newest
-// first: endpoints may be listed for long after that, and none of these versions may get
-// requests again unless a roll-out of it is ordered. The zero value holds none.
+// Retired holds the versions of a service that were rolled back, abandoned or replaced,
+// newest first. Endpoints of such versions may be listed long afterwards and must get no
+// requests, unless a new roll-out of the version is ordered. The zero value holds none;
+// unused elements are empty.
 type Past [pastMost]string
 
-// pastMost bounds the versions that are remembered: endpoints of the third last roll-out are
-// gone for sure.
+// maxRetired bounds the versions that are kept: endpoints of the third last roll-out are
+// certainly gone.
 const pastMost = 6
 
-// Has reports whether a version is among them.
+// Has reports whether the version is retired.
 func (p Past) Has(version string) bool { return version != "" && slices.Contains(p[:], version) }
 
-// With returns p with a version as its newest one.
+// With returns p with version as its newest one; the oldest is dropped if there is no
+// room. It returns p itself for an empty version.
 func (p Past) With(version string) Past {
 	if version == "" {
 		return p
@@ -28,7 +30,7 @@
 	return next
 }
 
-// Without returns p without a version.
+// Without returns p without version.
 func (p Past) Without(version string) Past {
 	var next Past
 	n := 0
@@ -41,7 +43,7 @@
 	return next
 }
 
-// List returns the versions.
+// List returns the versions, newest first.
 func (p Past) List() (list []string) {
 	for _, v := range p {
 		if v != "" {
@@ -51,7 +53,7 @@
 	return list
 }
 
-// PastOf returns what List returned.
+// RetiredOf is the inverse of Retired.List.
 func PastOf(list []string) (p Past) {
 	for _, v := range slices.Backward(list) {
 		p = p.With(v)
--- a/pkg/roll/past_test.go
+++ b/pkg/roll/retired_test.go
@@ -18,20 +18,21 @@
 		t.Errorf("after ten versions: got %v, want %v", got, want)
 	}
 	if got, want := p.With("v6").List(), []string{"v6", "v9", "v8", "v7", "v5", "v4"}; !slices.Equal(got, want) {
-		t.Errorf("one that is there: got %v, want %v", got, want)
+		t.Errorf("with a version again: got %v, want %v", got, want)
 	}
 	if got, want := p.Without("v8").List(), []string{"v9", "v7", "v6", "v5", "v4"}; !slices.Equal(got, want) {
-		t.Errorf("without one: got %v, want %v", got, want)
+		t.Errorf("without a version: got %v, want %v", got, want)
 	}
 	if got := PastOf(p.List()); got != p {
-		t.Errorf("read back: got %v, want %v", got, p)
+		t.Errorf("from the list: got %v, want %v", got, p)
 	}
 	if p.Has("") || !p.Has("v4") || p.Has("v3") {
-		t.Errorf("has: got %v, %v, %v, want only v4 of empty, v4, v3", p.Has(""), p.Has("v4"), p.Has("v3"))
+		t.Errorf("Has of empty, v4, v3: got %v, %v, %v, want true for v4 only", p.Has(""), p.Has("v4"), p.Has("v3"))
 	}
 }
 
-// What serves on when the next version is ordered depends on how the last roll-out ended.
+// TestSuccessor checks which versions are retired when the next one is ordered, by the state of
+// the last trial.
 func TestOrderedAfter(t *testing.T) {
 	for _, c := range []struct {
 		state TrialState
@@ -46,7 +47,7 @@
 		last := Trial{Service: "s", Version: "v2", State: c.state, Step: 3, Past: PastOf([]string{"v1"})}
 		got := last.Ordered(c.order)
 		if got.State != Ordered || got.Step != 0 || got.Version != c.order || !slices.Equal(got.Past.List(), c.want) {
-			t.Errorf("%s after %s: got %+v, want past %v", c.order, c.state, got, c.want)
+			t.Errorf("%s after %s: got %+v, want %v retired", c.order, c.state, got, c.want)
 		}
 	}
 }
--- a/pkg/roll/roll_test.go
+++ b/pkg/roll/roll_test.go
@@ -22,16 +22,18 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// world is what the steps of several processes act on: one object, VMs that load
-// and lose versions, and settings.
+// world is the state that several processes share: the stored board, VMs that load and lose a
+// version, and the version's share in the settings.
 type world struct {
 	t *rapid.T
-	// written holds every version of the board.
+	// written holds every stored revision of the board, encoded.
 	written [][]byte
 	now     time.Time
 	vms     []string
-	has     map[string]bool
-	share   float64
+	// has holds the VMs that have the version.
+	has map[string]bool
+	// share is the version's share of requests in the settings.
+	share float64
 }
 
 const loadsMost = 2
@@ -44,7 +46,7 @@
 	}
 }
 
-// write puts a board that was read at a version, unless another process has
+// write stores a board that was read at a revision. It returns false if another process has
 // written since.
 func (w *world) write(b *Board, read int) bool {
 	if read != len(w.written)-1 {
@@ -58,8 +60,9 @@
 	return true
 }
 
-// process is one that continues roll-outs from a board that it may have read
-// long ago, and may be interrupted before each thing it does.
+// process takes a step from the board of revision read, which may be stale. interrupt is the
+// number of its actions, 0 to 3, after which it stops: store the step, send the orders and
+// change the settings, record the change.
 func (w *world) process(read, interrupt int) {
 	var b Board
 	if err := json.Unmarshal(w.written[read], &b); err != nil {
@@ -82,7 +85,7 @@
 		return
 	}
 	for _, o := range plan.Orders {
-		if read == len(w.written)-1 { // else a guard refuses the old fence
+		if read == len(w.written)-1 { // Otherwise the guard refuses the old fencing token.
 			w.has[o.VM] = true
 		}
 	}
@@ -108,13 +111,13 @@
 		}
 	}
 	if n := after.loading(); n > loadsMost {
-		w.t.Fatalf("%d loads at a time", n)
+		w.t.Fatalf("got %d loads at once", n)
 	}
 }
 
-// TestInterrupted lets processes continue a roll-out and be interrupted at any
-// point, while VMs lose the version: it ends, step by step, and never loads
-// more at a time than allowed.
+// TestInterrupted runs a roll-out in processes with stale boards that are interrupted at any
+// point, while VMs lose the version. The roll-out must go wave by wave, exceed the limit of
+// concurrent loads at no time, and end.
 func TestInterrupted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, now: begin, has: make(map[string]bool)}
--- a/pkg/roll/step.go
+++ b/pkg/roll/step.go
@@ -9,47 +9,51 @@
 	"time"
 )
 
-// Facts are what a process knows when it takes a step.
+// StepInput is the state that a process observes when it takes a step.
 type Facts struct {
 	// Now is the time.
 	Now time.Time
-	// VMs lists the live VMs of each pool.
+	// VMs lists the live VMs by pool. The targets of a pool that is missing are left as
+	// they are.
 	VMs map[string][]string
-	// Has reports whether a VM's guard says that it has a version; known is
-	// false if this process has no word of the VM.
+	// HasVersion reports whether the guard of a VM reports that the VM has a version;
+	// known is false if this process has no report of the VM.
 	Has func(vm, version string) (has, known bool)
-	// LoadWithin returns when a load that begins now counts as lost.
+	// GiveUpAt returns the deadline of a load that begins now.
 	LoadWithin func(now time.Time) time.Time
 }
 
-// Change is a change of settings that a step asks for.
+// Change is a change of the settings that a roll-out requires.
 type Change struct {
-	// ID names the change, so that it is made once.
+	// ID identifies the change. It is the same in every process, so that the change is
+	// applied once.
 	ID             string
 	Model, Version string
-	// Share is the version's new share of requests; Withdraw withdraws it
-	// instead.
+	// Share is the version's new share of requests, 0 to 1. It does not count if Withdraw
+	// is set, which withdraws the version.
 	Share    float64
 	Withdraw bool
-	Reason   string
+	// Reason is written to the history of the settings.
+	Reason string
 }
 
-// Order is a load that a step asks for; it carries the version of the board's
-// object as its fence.
+// LoadOrder is an order to a VM to load a version. It is sent with the version of the
+// board's object as its fencing token.
 type Order struct {
 	VM, Model, Version string
 }
 
-// Plan is what has to be done once the board is written.
+// Plan is the result of a step. If Changed is set, the board must be stored before any
+// order is sent.
 type Plan struct {
-	// Changed says that the board differs and must be written first.
+	// Changed says that the step changed the board.
 	Changed bool
 	Orders  []Order
 }
 
-// Step moves every roll-out on as far as the facts allow, in place. Orders are
-// repeated for loads that are under way and not reported yet; they are
-// harmless when they come twice.
+// Step advances every roll-out as far as the input allows and updates b in place. The
+// plan has an order for each load that is in progress and not reported yet, also if a
+// former step had it: orders are idempotent.
 func (b *Board) Step(f *Facts) Plan {
 	var p Plan
 	loads := 0
@@ -72,6 +76,7 @@
 	return p
 }
 
+// loading returns the number of targets whose load is in progress.
 func (r *Rollout) loading() int {
 	n := 0
 	for _, t := range r.Targets {
@@ -82,7 +87,7 @@
 	return n
 }
 
-// follow brings the targets in step with the VMs and with what guards report.
+// syncTargets makes the targets those of the live VMs, in the states that guards report.
 func (r *Rollout) follow(f *Facts, p *Plan) {
 	live := f.VMs[r.Pool]
 	if live == nil {
@@ -105,8 +110,9 @@
 	}
 }
 
-// next returns the target as the facts have it: loaded once it is reported, and
-// waiting again if a load was lost or a loaded VM was replaced.
+// next returns the target in its observed state: Loaded once its guard reports the
+// version, and Waiting again if a load is past its deadline or a loaded VM no longer has
+// the version, as after its replacement.
 func (t Target) next(f *Facts, version string) Target {
 	has, known := f.Has(t.VM, version)
 	switch {
@@ -121,8 +127,8 @@
 	}
 }
 
-// begin starts loads while there is room for them, and returns how many are
-// under way.
+// startLoads starts loads of waiting targets up to maxLoads over all roll-outs. loads is
+// the number of loads in progress before, the result that after it.
 func (r *Rollout) begin(f *Facts, loads, most int, p *Plan) int {
 	for i := range r.Targets {
 		if r.Targets[i].State != Waiting || loads >= most {
@@ -136,7 +142,7 @@
 	return loads
 }
 
-// order repeats the orders of loads under way.
+// addOrders adds the orders of the loads in progress to the plan.
 func (r *Rollout) order(p *Plan) {
 	if r.State != Running {
 		return
@@ -148,8 +154,8 @@
 	}
 }
 
-// advance begins the next wave once every target has the version and the last
-// wave was held long enough.
+// advance begins the next wave, or ends the roll-out after its last wave, once every
+// target has the version, the last wave is applied and its hold time is over.
 func (r *Rollout) advance(f *Facts, p *Plan) {
 	if !r.loaded() || len(r.Targets) == 0 || r.Applied < r.Wave || f.Now.Before(r.HoldUntil) {
 		return
@@ -163,9 +169,9 @@
 	p.Changed = true
 }
 
-// Wanted returns the settings change that the state of a roll-out asks for, and
-// false if it asks for none. Whichever process comes first makes it: its ID is
-// the same for all, so that it is made once.
+// PendingChange returns the settings change that the roll-out requires in its present
+// state, and false if it requires none. Any process may apply it: the ID is the same in
+// all of them, so that it is applied once.
 func (r *Rollout) Wanted() (Change, bool) {
 	c := Change{Model: r.Model, Version: r.Version, Reason: fmt.Sprintf("roll-out of %s: %s", r.Name(), r.Reason)}
 	switch {
@@ -187,8 +193,9 @@
 	return "rollout-" + r.ID + "-" + what
 }
 
-// Accepted notes that the settings change of a roll-out was accepted; it
-// reports false if the roll-out does not ask for that change any more.
+// MarkAccepted records that the settings change with the given ID was accepted: a
+// withdrawal ends the roll-out, a wave is held from now on. It returns false and changes
+// nothing if no roll-out requires that change any more.
 func (b *Board) Accepted(id string, now time.Time) bool {
 	for i := range b.Rollouts {
 		r := &b.Rollouts[i]
--- a/pkg/roll/weight.go
+++ b/pkg/roll/summary.go
@@ -8,21 +8,24 @@
 	"slices"
 )
 
-// Weight is what a Judge has of one route, for logs: Sum speaks against the version, as
-// does a Ratio above 0; both are log likelihood ratios.
+// RouteSummary is the evidence of a Judge on one route or aspect, for logs.
 type Weight struct {
 	// Route is as in an Answer.
 	Route uint32
-	// Old counts the old version's answers, OldBad is their decayed share of bad ones.
+	// OldAnswers is the number of the old version's answers, OldBadShare the moving
+	// average of their share of bad ones, 0 to 1.
 	Old    int
 	OldBad float64
-	// Good and Bad count the new version's answers.
-	Good, Bad  int
+	// NewGood and NewBad are the numbers of the new version's good and bad answers.
+	Good, Bad int
+	// Sum is the cumulative sum and LLR the log likelihood ratio, both without the part
+	// that a single failing endpoint may have caused. Positive values are evidence
+	// against the new version.
 	Sum, Ratio float64
 }
 
-// Weights returns what the judge has of each route, the strongest against the version
-// first.
+// Summaries returns the evidence on each route and aspect, the strongest against the new
+// version first.
 func (j *Judge) Weights() []Weight {
 	list := make([]Weight, 0, len(j.routes))
 	for route, e := range j.routes {
--- a/pkg/roll/trial.go
+++ b/pkg/roll/trial.go
@@ -11,38 +11,43 @@
 // The states of a trial. Proven and Rejected are final.
 const (
 	// Ordered is a trial that no process has begun yet.
-	Ordered  TrialState = "ordered"
-	Trying   TrialState = "trying"
-	Proven   TrialState = "proven"
+	Ordered TrialState = "ordered"
+	// Trying is a trial in progress.
+	Trying TrialState = "trying"
+	// Proven means that the new version serves all sessions.
+	Proven TrialState = "proven"
+	// Rejected means that the new version serves no sessions any more.
 	Rejected TrialState = "rejected"
 )
 
-// Trial moves the requests of a service from its old version to a new one by a
-// share that grows step by step, as long as the evidence allows.
+// Trial is a canary roll-out: it moves the sessions of a service from the old version to
+// a new one by a share that grows step by step, as long as the verdicts allow.
 type Trial struct {
 	Service string
 	// Version is the new version.
 	Version string
 	State   TrialState
-	// Step counts the steps that are in force; it only grows.
+	// Step is the number of steps in force, 0 to 3. It never decreases.
 	Step int
-	// Begun and Ends are when the trial was ordered and when it has to be
-	// over, by this process's clock.
+	// Begun is the time of the order and Ends the time by which the trial has to be over,
+	// by the clock of this process.
 	Begun, Ends time.Time
-	// Past holds the versions that get nothing any more.
+	// Retired holds the versions that must get no requests.
 	Past Past
-	// Most is the part of its service's requests that a version which turns out bad may get, as this
-	// process knows it; 0 for usualMost. The shares before the last step are in proportion to it.
+	// MaxExposure is the part of the service's requests, 0 to 1, that a version which turns
+	// out bad may get, as configured at this process; 0 for defaultMaxExposure. The shares
+	// before the last step are proportional to it, but never above their defaults.
 	Most float64
-	// Revision is that of the stored trial.
+	// Revision is that of the stored object from which the trial was read.
 	Revision int64
 }
 
-// Old reports whether a version is one that serves the sessions which the new one does not.
+// IsOld reports whether a version serves the sessions that the new version does not: any
+// version that is neither the new one nor retired.
 func (t *Trial) Old(version string) bool { return version != t.Version && !t.Past.Has(version) }
 
-// Ordered returns the trial of a version that is ordered after t, which may have ended: only
-// a proven version goes on to serve.
+// Successor returns the trial of version when it is ordered after t, which may have ended
+// or not: only a proven version serves on, any other is retired.
 func (t *Trial) Ordered(version string) Trial {
 	past := t.Past
 	if t.State != Proven {
@@ -51,55 +56,59 @@
 	return Trial{Service: t.Service, Version: version, State: Ordered, Past: past.Without(version)}
 }
 
-// step is one step of a trial: from At, a part of its time, Share of the
-// sessions are served by the new version.
+// step is one step of a trial: from at on, a fraction of the trial's duration, share of
+// the sessions, 0 to 1, is served by the new version.
 type step struct{ at, share float64 }
 
-// steps keep a session that is open at the start on its version for the first half of
-// the time. The second one is long, as one endpoint has the old version's load in it;
-// the last one is late, so that a version which never shows what is wrong with it, as it
-// is bad under a load that does not come, still gets no more than the users' share of the
-// requests: the shares weighed by their parts add up to 0.152, and the users allow some
-// requests beyond 0.15.
+// steps are the steps of a trial.
+//
+// Sessions that are open at the start stay on their version for the first half of the
+// trial. The second step is long, as one endpoint has the old version's load during it.
+// The last step is late: a version that is bad only under a load that does not occur
+// before it shows no fault, and still gets no more than its allowed part of the requests.
+// The shares weighted by the lengths of their steps add up to 0.152; users allow 0.15 and
+// some requests more.
 var steps = []step{{0.5, 0.1}, {0.6, 0.18}, {0.915, 1}}
 
-// usualMost is the users' part for which the steps' shares are.
+// defaultMaxExposure is the MaxExposure for which the shares of steps are.
 const usualMost = 0.15
 
-// Parts of a trial's time.
+// Fractions of a trial's duration, and the load of a peak.
 const (
-	// peakFrom is from when on one endpoint bears peak times the usual load, as in the bursts that
-	// users see, but no more than the part peakMost of the share. Of plays with bursts after the proof
-	// of a version that fails under load, 5 of 40 broke the users' bound with it, 25 of 35 without. It
-	// costs, with the later last step, 0.007 of a day on which a good version is rolled out beside faults.
+	// From peakStart to the last step, one endpoint bears peakLoad times the usual load, as
+	// in bursts of requests, but at most the part maxPeakShare of the new version's share.
+	// It exposes versions that fail under load before they are the only ones left. In tests
+	// with a burst after such a version was proven, 5 of 40 exceeded the allowed exposure
+	// with it and 25 of 35 without it. Together with the later last step it costs 0.007 of
+	// a day on which a good version is rolled out while other faults occur.
 	peakFrom = 0.8
 	peak     = 2.5
 	peakMost = 0.8
-	// lastForGood is when the last step is due of a version that is known as good before it: what
-	// the later step leaves of the users' share is for bursts that begin after it.
+	// goodLastStepAt is when the last step of a version that is already good is due. The
+	// exposure that the delay saves is left for bursts that begin after the step.
 	lastForGood = 0.945
-	// fullFor is how long a version serves the full share before it is proven, and
-	// fullMost after how long it is rejected if it is not good then.
+	// minLastStep is how long the last step lasts before a good version is proven, and
+	// maxLastStep the time after which a version that is not good by then is rejected.
 	fullFor, fullMost = 0.03, 0.055
-	// overBy is when the trial of a doubtful version ends at any step, and when a good
-	// one is proven at once: the rest is for the write. Others have until waitsBy: where
-	// requests are few, it may take that long to see 30.
+	// decisionAt is when a doubtful version is rejected at any step, and when a good one is
+	// proven without waiting for minLastStep: the rest of the time is for the write. Other
+	// verdicts may wait until latestEnd: at low request rates it may take that long to
+	// receive 30 answers.
 	overBy, waitsBy = 0.975, 1.1
 )
 
-// Findings are what a process knows of a trial beyond its state.
+// Findings are what a process knows of a trial beyond its stored state.
 type Findings struct {
 	Verdict Verdict
-	// StepAt is when the present step came into force, as far as this process
-	// knows.
+	// StepAt is when this process learned that the present step is in force.
 	StepAt time.Time
-	// Spent says that the new version got as many requests as one that may be bad
-	// may get, Crowded that it would have got as many by the end of the trial if it got
-	// all requests from now on, and Burst that it would have got many more.
+	// ExposureSpent says that the new version has got as many requests as a bad version may
+	// get. ExposureShort says that it would reach that number by the end of the trial if it
+	// got all requests from now on, and Burst that it would exceed it by far.
 	Spent, Crowded, Burst bool
 }
 
-// Share returns the share of sessions that the new version serves.
+// Share returns the share of sessions, 0 to 1, that the new version serves.
 func (t *Trial) Share() float64 {
 	switch {
 	case t.State == Proven:
@@ -111,8 +120,9 @@
 	}
 }
 
-// shareOf returns the share of a step. With smaller shares than usual a bad version takes less of the
-// users' part before the last step, which would otherwise have to wait until too late.
+// stepShare returns the share of the step at an index of steps. If less exposure is
+// allowed than by default, the shares before the last step are reduced in proportion:
+// otherwise they would use up so much of it that the last step had to come too late.
 func (t *Trial) shareOf(step int) float64 {
 	share := steps[step].share
 	if step == len(steps)-1 || t.Most <= 0 {
@@ -121,17 +131,20 @@
 	return share * min(t.Most/usualMost, 1)
 }
 
-// New reports whether a session that is drawn at draw, 0 to 1 and the same in
-// every process, is served by the new version. As the share only grows, a session
-// goes forward at most once.
+// ServesNew reports whether the new version serves a session with the random number draw,
+// 0 to 1, which is the same in every process. As the share only grows, a session moves to
+// the new version at most once.
 func (t *Trial) New(draw float64) bool { return draw < t.Share() }
 
-// Loaded returns the part of the sessions that one endpoint of the new version serves at now, so
-// that it bears the load which the old version's usually do, given how many endpoints the
-// new one has; 0 for none. A version that is bad under load shows it there, while few
-// requests meet it; the rest of the share goes to all endpoints, which are lightly loaded
-// and show how slow the version is by itself. Before the last step that endpoint bears what
-// a peak brings.
+// LoadedShare returns the share of the sessions, 0 to 1, that one of the new version's
+// endpoints serves at now, so that it bears the load which the old version's endpoints
+// usually do; 0 if there is no such endpoint at this step. endpoints is the number of the
+// new version's endpoints.
+//
+// A version that is bad under load fails at that endpoint, where few requests are
+// affected. All endpoints serve the rest of the share; they are lightly loaded and show
+// how slow the version is by itself. In the peak phase before the last step the endpoint
+// bears a load as in a burst.
 func (t *Trial) Loaded(endpoints int, now time.Time) float64 {
 	if t.State != Trying || t.Step < 2 || t.Step == len(steps) || endpoints == 0 {
 		return 0
@@ -139,20 +152,21 @@
 	if t.Peaks(now) {
 		return min(peak/float64(endpoints), t.Share()*peakMost)
 	}
-	// At most half of the share, so that as many see the version by itself.
+	// At most half of the share, so that at least as many sessions run under a light load.
 	return min(1/float64(endpoints), t.Share()/2)
 }
 
-// Peaks reports whether the one endpoint bears what a peak brings at now. A version that fails under a
-// load which comes only once it is all that is left fails there.
+// InPeakPhase reports whether one endpoint bears a load as in a burst at now. A version
+// fails there if it fails under a load that it would otherwise get only after the last
+// step, when no other version is left.
 func (t *Trial) Peaks(now time.Time) bool {
 	return t.State == Trying && t.Step == len(steps)-1 && t.part(now.Sub(t.Begun)) >= peakFrom
 }
 
-// Next returns the trial as it should be at now, and whether that differs. A bad
-// version is rejected at once. Only a good one is proven: a version of which too
-// little is known at the end is rejected, as an unfinished roll-out can be ordered
-// again, while a bad version that is proven is all that is left.
+// Next returns the trial with the transition that is due at now, and whether there is one.
+// A bad version is rejected at once. Only a good version is proven. One with too little
+// evidence at the end is rejected: its roll-out can be ordered again, whereas a bad version
+// that was proven is the only one left.
 func (t *Trial) Next(now time.Time, f Findings) (Trial, bool) {
 	next := *t
 	if t.State == Ordered {
@@ -179,10 +193,10 @@
 	return next, next != *t
 }
 
-// due reports whether the next step is: a step is never skipped, as each must have had its
-// time before the next. The last one is for a version that is fair at least, and waits while
-// requests come so often that the rest of the trial would be more than the users' share of
-// them: the steps' times are for requests that come evenly.
+// stepDue reports whether the next step is due at the fraction part of the trial. No step is
+// skipped, as each must have been in force before the next. The last step requires a fair
+// or good version. It waits while requests come so often that the rest of the trial would
+// exceed the allowed exposure: the times of the steps assume an even rate of requests.
 func (t *Trial) due(part float64, f Findings) bool {
 	if part < steps[t.Step].at {
 		return false
@@ -193,8 +207,8 @@
 	return !f.Crowded && (f.Verdict == Good && part >= lastForGood || f.Verdict == Fair)
 }
 
-// ending returns the state of a trial at its last step, at a part of its time of which
-// the last step has had a part full.
+// lastStepState returns the state of a trial at its last step, at the fraction part of the
+// trial. full is the fraction that the last step has lasted.
 func (t *Trial) ending(part, full float64, f Findings) TrialState {
 	switch {
 	case f.Verdict == Good:
@@ -208,8 +222,9 @@
 	}
 }
 
-// proof returns the state of a trial of a good version at its last step. What cannot be undone
-// waits in a burst: a version that is bad under the load that has come shows it in these seconds.
+// goodState returns the state of a trial of a good version at its last step. As a proof
+// cannot be undone, it waits during a burst until the end of the trial: a version that is
+// bad under the load of the burst fails within these seconds.
 func proof(part, full float64, f Findings) TrialState {
 	waits := f.Burst && part < 1
 	served := full >= fullFor || part >= overBy || f.Spent
@@ -219,5 +234,5 @@
 	return Trying
 }
 
-// part returns a time in parts of the trial's.
+// fraction returns d as a fraction of the trial's duration.
 func (t *Trial) part(d time.Duration) float64 { return float64(d) / float64(t.Ends.Sub(t.Begun)) }
--- a/pkg/roll/trial_test.go
+++ b/pkg/roll/trial_test.go
@@ -14,14 +14,14 @@
 	"github.com/traildrift/traildrift/internal/golden"
 )
 
-// found is a verdict from a time of a trial on.
+// verdictFrom is a verdict that holds from a time of a trial on.
 type found struct {
 	from    time.Duration
 	verdict Verdict
 }
 
-// play plays a trial of 20 s and calls onChange for each change. The verdicts are in
-// order of their times.
+// runTrial runs a trial of 20 s and calls onChange for each transition. The verdicts must be in
+// the order of their times.
 func play(verdicts []found, onChange func(at time.Duration, tr Trial)) Trial {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Ordered, Begun: t0, Ends: t0.Add(20 * time.Second)}
@@ -45,7 +45,8 @@
 	return tr
 }
 
-// TestTrialOverTime prints every change of trials whose verdict changes with time.
+// TestTrialOverTime compares the transitions of trials whose verdict changes over time with a
+// golden file.
 func TestTrialOverTime(t *testing.T) {
 	var got bytes.Buffer
 	for _, verdicts := range [][]found{
@@ -71,8 +72,8 @@
 	golden.Check(t, "trial.golden", got.Bytes())
 }
 
-// TestTrialBoundsExposure draws verdicts that change at any time but are never Good, as
-// those on a bad version: it is never proven and gets no more than its share.
+// TestTrialBoundsExposure draws verdicts that change at any time but are never Good, as those on
+// a bad version. The version must be rejected and get no more than its share of the requests.
 func TestTrialBoundsExposure(t *testing.T) {
 	for seed := range uint64(2000) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
@@ -105,7 +106,7 @@
 		want    TrialState
 	}{{Unknown, Rejected}, {Fair, Rejected}, {Good, Proven}} {
 		if got, _ := tr.Next(at, Findings{Verdict: c.verdict, StepAt: at, Spent: true}); got.State != c.want {
-			t.Errorf("spent and %v: got %s, want %s", c.verdict, got.State, c.want)
+			t.Errorf("exposure spent and %v: got %s, want %s", c.verdict, got.State, c.want)
 		}
 	}
 }
@@ -148,7 +149,7 @@
 	tr := Trial{State: Trying, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	next, _ := tr.Next(t0.Add(18*time.Second), Findings{Verdict: Good})
 	if next.Step != 1 || next.State != Trying {
-		t.Errorf("after a long silence: got step %d and %s, want step 1 and %s", next.Step, next.State, Trying)
+		t.Errorf("first transition at 18 s: got step %d and %s, want step 1 and %s", next.Step, next.State, Trying)
 	}
 }
 
@@ -160,12 +161,13 @@
 		t.Errorf("got %+v, want rejected with share 0", next)
 	}
 	if _, changed := next.Next(t0.Add(time.Hour), Findings{Verdict: Good}); changed {
-		t.Error("a rejected trial changed")
+		t.Error("rejected trial: got a transition, want none")
 	}
 }
 
-// At the last step a good version waits for the end of its time while far more requests come
-// than the step's time was chosen for, and is proven then.
+// TestBurstDelaysProof checks that a good version at the last step is not proven before the end
+// of the trial during a burst: a version that fails under the load of the burst would be proven
+// before it fails.
 func TestBurstLetsTheProofWait(t *testing.T) {
 	begun := time.Unix(0, 0)
 	last := Trial{Service: "s", Version: "v2", State: Trying, Step: len(steps), Begun: begun, Ends: begun.Add(100 * time.Second)}
@@ -191,9 +193,9 @@
 	}
 }
 
-// One endpoint bears the usual load from the second step on, and a peak from a fifth before the end until
-// the last step; a peak leaves a part of the share for all, and endpoints that are few get no more than
-// they would of all requests.
+// TestLoadedShare checks that one endpoint bears the usual load from the second step on, and a
+// peak in the last fifth of the trial until the last step. A part of the share remains for all
+// endpoints, also where there are few.
 func TestOneEndpointBearsAPeak(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Trying, Begun: t0, Ends: t0.Add(20 * time.Second)}
@@ -216,13 +218,13 @@
 			t.Errorf("step %d, %d endpoints, %v: got %.3f of the sessions, want %.3f", c.step, c.endpoints, c.at, got, c.want)
 		}
 		if got := tr.Peaks(t0.Add(c.at)); got != c.peaks {
-			t.Errorf("step %d, %v: peaks: got %v, want %v", c.step, c.at, got, c.peaks)
+			t.Errorf("step %d, %v: in peak phase: got %v, want %v", c.step, c.at, got, c.peaks)
 		}
 	}
 }
 
-// A version that is known as good takes the last step later than one that is merely fair, which needs
-// the time for its proof.
+// TestGoodVersionTakesTheLastStepLater checks when the last step is taken: later by a good version
+// than by a fair one, which needs the time to be found good.
 func TestGoodVersionTakesTheLastStepLater(t *testing.T) {
 	for _, c := range []struct {
 		verdict Verdict
@@ -236,8 +238,9 @@
 	}
 }
 
-// Pattern: users who allow a bad version less than usual. The requests that a version gets by the last
-// step, and after it, stay within their part, and the last step is due in time for a good one.
+// TestSharesFollowMaxExposure checks that the requests of a version, with the last step at the time
+// for a good one, stay within the allowed exposure where it is lower than the default. The last step
+// must still have the whole share.
 func TestSharesFollowTheUsersPart(t *testing.T) {
 	for _, most := range []float64{0, usualMost, 0.0975, 0.12, 0.3} {
 		trial := Trial{State: Trying, Most: most}
@@ -261,10 +264,10 @@
 			want = min(most, usualMost)
 		}
 		if got > want+0.01 {
-			t.Errorf("users' part %v: got %.4f of the requests by the end, want %v at most", most, got, want)
+			t.Errorf("max exposure %v: got %.4f of the requests by the end, want at most %v", most, got, want)
 		}
 		if trial.Share() != 1 {
-			t.Errorf("users' part %v: share of the last step: got %v, want 1", most, trial.Share())
+			t.Errorf("max exposure %v: share of the last step: got %v, want 1", most, trial.Share())
 		}
 	}
 }
--- /dev/null
+++ b/pkg/sizes/confidence.go
@@ -0,0 +1,114 @@
+// Copyright 2026 The traildrift authors.
+// SPDX-License-Identifier: BSD-3-Clause
+
+package sizes
+
+import "math"
+
+// ConfidenceStats estimates, from the confidences that models of different sizes report in
+// answers to the same requests, how much more confident a larger model is than a smaller
+// one, and the noise of a confidence. Confidences are in points, 0 to 100.
+//
+// The model behind it: the distance of a confidence from EvenConfidence tells how far the
+// request is from the limit of what the model can answer, with normally distributed noise.
+// The zero value has no samples and returns the priors. ConfidenceStats is not safe for
+// concurrent use.
+type Opinions struct {
+	pairs map[pair]*gap
+	// variance is that of the differences around the mean of their pair, in squared points,
+	// and n the number of differences in it, at most maxSamples.
+	variance, n float64
+}
+
+// pair names a smaller and a larger model.
+type pair struct{ smaller, larger string }
+
+// gainMean is the moving average of n differences, in points; n stops at maxSamples, so that
+// the mean follows later changes.
+type gap struct{ mean, n float64 }
+
+const (
+	// EvenConfidence is the confidence of a model that is as likely to be right as wrong.
+	Even = 50
+	// priorGain is the assumed difference in confidence between a model and the next larger
+	// one while few samples exist: it takes a request from poor to even odds. priorNoise is
+	// the assumed standard deviation of a confidence, a tenth of the scale. Both are in
+	// points.
+	gainFirst  = 30
+	roughFirst = 10
+	// minSamples is the number of differences from which their mean is used: the standard
+	// error of the mean is then under half the noise.
+	seenLeast = 8
+	// maxSamples is the number of differences over which the averages extend: at one or two
+	// a second, those of the last minutes.
+	seenMost = 200
+	// scaleMargin is the distance from the ends of the scale, in points, within which a
+	// confidence is censored.
+	scaleEnd = 3
+	// minNoise and maxNoise bound the estimated noise, in points.
+	roughLeast, roughMost = 3, 40
+)
+
+// Add adds the confidences of a smaller and a larger model in answers to the same request.
+// Pairs with a censored confidence are left out, so that a gain that mostly ends at the end
+// of the scale is estimated slightly too low.
+func (o *Opinions) Add(smaller, larger string, before, after int) {
+	if !Inside(before) || !Inside(after) || smaller == larger {
+		return
+	}
+	if o.pairs == nil {
+		o.pairs, o.variance = make(map[pair]*gap), 2*roughFirst*roughFirst
+	}
+	key := pair{smaller, larger}
+	g, ok := o.pairs[key]
+	if !ok {
+		g = new(gap)
+		o.pairs[key] = g
+	}
+	d := float64(after - before)
+	off := d - g.mean
+	g.n = min(g.n+1, seenMost)
+	g.mean += off / g.n
+	if g.n < seenLeast {
+		return
+	}
+	o.n = min(o.n+1, seenMost)
+	o.variance += (off*(d-g.mean) - o.variance) / (o.n + seenLeast)
+}
+
+// Uncensored reports whether a confidence lies inside the scale and so tells how far a
+// request is from the limit of what the model can answer. A confidence at an end of the
+// scale gives only a lower bound of that distance.
+func Inside(confidence int) bool { return confidence > scaleEnd && confidence < 100-scaleEnd }
+
+// Gain returns by how many points the larger model is expected to be more confident, at
+// least 0. Without enough samples of the pair it is the prior for a model that is steps
+// sizes larger.
+func (o *Opinions) Gain(smaller, larger string, steps int) float64 {
+	if o.Known(smaller, larger) {
+		return max(o.pairs[pair{smaller, larger}].mean, 0)
+	}
+	return float64(gainFirst * steps)
+}
+
+// GainKnown reports whether there are enough samples of a pair of models for Gain to use
+// them.
+func (o *Opinions) Known(smaller, larger string) bool {
+	g, ok := o.pairs[pair{smaller, larger}]
+	return ok && g.n >= seenLeast
+}
+
+// Noise returns the standard deviation of one model's confidence, in points.
+func (o *Opinions) Roughness() float64 {
+	if o.pairs == nil {
+		return roughFirst
+	}
+	return min(max(math.Sqrt(o.variance/2), roughLeast), roughMost)
+}
+
+// GoodProb returns the probability that an answer is good if its model's expected confidence
+// is confidence, in points, averaged over the given number of samples.
+func (o *Opinions) Good(confidence float64, opinions int) float64 {
+	rough := o.Roughness() / math.Sqrt(float64(max(opinions, 1)))
+	return 0.5 * math.Erfc((Even-confidence)/(rough*math.Sqrt2))
+}
--- a/pkg/sizes/opinions_test.go
+++ b/pkg/sizes/confidence_test.go
@@ -9,18 +9,19 @@
 	"testing"
 )
 
-// said returns the confidence of a model in a request, which is rough.
+// said returns the confidence of a model in an answer: ease, with normally distributed noise
+// of standard deviation rough, clipped to the scale.
 func said(rnd *rand.Rand, ease, rough float64) int {
 	return int(min(max(ease+rough*rnd.NormFloat64(), 0), 100))
 }
 
-// What models gain on one another and how rough their opinions are is found within some ten
-// answers of each pair, and again after the models have changed under way. The answers are
-// those that a cascade gets: the larger model is asked where the smaller was under 60.
+// TestConfidenceStats checks that the gain of a pair and the noise are learned from some ten
+// answers, and again after both have changed. The samples are those of a cascade: the larger
+// model is asked where the confidence of the smaller one is below 60.
 func TestOpinionsAreLearned(t *testing.T) {
 	var o Opinions
 	if got := o.Gain("s", "l", 2); got != 2*gainFirst {
-		t.Errorf("gain of two sizes before any answer: got %v, want %v", got, 2*gainFirst)
+		t.Errorf("gain of two sizes without samples: got %v, want %v", got, 2*gainFirst)
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	learn := func(n int, gain, rough float64) {
@@ -40,7 +41,7 @@
 			t.Errorf("after %d answers: gain: got %.1f, want %.0f within %.0f", c.n, got, c.gain, c.within)
 		}
 		if got := o.Roughness(); math.Abs(got-c.rough) > c.within {
-			t.Errorf("after %d answers: roughness: got %.1f, want %.0f within %.0f", c.n, got, c.rough, c.within)
+			t.Errorf("after %d answers: noise: got %.1f, want %.0f within %.0f", c.n, got, c.rough, c.within)
 		}
 	}
 }
@@ -53,13 +54,14 @@
 		want       float64
 	}{{50, 1, 0.5}, {60, 1, 0.84}, {40, 1, 0.16}, {60, 4, 0.977}} {
 		if got := o.Good(c.confidence, c.opinions); math.Abs(got-c.want) > 0.005 {
-			t.Errorf("confidence %v of %d opinions: got %.3f, want %.3f", c.confidence, c.opinions, got, c.want)
+			t.Errorf("confidence %v, %d samples: got %.3f, want %.3f", c.confidence, c.opinions, got, c.want)
 		}
 	}
 }
 
-// What is asked follows from what it earns, less its cost: a cheap one for a doubtful answer,
-// the best for one that is surely weak, none for a good one, or where it comes too late.
+// TestChoose checks that the model with the highest net value is chosen: a cheap one after a
+// doubtful answer, the best one after a weak answer, and none after a good answer or where
+// the new answer would be too late.
 func TestAsk(t *testing.T) {
 	small := func(good float64) Model { return Model{Good: good, InTime: 1} }
 	middle := func(good float64) Model { return Model{Good: good, InTime: 0.95, Cost: 0.04} }
@@ -76,10 +78,10 @@
 		{"good", []Model{small(0.98), middle(0.99), large}, 0},
 		{"doubtful", []Model{small(0.7), middle(0.93), large}, 1},
 		{"weak", []Model{small(0.02), middle(0.05), large}, 2},
-		{"weak, the largest comes late and earns more than a weak one", []Model{small(0.02), {Good: 0.05, InTime: 0.9, Cost: 0.04}, late}, 0},
-		{"weak, the largest never comes", []Model{small(0.02), middle(0.3), never}, 1},
-		{"late already, as good as it gets", []Model{{Good: 0.9}, {Good: 0.99, Cost: 0.04}}, 0},
-		{"alone", []Model{small(0.1)}, 0},
+		{"weak, the largest is late and costs more than it gains", []Model{small(0.02), {Good: 0.05, InTime: 0.9, Cost: 0.04}, late}, 0},
+		{"weak, the largest is too late", []Model{small(0.02), middle(0.3), never}, 1},
+		{"late already", []Model{{Good: 0.9}, {Good: 0.99, Cost: 0.04}}, 0},
+		{"only one model", []Model{small(0.1)}, 0},
 	} {
 		if got, _, _ := Ask(c.list); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
--- a/pkg/tries/tries.go
+++ b/pkg/tries/tries.go
@@ -1,50 +1,50 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package tries decides what follows a failed attempt at serving a request. It
-// is pure.
+// Package tries decides whether a request is retried after a failed attempt. It performs no
+// I/O and reads no clock.
 package tries
 
 import "github.com/traildrift/traildrift/pkg/fault"
 
-// Rules are what a request allows.
+// Rules hold what a request allows.
 type Rules struct {
 	// Repeatable says that the request may run more than once.
 	Repeatable bool
-	// Resumable says that an answer that was begun may be continued by
-	// another run; it implies Repeatable.
+	// Resumable says that another run may continue an answer that has begun. It implies
+	// Repeatable.
 	Resumable bool
-	// MaxAttempts bounds the endpoints that the request is sent to.
+	// MaxAttempts is the maximum number of endpoints that the request is sent to.
 	MaxAttempts int
 }
 
-// State is how far a request has come.
+// State is the progress of a request.
 type State struct {
-	// Made counts the attempts that reached an endpoint.
+	// Attempts is the number of attempts that reached an endpoint.
 	Made int
-	// Begun says that the caller holds part of an answer.
+	// AnswerBegun says that part of an answer was sent to the caller.
 	Begun bool
-	// Over says that nobody waits any more or that the answer is final.
+	// Finished says that the caller no longer waits or that the answer is final.
 	Over bool
 }
 
-// Verdict says what follows a failed attempt.
+// Decision says whether a request is retried.
 type Verdict string
 
-// The verdicts.
+// The decisions.
 const (
 	// Stop ends the request with the failure.
 	Stop Verdict = "stop"
-	// Free allows another attempt that costs the fleet nothing.
+	// Free allows another attempt without charging the retry budget.
 	Free Verdict = "free"
-	// Paid allows another attempt if the retry budget pays for it.
+	// Paid allows another attempt if the retry budget has room for it.
 	Paid Verdict = "paid"
 )
 
-// Next returns what follows an attempt that failed with err. A request that may
-// have run goes on only if it may run again, and one whose answer was begun only
-// if it may be resumed. A refusal before any work is free, unless it was for
-// want of room.
+// Next returns the decision after an attempt that failed with err. A request that may have
+// run is retried only if it may run again, and one whose answer has begun only if it may be
+// resumed. The retry is free if the endpoint refused the request before doing any work,
+// unless it refused for lack of capacity.
 func Next(r Rules, s State, err *fault.Error) Verdict {
 	switch {
 	case s.Over || s.Begun && !r.Resumable:
@@ -62,7 +62,7 @@
 
 func (r Rules) mayRepeat() bool { return r.Repeatable || r.Resumable }
 
-// free reports whether another attempt after err costs the fleet nothing.
+// free reports whether a retry after err adds no work to the fleet.
 func free(err *fault.Error) bool {
 	return err.Run == fault.NotRun && err.Kind != fault.Overloaded && err.Kind != fault.DeadlineTooSoon
 }
--- a/pkg/tries/tries_test.go
+++ b/pkg/tries/tries_test.go
@@ -24,14 +24,14 @@
 		want Verdict
 	}{
 		{"once, may have run", once, State{Made: 1}, lost, Stop},
-		{"once, never sent", once, State{}, unsent, Free},
+		{"once, not sent", once, State{}, unsent, Free},
 		{"once, refused as full", once, State{Made: 1}, full, Paid},
 		{"safe, may have run", safe, State{Made: 1}, lost, Paid},
-		{"safe, begun", safe, State{Made: 1, Begun: true}, lost, Stop},
+		{"safe, answer begun", safe, State{Made: 1, Begun: true}, lost, Stop},
 		{"safe, attempts used up", safe, State{Made: 2}, lost, Stop},
-		{"stream, begun", stream, State{Made: 1, Begun: true}, lost, Paid},
-		{"nobody waits", safe, State{Made: 1, Over: true}, lost, Stop},
-		{"own fault of the caller", safe, State{Made: 1}, bad, Stop},
+		{"stream, answer begun", stream, State{Made: 1, Begun: true}, lost, Paid},
+		{"caller gone", safe, State{Made: 1, Over: true}, lost, Stop},
+		{"bad request", safe, State{Made: 1}, bad, Stop},
 	} {
 		if got := Next(c.r, c.s, c.err); got != c.want {
 			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
