--- a/cmd/traildrift/rollout.go
+++ b/cmd/traildrift/rollout.go
@@ -105,7 +105,7 @@
 }
 
 func (a *orderArgs) order(ctx context.Context, s roll.State) error {
-	return rolls.Update(ctx, a.store(), func(b *roll.Board) error { return b.Order(a.Version, s) })
+	return rolls.Update(ctx, a.store(), func(b *roll.Board) error { return b.SetState(a.Version, s) })
 }
 
 func (a *showArgs) run(ctx context.Context) error {
@@ -125,7 +125,7 @@
 }
 
 func printRollout(r *roll.Rollout) {
-	loads := make(map[roll.Load]int)
+	loads := make(map[roll.LoadState]int)
 	for _, t := range r.Targets {
 		loads[t.State]++
 	}
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -41,7 +41,7 @@
 func (e *Entry) again(r *request, err *fault.Error, attempts int) bool {
 	rules := tries.Rules{Repeatable: r.repeatable, MaxAttempts: *r.effective.Values.MaxAttempts}
 	over := r.ctx.Err() != nil || r.buf.Ended() != nil
-	switch tries.Next(rules, tries.State{Made: attempts, Begun: r.buf.Len() > 0, Over: over}, err) {
+	switch tries.Next(rules, tries.State{Attempts: attempts, AnswerBegun: r.buf.Len() > 0, Finished: over}, err) {
 	case tries.Free:
 		return true
 	case tries.Paid:
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -26,10 +26,10 @@
 // encodeReport appends a report. It fails for one with more entries than a report may
 // have.
 func encodeReport(dst []byte, r roll.Report) ([]byte, error) {
-	if len(r.Routes) > roll.RowsMost || len(r.Faults) > roll.FaultsMost {
+	if len(r.Routes) > roll.MaxRows || len(r.Faults) > roll.MaxFaults {
 		return dst, errors.Newf("peers: a report of %d routes and %d faults", len(r.Routes), len(r.Faults))
 	}
-	h := reportHead{r.Trial, r.Teller, r.Requests, r.Exposed, uint8(len(r.Routes)), uint8(len(r.Faults))}
+	h := reportHead{r.Trial, r.Reporter, r.Requests, r.Exposed, uint8(len(r.Routes)), uint8(len(r.Faults))}
 	var err error
 	for _, part := range []any{h, r.Routes, r.Faults} {
 		if dst, err = binary.Append(dst, binary.BigEndian, part); err != nil {
@@ -46,11 +46,11 @@
 	if err := binary.Read(in, binary.BigEndian, &h); err != nil {
 		return roll.Report{}, errors.Wrap(err, "peers")
 	}
-	if h.Routes > roll.RowsMost || h.Faults > roll.FaultsMost {
+	if h.Routes > roll.MaxRows || h.Faults > roll.MaxFaults {
 		return roll.Report{}, errors.Newf("peers: a report of %d routes and %d faults", h.Routes, h.Faults)
 	}
-	r := roll.Report{Trial: h.Trial, Teller: h.Teller, Requests: h.Requests, Exposed: h.Exposed,
-		Routes: make([]roll.RouteCounts, h.Routes), Faults: make([]roll.Fault, h.Faults)}
+	r := roll.Report{Trial: h.Trial, Reporter: h.Teller, Requests: h.Requests, Exposed: h.Exposed,
+		Routes: make([]roll.RouteCounts, h.Routes), Faults: make([]roll.FaultCounts, h.Faults)}
 	for _, part := range []any{r.Routes, r.Faults} {
 		if err := binary.Read(in, binary.BigEndian, part); err != nil {
 			return roll.Report{}, errors.Wrap(err, "peers")
--- a/internal/peers/report_test.go
+++ b/internal/peers/report_test.go
@@ -12,12 +12,12 @@
 
 // fullReport returns a report with as many entries as one may have.
 func fullReport() roll.Report {
-	r := roll.Report{Trial: 1 << 60, Teller: 77, Requests: 90000, Exposed: 4000}
-	for i := range uint32(roll.RowsMost) {
-		r.Routes = append(r.Routes, roll.RouteCounts{Route: i, OldGood: 100 * i, OldBad: i, Good: 7, Light: 8})
+	r := roll.Report{Trial: 1 << 60, Reporter: 77, Requests: 90000, Exposed: 4000}
+	for i := range uint32(roll.MaxRows) {
+		r.Routes = append(r.Routes, roll.RouteCounts{Route: i, OldGood: 100 * i, OldBad: i, NewGood: 7, NewGoodLight: 8})
 	}
-	for i := range uint32(roll.FaultsMost) {
-		r.Faults = append(r.Faults, roll.Fault{Route: i, Endpoint: 1 << 31, Loaded: 3, Light: i})
+	for i := range uint32(roll.MaxFaults) {
+		r.Faults = append(r.Faults, roll.FaultCounts{Route: i, Endpoint: 1 << 31, Loaded: 3, Light: i})
 	}
 	return r
 }
--- a/internal/relay/cascade.go
+++ b/internal/relay/cascade.go
@@ -82,7 +82,7 @@
 	for ; size > x.size; size-- {
 		head, _ := x.expectedOf(size, now)
 		inAim = inAim || head <= aim
-		pays := float64(confidence) < float64(policy.Under(x.size, size))*inTime(head, aim)
+		pays := float64(confidence) < float64(policy.Threshold(x.size, size))*inTime(head, aim)
 		if (pays || !inAim && size == x.size+1 && confidence < hopeless) && head <= left {
 			break
 		}
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -120,7 +120,7 @@
 	// that are not on trial.
 	paces map[string]*usualPace
 	// opinions is what the models' confidences tell of them.
-	opinions sizes.Opinions
+	opinions sizes.ConfidenceStats
 	rolls    map[string]*rollout
 }
 
@@ -326,7 +326,7 @@
 func (e *Engine) budget(service string) *budget.Window {
 	l := e.limits.Load()
 	w := entryOf(e.budgets, service)
-	w.Set(time.Duration(l.RetryWindow), l.RetryRatio*ratioKept, l.RetrySlack*slackKept/float64(max(e.Routers(), 1)))
+	w.SetLimits(time.Duration(l.RetryWindow), l.RetryRatio*ratioKept, l.RetrySlack*slackKept/float64(max(e.Routers(), 1)))
 	return w
 }
 
--- a/internal/relay/evidence.go
+++ b/internal/relay/evidence.go
@@ -45,9 +45,9 @@
 // sent notes an attempt for the trial of its service; mu is held.
 func (x *run) sent(a *Attempt, now time.Time) {
 	if r := x.e.weighedFor(a.Endpoint.Service); r != nil {
-		r.judge.Sent(r.isNew(&a.Endpoint))
+		r.judge.AddRequest(r.isNew(&a.Endpoint))
 		a.loaded = x.loaded(r, now)
-		a.peaks = r.trial.Peaks(now) && x.wanted.Single()
+		a.peaks = r.trial.InPeakPhase(now) && x.wanted.Single()
 	}
 }
 
@@ -98,7 +98,7 @@
 // peakEvidence notes whether an answer failed under a peak, in a row of its own: what the version did
 // under lighter loads would outweigh it. Old answers of the same seconds stand beside it. mu is held.
 func (e *Engine) peakEvidence(r *rollout, a *Attempt, failed bool) {
-	if a.peaks || r.trial.Peaks(e.Now()) && !r.isNew(&a.Endpoint) {
+	if a.peaks || r.trial.InPeakPhase(e.Now()) && !r.isNew(&a.Endpoint) {
 		e.addAspect(r, a, answersInPeak, failed, false)
 	}
 }
@@ -196,7 +196,7 @@
 	if r.names == nil {
 		r.names = make(map[uint32]string)
 	}
-	if len(r.names) < roll.RowsMost {
+	if len(r.names) < roll.MaxRows {
 		r.names[route] = of
 	}
 }
@@ -216,12 +216,12 @@
 // that a verdict can be told from one that little was seen for.
 func (r *rollout) weights() zap.Field {
 	list := make([]routeWeight, 0, len(r.names))
-	for _, w := range r.judge.Weights() {
+	for _, w := range r.judge.Summaries() {
 		name, ok := r.names[w.Route]
 		if !ok {
 			name = strconv.FormatUint(uint64(w.Route), 16)
 		}
-		list = append(list, routeWeight{name, w.Old, round(w.OldBad), w.Good, w.Bad, round(w.Sum), round(w.Ratio)})
+		list = append(list, routeWeight{name, w.OldAnswers, round(w.OldBadShare), w.NewGood, w.NewBad, round(w.Sum), round(w.LLR)})
 	}
 	return zap.Any("routes", list)
 }
@@ -237,7 +237,7 @@
 	n, of := r.judge.Exposed()
 	e.counts.count("versions_found_bad", r.trial.Service, string(r.trial.State))
 	e.Log.Warn("relay: A new version was found bad.", zap.String("state", string(r.trial.State)), zap.String("service", r.trial.Service), zap.String("version", r.trial.Version),
-		zap.String("by", by), zap.Float64("evidence", r.judge.Sum()), r.weights(), zap.Int("exposed", n), zap.Int("requests", of))
+		zap.String("by", by), zap.Float64("evidence", r.judge.MaxSum()), r.weights(), zap.Int("exposed", n), zap.Int("requests", of))
 }
 
 const (
@@ -258,13 +258,13 @@
 		if r.trial.State != roll.Trying || r.trial.Step == 0 || now.Sub(r.toldAt) < every {
 			continue
 		}
-		own := r.judge.Own()
+		own := r.judge.LocalReport()
 		if own.Requests == r.told {
 			continue
 		}
 		r.toldAt, r.told = now, own.Requests
 		own = own.Copy()
-		own.Trial, own.Teller = r.hash(), e.life
+		own.Trial, own.Reporter = r.hash(), e.life
 		due = append(due, own)
 	}
 	return due
@@ -278,9 +278,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.rolls {
-		if r.trial.State != roll.Trying || r.hash() != report.Trial || report.Teller == e.life {
+		if r.trial.State != roll.Trying || r.hash() != report.Trial || report.Reporter == e.life {
 			continue
 		}
-		e.weigh(r, "reports", func(j *roll.Judge) { j.Hear(report) })
+		e.weigh(r, "reports", func(j *roll.Judge) { j.Merge(report) })
 	}
 }
--- a/internal/relay/evidence_test.go
+++ b/internal/relay/evidence_test.go
@@ -82,7 +82,7 @@
 		teller.mu.Lock()
 		teller.evidence(attemptAt(old[i%len(old)]), route, false, time.Millisecond)
 		teller.evidence(attemptAt(latest[i%len(latest)]), route, i%2 == 0, time.Millisecond)
-		teller.rolls["s"].judge.Sent(true)
+		teller.rolls["s"].judge.AddRequest(true)
 		teller.mu.Unlock()
 	}
 	due := teller.dueReports(time.Now())
--- a/internal/relay/hear.go
+++ b/internal/relay/hear.go
@@ -154,7 +154,7 @@
 		return &silence{}
 	}
 	x.e.mu.Lock()
-	paid := x.e.budget(x.service).Left(x.e.Now()) >= 1
+	paid := x.e.budget(x.service).Remaining(x.e.Now()) >= 1
 	x.e.mu.Unlock()
 	if !paid {
 		return &silence{}
--- a/internal/relay/reserve_test.go
+++ b/internal/relay/reserve_test.go
@@ -17,10 +17,10 @@
 	const ratio, slack, window = 0.9, 1040.0, 10 * time.Second
 	for _, routers := range []float64{6, 26, 384, 768, 4000} {
 		var b budget.Window
-		b.Set(window, ratio*ratioKept, slack*slackKept/routers)
+		b.SetLimits(window, ratio*ratioKept, slack*slackKept/routers)
 		now, given := time.Unix(1000, 0), 0
 		for range 4 {
-			b.Request(now)
+			b.AddRequest(now)
 			if b.Take(now, reserveOf(b.Allowed(now))) {
 				given++
 			}
@@ -31,9 +31,9 @@
 		}
 		// Failures of the requests behind them are still paid for.
 		for range 6 {
-			b.Request(now)
+			b.AddRequest(now)
 		}
-		if got := b.Left(now); got < 2 {
+		if got := b.Remaining(now); got < 2 {
 			t.Errorf("%v routers: left for failures: got %.1f, want 2 at least", routers, got)
 		}
 	}
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -60,7 +60,7 @@
 	if t.Step != r.trial.Step || t.State != r.trial.State {
 		r.notBefore, r.stepAt = time.Time{}, e.Now()
 	}
-	t.Most = e.limits.Load().ExposeShare
+	t.MaxExposure = e.limits.Load().ExposeShare
 	r.trial = t
 }
 
@@ -126,7 +126,7 @@
 		}
 		r.writing = true
 		if next.State == roll.Proven {
-			next.Past = e.replaced(next)
+			next.Retired = e.replaced(next)
 		}
 		due = append(due, next)
 	}
@@ -135,10 +135,10 @@
 
 // replaced returns the versions that get nothing any more once a trial's version is proven:
 // those that served beside it too; mu is held.
-func (e *Engine) replaced(t roll.Trial) roll.Past {
-	past := t.Past
+func (e *Engine) replaced(t roll.Trial) roll.Retired {
+	past := t.Retired
 	for _, v := range e.book.Versions(t.Service) {
-		if t.Old(v) {
+		if t.IsOld(v) {
 			past = past.With(v)
 		}
 	}
@@ -160,7 +160,7 @@
 	n, of := r.judge.Exposed()
 	e.Log.Info("relay: A step of a roll-out was written.", zap.String("service", next.Service), zap.String("version", next.Version),
 		zap.String("state", string(next.State)), zap.Int("step", next.Step), zap.Stringer("verdict", r.judge.Verdict()),
-		zap.Float64("evidence", r.judge.Sum()), r.weights(), zap.Int("exposed", n), zap.Int("requests", of),
+		zap.Float64("evidence", r.judge.MaxSum()), r.weights(), zap.Int("exposed", n), zap.Int("requests", of),
 		zap.Float64("requestsPerSecond", round(r.flow.perSecond)), zap.Int64("onRevision", next.Revision), logs.Err(err))
 }
 
@@ -171,11 +171,11 @@
 	r.flow.note(now, of)
 	rest := r.flow.perSecond * max(r.trial.Ends.Sub(now).Seconds(), 0)
 	used, expected := e.exposed(float64(n), float64(of)), e.exposed(float64(n)+rest, float64(of)+rest)
-	f := roll.Findings{Verdict: r.judge.Verdict(), StepAt: r.stepAt, Spent: used > 1, Crowded: r.all && expected > crowded, Burst: r.all && expected > burst}
+	f := roll.Findings{Verdict: r.judge.Verdict(), StepAt: r.stepAt, ExposureSpent: used > 1, ExposureShort: r.all && expected > crowded, Burst: r.all && expected > burst}
 	if f.Verdict != r.verdict {
 		r.verdict = f.Verdict
 		e.Log.Info("relay: What is known of a new version has changed.", zap.String("service", r.trial.Service), zap.String("version", r.trial.Version),
-			zap.Stringer("verdict", f.Verdict), zap.Float64("evidence", r.judge.Sum()), r.weights(), zap.Int("exposed", n), zap.Int("requests", of))
+			zap.Stringer("verdict", f.Verdict), zap.Float64("evidence", r.judge.MaxSum()), r.weights(), zap.Int("exposed", n), zap.Int("requests", of))
 	}
 	return f
 }
@@ -217,11 +217,11 @@
 	if !ok {
 		return fit{}
 	}
-	isNew, isOld := r.hasVersion, r.trial.Old
+	isNew, isOld := r.hasVersion, r.trial.IsOld
 	switch {
 	case r.trial.State == roll.Proven:
 		return fit{version: isNew}
-	case r.trial.New(draw) && !r.judge.Bad():
+	case r.trial.ServesNew(draw) && !r.judge.Bad():
 		return fit{version: isNew, spare: isOld, one: e.loads(r, draw)}
 	default:
 		return fit{version: isOld}
@@ -231,7 +231,7 @@
 // loads reports whether a session is one of those that load one endpoint of the version
 // on trial as the old version's are; mu is held.
 func (e *Engine) loads(r *rollout, draw float64) bool {
-	return draw < r.trial.Loaded(e.book.Count(r.trial.Service, r.hasVersion), e.Now())
+	return draw < r.trial.LoadedShare(e.book.Count(r.trial.Service, r.hasVersion), e.Now())
 }
 
 // failedAnswer reports whether a status is a failure of the endpoint itself.
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -53,7 +53,7 @@
 		r := e.rolls["s"]
 		answers := func(p pool.Entry, n int) {
 			for range n {
-				r.judge.Sent(r.isNew(&p))
+				r.judge.AddRequest(r.isNew(&p))
 				r.judge.Add(roll.Answer{Route: 2, Endpoint: uint32(n), New: r.isNew(&p), Loaded: true})
 			}
 		}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -100,7 +100,7 @@
 	x.service = x.route.backend(pool.Hash(id + "/backend"))
 	x.lastEvent = x.r.LastEvent
 	x.e.mu.Lock()
-	x.e.budget(x.service).Request(x.e.Now())
+	x.e.budget(x.service).AddRequest(x.e.Now())
 	x.e.mu.Unlock()
 }
 
@@ -244,7 +244,7 @@
 // pays for it.
 func (x *run) again(ctx context.Context, err *fault.Error) bool {
 	rules := tries.Rules{Repeatable: x.route.repeatable(), Resumable: x.route.resumable(), MaxAttempts: max(x.route.MaxAttempts, 1)}
-	state := tries.State{Made: x.made, Begun: x.begun, Over: ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent)}
+	state := tries.State{Attempts: x.made, AnswerBegun: x.begun, Finished: ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent)}
 	if len(x.tries) >= triesMost || tries.Next(rules, state, err) == tries.Stop {
 		return false
 	}
@@ -266,7 +266,7 @@
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
 	if x.prepaid {
-		x.e.budget(x.service).Give(now)
+		x.e.budget(x.service).Refund(now)
 		x.prepaid = false
 	}
 }
--- a/internal/relay/worth.go
+++ b/internal/relay/worth.go
@@ -21,7 +21,7 @@
 
 // add takes in the confidence of an answer whose model gains so many points on the smallest.
 func (o *opinion) add(confidence int, gain float64) {
-	ease, inside := float64(confidence)-gain, sizes.Inside(confidence)
+	ease, inside := float64(confidence)-gain, sizes.Uncensored(confidence)
 	switch {
 	case o.n == 0 || inside && !o.inside:
 		*o = opinion{ease, 1, inside}
@@ -52,7 +52,7 @@
 // good returns the chance that a model of a size answers the request well; the engine's mu is
 // held.
 func (x *run) good(size int) float64 {
-	return x.e.opinions.Good(x.opinion.ease+x.gain(size), x.opinion.n)
+	return x.e.opinions.GoodProb(x.opinion.ease+x.gain(size), x.opinion.n)
 }
 
 // worthiest returns the size of the model whose answer is expected to be worth most, less
@@ -61,14 +61,14 @@
 func (x *run) worthiest(now time.Time) int {
 	aim := x.route.Aim.After(x.r.Arrived).Sub(now).Seconds()
 	left := x.deadline.Sub(now).Seconds() - x.e.streams[x.route.Name].expect(0)
-	list := []sizes.Model{{Good: x.good(x.size), InTime: inTime(0, aim)}}
+	list := []sizes.Model{{GoodProb: x.good(x.size), InTimeProb: inTime(0, aim)}}
 	for size := x.size + 1; size < len(x.route.Sizes); size++ {
 		head, delay := x.expectedOf(size, now)
-		list = append(list, sizes.Model{Good: x.good(size), InTime: inTime(head, aim), Never: head > left, Cost: x.costOf(size) + delay})
+		list = append(list, sizes.Model{GoodProb: x.good(size), InTimeProb: inTime(head, aim), TooLate: head > left, Cost: x.costOf(size) + delay})
 	}
-	next, keep, asks := sizes.Ask(list)
+	next, keep, asks := sizes.Choose(list)
 	t := &x.tries[len(x.tries)-1]
-	t.Good, t.Keep, t.Ask = list[0].Good, keep, asks
+	t.Good, t.Keep, t.Ask = list[0].GoodProb, keep, asks
 	return x.size + next
 }
 
@@ -85,7 +85,7 @@
 func (x *run) weighable() bool {
 	costs := x.e.table.Load().Costs
 	for _, model := range x.route.Sizes[min(x.size+1, len(x.route.Sizes)):] {
-		if _, ok := costs[model]; !ok || !x.e.opinions.Known(x.route.Sizes[0], model) {
+		if _, ok := costs[model]; !ok || !x.e.opinions.GainKnown(x.route.Sizes[0], model) {
 			return false
 		}
 	}
--- a/internal/relay/worth_test.go
+++ b/internal/relay/worth_test.go
@@ -111,7 +111,7 @@
 	}
 	unseen := func(e *Engine) {
 		bounds(e)
-		e.opinions = sizes.Opinions{}
+		e.opinions = sizes.ConfidenceStats{}
 	}
 	// What the fixed bounds keep, the worth of the middle model's answer would not.
 	if got := weighed(t, 62, costing(0.001, 0.35), unseen); got != "small" {
--- a/internal/rig/rollout_test.go
+++ b/internal/rig/rollout_test.go
@@ -116,7 +116,7 @@
 	if got := counts["2"]; got < 20 || got > 120 {
 		t.Errorf("requests to a version with share 0.3: got %d of 200, want about 60", got)
 	}
-	if err := rolls.Update(t.Context(), f.Store, func(b *roll.Board) error { return b.Order("mapcore@2", roll.Aborting) }); err != nil {
+	if err := rolls.Update(t.Context(), f.Store, func(b *roll.Board) error { return b.SetState("mapcore@2", roll.Aborting) }); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the withdrawal", func() bool { return rollout(f, t).State == roll.Aborted })
--- a/internal/rolls/driver.go
+++ b/internal/rolls/driver.go
@@ -130,7 +130,7 @@
 	if err != nil || len(b.Rollouts) == 0 {
 		return err
 	}
-	plan := b.Step(&roll.Facts{Now: d.Now(), VMs: d.VMs(), Has: d.Has, LoadWithin: loadWithin.After})
+	plan := b.Step(&roll.StepInput{Now: d.Now(), VMs: d.VMs(), HasVersion: d.Has, GiveUpAt: loadWithin.After})
 	if plan.Changed {
 		version, err = write(ctx, d.Store, &b, version)
 		if errors.Is(err, store.ErrConflict) {
@@ -154,7 +154,7 @@
 // settle makes the settings change that a roll-out asks for, and notes that it
 // was accepted.
 func (d *Driver) settle(ctx context.Context, r *roll.Rollout) error {
-	c, ok := r.Wanted()
+	c, ok := r.PendingChange()
 	if !ok {
 		return nil
 	}
@@ -172,7 +172,7 @@
 	}
 	d.Log.Info("rollouts: A wave is in the settings.", zap.String("version", r.Name()), zap.Float64("share", c.Share), zap.Bool("withdrawn", c.Withdraw), zap.Int64("revision", change.Revision))
 	return Update(ctx, d.Store, func(b *roll.Board) error {
-		b.Accepted(c.ID, d.Now())
+		b.MarkAccepted(c.ID, d.Now())
 		return nil
 	})
 }
--- a/pkg/budget/budget.go
+++ b/pkg/budget/budget.go
@@ -20,7 +20,7 @@
 	Slack float64
 	// BucketLength is the time that one bucket covers: the window's length over 20. It is
 	// positive.
-	Slice time.Duration
+	BucketLength time.Duration
 	// bucketStart is when the newest bucket began; zero before the first use.
 	start time.Time
 	// ring holds the buckets, newest is the index of the newest one. requests and extra are
@@ -34,18 +34,18 @@
 type slice struct{ requests, ext int }
 
 // SetLimits sets the length of the window and its limits. What was counted is kept.
-func (w *Window) Set(length time.Duration, ratio, slack float64) {
-	w.Slice, w.Ratio, w.Slack = length/slices, ratio, slack
+func (w *Window) SetLimits(length time.Duration, ratio, slack float64) {
+	w.BucketLength, w.Ratio, w.Slack = length/slices, ratio, slack
 }
 
 // advance drops the buckets that have left the window.
 func (w *Window) turn(now time.Time) {
-	if w.start.IsZero() || now.Sub(w.start) > time.Duration(len(w.ring))*w.Slice {
+	if w.start.IsZero() || now.Sub(w.start) > time.Duration(len(w.ring))*w.BucketLength {
 		w.ring, w.requests, w.ext, w.start = [slices + 1]slice{}, 0, 0, now
 		return
 	}
-	for !now.Before(w.start.Add(w.Slice)) {
-		w.start = w.start.Add(w.Slice)
+	for !now.Before(w.start.Add(w.BucketLength)) {
+		w.start = w.start.Add(w.BucketLength)
 		w.at = (w.at + 1) % len(w.ring)
 		w.requests -= w.ring[w.at].requests
 		w.ext -= w.ring[w.at].ext
@@ -54,7 +54,7 @@
 }
 
 // AddRequest counts a request.
-func (w *Window) Request(now time.Time) {
+func (w *Window) AddRequest(now time.Time) {
 	w.turn(now)
 	w.ring[w.at].requests++
 	w.requests++
@@ -63,7 +63,7 @@
 // Take takes one extra attempt from the budget if at least reserve more remain after it. It
 // reports whether it did.
 func (w *Window) Take(now time.Time, reserve float64) bool {
-	if w.Left(now) < 1+reserve {
+	if w.Remaining(now) < 1+reserve {
 		return false
 	}
 	w.ring[w.at].ext++
@@ -73,7 +73,7 @@
 
 // Refund returns an extra attempt that was taken but not made. It has no effect if none was
 // taken in the present bucket.
-func (w *Window) Give(now time.Time) {
+func (w *Window) Refund(now time.Time) {
 	w.turn(now)
 	if w.ring[w.at].ext > 0 {
 		w.ring[w.at].ext--
@@ -83,7 +83,7 @@
 
 // Remaining returns the number of extra attempts that may still be made. It can be negative
 // once requests have left the window.
-func (w *Window) Left(now time.Time) float64 { return w.Allowed(now) - float64(w.ext) }
+func (w *Window) Remaining(now time.Time) float64 { return w.Allowed(now) - float64(w.ext) }
 
 // Allowed returns the number of extra attempts that the requests in the window and the slack
 // allow, including those already made.
--- a/pkg/budget/budget_test.go
+++ b/pkg/budget/budget_test.go
@@ -11,12 +11,12 @@
 
 func TestWindow(t *testing.T) {
 	var w Window
-	w.Set(10*time.Second, 0.5, 2)
+	w.SetLimits(10*time.Second, 0.5, 2)
 	now := time.Unix(1000, 0)
 	for range 4 {
-		w.Request(now)
+		w.AddRequest(now)
 	}
-	if got, want := w.Left(now), 4.0; got != want {
+	if got, want := w.Remaining(now), 4.0; got != want {
 		t.Fatalf("remaining: got %v, want %v", got, want)
 	}
 	for i := range 4 {
@@ -27,11 +27,11 @@
 	if w.Take(now, 0) {
 		t.Error("Take beyond the budget: got true, want false")
 	}
-	w.Give(now)
+	w.Refund(now)
 	if w.Take(now, 1) {
 		t.Error("Take from the reserve: got true, want false")
 	}
-	if got, want := w.Left(now.Add(11*time.Second)), 2.0; got != want {
+	if got, want := w.Remaining(now.Add(11*time.Second)), 2.0; got != want {
 		t.Errorf("remaining after the window: got %v, want %v", got, want)
 	}
 }
@@ -41,13 +41,13 @@
 func TestWindowNeverOver(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var w Window
-	w.Set(10*time.Second, 0.5, 3)
+	w.SetLimits(10*time.Second, 0.5, 3)
 	now := time.Unix(0, 0)
 	var took, asked []time.Time
 	for range 4000 {
 		now = now.Add(time.Duration(rnd.IntN(60)) * time.Millisecond)
 		if rnd.IntN(3) > 0 {
-			w.Request(now)
+			w.AddRequest(now)
 			asked = append(asked, now)
 		} else if w.Take(now, 0) {
 			took = append(took, now)
@@ -64,7 +64,7 @@
 	for _, end := range took {
 		from := end.Add(-10 * time.Second)
 		got := float64(within(took, from, end))
-		if most := 0.5*float64(within(asked, from.Add(-w.Slice), end)) + 3; got > most {
+		if most := 0.5*float64(within(asked, from.Add(-w.BucketLength), end)) + 3; got > most {
 			t.Fatalf("extra attempts until %v: got %v, want at most %v", end, got, most)
 		}
 	}
--- a/pkg/roll/board.go
+++ b/pkg/roll/board.go
@@ -31,22 +31,22 @@
 	Done     State = "done"
 )
 
-// Load is the state of a version on one VM.
-type Load string
+// LoadState is the state of a version on one VM.
+type LoadState string
 
 // The states of a version on one VM.
 const (
 	// Waiting means that no load is in progress.
-	Waiting Load = "waiting"
-	Loading Load = "loading"
+	Waiting LoadState = "waiting"
+	Loading LoadState = "loading"
 	// Loaded means that the VM's guard reported the version.
-	Loaded Load = "loaded"
+	Loaded LoadState = "loaded"
 )
 
 // Target is one VM on which a roll-out loads its version.
 type Target struct {
-	VM    string `json:"vm"`
-	State Load   `json:"state"`
+	VM    string    `json:"vm"`
+	State LoadState `json:"state"`
 	// GiveUpAt is the deadline of a load in progress: if the guard has not
 	// reported the version by then, the target is Waiting again.
 	GiveUpAt time.Time `json:"giveUpAt,omitzero"`
@@ -148,7 +148,7 @@
 // SetState changes the state of the newest roll-out of a version, given as
 // model@version, to Running, Paused or Aborting. It returns ErrUnknown if there is
 // no such roll-out and ErrEnded if it has ended or is being aborted.
-func (b *Board) Order(name string, s State) error {
+func (b *Board) SetState(name string, s State) error {
 	r := b.find(name)
 	if r == nil {
 		return ErrUnknown
--- a/pkg/roll/judge.go
+++ b/pkg/roll/judge.go
@@ -68,7 +68,7 @@
 
 // AddRequest counts a request that this process sent to the service; isNew says that it
 // was sent to the new version.
-func (j *Judge) Sent(isNew bool) {
+func (j *Judge) AddRequest(isNew bool) {
 	j.own.Requests++
 	j.requests++
 	if isNew {
@@ -93,9 +93,9 @@
 		j.own.fault(row, a.Endpoint, a.Loaded)
 		j.newBad(a.Route, a.Endpoint, a.Loaded, 1)
 	default:
-		n := &c.Light
+		n := &c.NewGoodLight
 		if a.Loaded {
-			n = &c.Good
+			n = &c.NewGood
 		}
 		*n++
 		j.newGood(a.Route, a.Loaded, 1)
@@ -105,29 +105,29 @@
 
 // LocalReport returns the counts of this process, without Trial and Reporter. The report
 // shares memory with j and is valid until the next call of Add or AddRequest.
-func (j *Judge) Own() Report { return j.own }
+func (j *Judge) LocalReport() Report { return j.own }
 
 // Merge adds what another process counted since its last merged report. Late, repeated
 // and lost reports do no harm, as each report holds all counts of its process. Merge
 // ignores a report with a count below that of the last one, and reports of new processes
 // beyond maxReporters.
-func (j *Judge) Hear(r Report) {
-	was, ok := j.heard[r.Teller]
+func (j *Judge) Merge(r Report) {
+	was, ok := j.heard[r.Reporter]
 	if !ok && len(j.heard) >= heardMost || ok && !r.follows(&was) {
 		return
 	}
 	if j.heard == nil {
 		j.heard = make(map[uint64]Report)
 	}
-	j.heard[r.Teller] = r
+	j.heard[r.Reporter] = r
 	j.requests += int(r.Requests - was.Requests)
 	j.exposed += int(r.Exposed - was.Exposed)
 	for _, c := range r.Routes {
 		w := was.countsOf(c.Route)
 		j.old(c.Route, false, int(c.OldGood-w.OldGood))
 		j.old(c.Route, true, int(c.OldBad-w.OldBad))
-		j.newGood(c.Route, true, int(c.Good-w.Good))
-		j.newGood(c.Route, false, int(c.Light-w.Light))
+		j.newGood(c.Route, true, int(c.NewGood-w.NewGood))
+		j.newGood(c.Route, false, int(c.NewGoodLight-w.NewGoodLight))
 	}
 	for _, f := range r.Faults {
 		w := was.faultOf(f.Route, f.Endpoint)
@@ -192,7 +192,7 @@
 }
 
 // updateBad sets bad once the evidence reaches badThreshold.
-func (j *Judge) conclude() { j.bad = j.bad || j.Sum() >= convincing }
+func (j *Judge) conclude() { j.bad = j.bad || j.MaxSum() >= convincing }
 
 // Bad reports whether the version was found bad. Once true, it stays true.
 func (j *Judge) Bad() bool { return j.bad }
@@ -200,7 +200,7 @@
 // MaxSum returns the highest cumulative sum of the log likelihood ratio, over all routes
 // together and over each route with enough answers of the old version: the strongest
 // evidence against the new version.
-func (j *Judge) Sum() float64 {
+func (j *Judge) MaxSum() float64 {
 	most := j.guilt(&j.all)
 	for _, e := range j.routes {
 		// With few answers of the old version there is nothing to compare with.
@@ -229,7 +229,7 @@
 	switch {
 	case j.bad:
 		return Bad
-	case j.Sum() >= doubtful || j.speaksAgainst():
+	case j.MaxSum() >= doubtful || j.speaksAgainst():
 		return Doubtful
 	case j.ratio() > -promising:
 		return Unknown
--- a/pkg/roll/judge_test.go
+++ b/pkg/roll/judge_test.go
@@ -25,7 +25,7 @@
 	js := make([]Judge, routers)
 	add := func(a Answer) {
 		j := &js[rnd.IntN(routers)]
-		j.Sent(a.New)
+		j.AddRequest(a.New)
 		j.Add(a)
 	}
 	route := func() uint32 { return uint32(rnd.IntN(2)) }
@@ -39,10 +39,10 @@
 		add(Answer{Route: route(), Endpoint: endpoint, New: true, Bad: bad, Loaded: v.loaded})
 		for i := range js {
 			r := js[i].own.Copy()
-			r.Teller = uint64(i)
+			r.Reporter = uint64(i)
 			for k := range js {
 				if k != i {
-					js[k].Hear(r)
+					js[k].Merge(r)
 				}
 			}
 		}
@@ -116,15 +116,15 @@
 		for range 120 {
 			isNew := rnd.IntN(3) == 0
 			endpoint := uint32(rnd.IntN(5))
-			teller.Sent(isNew)
+			teller.AddRequest(isNew)
 			teller.Add(Answer{Route: uint32(rnd.IntN(3)), Endpoint: endpoint, New: isNew, Bad: rnd.IntN(10) == 0})
-			r := teller.Own()
+			r := teller.LocalReport()
 			reports = append(reports, r.Copy())
 		}
 		for range 60 {
-			hearer.Hear(reports[rnd.IntN(len(reports))])
+			hearer.Merge(reports[rnd.IntN(len(reports))])
 		}
-		hearer.Hear(reports[len(reports)-1])
+		hearer.Merge(reports[len(reports)-1])
 		n, of := hearer.Exposed()
 		wantN, want := teller.Exposed()
 		if n != wantN || of != want {
@@ -143,9 +143,9 @@
 	for i := range uint32(100) {
 		j.Add(Answer{Route: i, New: true, Bad: true, Endpoint: i})
 	}
-	r := j.Own()
-	if len(r.Routes) != RoutesMost || len(r.Faults) > FaultsMost {
-		t.Errorf("own report: got %d routes and %d faults, want at most %d and %d", len(r.Routes), len(r.Faults), RoutesMost, FaultsMost)
+	r := j.LocalReport()
+	if len(r.Routes) != MaxRoutes || len(r.Faults) > MaxFaults {
+		t.Errorf("own report: got %d routes and %d faults, want at most %d and %d", len(r.Routes), len(r.Faults), MaxRoutes, MaxFaults)
 	}
 }
 
@@ -190,11 +190,11 @@
 			}
 			teller.Add(Answer{Route: AspectOf(7), New: true, Endpoint: uint32(i)})
 		}
-		own := teller.Own()
+		own := teller.LocalReport()
 		report := own.Copy()
-		report.Teller = 1
-		hearer.Hear(report)
-		if got := report.countsOf(AspectOf(7)).Light; got != 60 {
+		report.Reporter = 1
+		hearer.Merge(report)
+		if got := report.countsOf(AspectOf(7)).NewGoodLight; got != 60 {
 			t.Errorf("%d routes: answers on the aspect's row: got %d, want 60", routes, got)
 		}
 		return teller, hearer
@@ -202,8 +202,8 @@
 	if teller, _ := judges(40); teller.Verdict() != Bad {
 		t.Errorf("reporter, one bad route of 40: got %v, want %v", teller.Verdict(), Bad)
 	}
-	if _, hearer := judges(RoutesMost + 2); hearer.Verdict() != Bad {
-		t.Errorf("receiver, one bad route of %d: got %v, want %v", RoutesMost+2, hearer.Verdict(), Bad)
+	if _, hearer := judges(MaxRoutes + 2); hearer.Verdict() != Bad {
+		t.Errorf("receiver, one bad route of %d: got %v, want %v", MaxRoutes+2, hearer.Verdict(), Bad)
 	}
 }
 
@@ -212,7 +212,7 @@
 func TestManyLivesAreHeard(t *testing.T) {
 	var j Judge
 	for life := range uint64(740) {
-		j.Hear(Report{Teller: life + 1, Requests: 2, Exposed: 1, Routes: []RouteCounts{{Route: 2, OldGood: 1, Good: 1}}})
+		j.Merge(Report{Reporter: life + 1, Requests: 2, Exposed: 1, Routes: []RouteCounts{{Route: 2, OldGood: 1, NewGood: 1}}})
 	}
 	if n, of := j.Exposed(); n != 740 || of != 1480 {
 		t.Errorf("exposed: got %d of %d, want 740 of 1480", n, of)
--- a/pkg/roll/report.go
+++ b/pkg/roll/report.go
@@ -12,14 +12,14 @@
 	// Trial is a hash of the service and the version; the sender sets it.
 	Trial uint64
 	// Reporter identifies the process; it is new with each restart. The sender sets it.
-	Teller uint64
+	Reporter uint64
 	// Requests is the number of requests sent to the service, Exposed the number of these
 	// sent to the new version.
 	Requests, Exposed uint32
 	// Routes has at most MaxRoutes routes and MaxAspects aspects, Faults at most MaxFaults
 	// entries.
 	Routes []RouteCounts
-	Faults []Fault
+	Faults []FaultCounts
 }
 
 // RouteCounts counts the answers of one route or aspect, except the bad ones of the new
@@ -30,16 +30,16 @@
 	// OldGood and OldBad count the old version's answers. NewGood and NewGoodLight count
 	// the new version's good ones, under a load like the old version's and under a lighter
 	// one.
-	OldGood, OldBad, Good, Light uint32
+	OldGood, OldBad, NewGood, NewGoodLight uint32
 }
 
 func (c *RouteCounts) follows(was *RouteCounts) bool {
-	return c.OldGood >= was.OldGood && c.OldBad >= was.OldBad && c.Good >= was.Good && c.Light >= was.Light
+	return c.OldGood >= was.OldGood && c.OldBad >= was.OldBad && c.NewGood >= was.NewGood && c.NewGoodLight >= was.NewGoodLight
 }
 
 // FaultCounts counts the bad answers of one endpoint of the new version on one route or
 // aspect.
-type Fault struct {
+type FaultCounts struct {
 	// Route and Endpoint are as in an Answer.
 	Route, Endpoint uint32
 	// Loaded counts the answers under a load like the old version's, Light those under a
@@ -47,7 +47,7 @@
 	Loaded, Light uint32
 }
 
-func (f *Fault) count(loaded bool) {
+func (f *FaultCounts) count(loaded bool) {
 	if loaded {
 		f.Loaded++
 	} else {
@@ -59,10 +59,10 @@
 // datagram. A row is an entry of Report.Routes; the last one of the routes and of the
 // aspects holds all those without a row of their own.
 const (
-	RoutesMost  = 16
-	AspectsMost = 4
-	RowsMost    = RoutesMost + AspectsMost
-	FaultsMost  = 40
+	MaxRoutes  = 16
+	MaxAspects = 4
+	MaxRows    = MaxRoutes + MaxAspects
+	MaxFaults  = 40
 )
 
 // otherRoutes is the ID of the row of all routes without a row of their own, otherAspects
@@ -76,9 +76,9 @@
 // has one or there is room for one, else that of all others. Without room, counts are
 // pooled rather than dropped.
 func (r *Report) row(route uint32) uint32 {
-	most, others := RoutesMost, otherRoutes
+	most, others := MaxRoutes, otherRoutes
 	if isAspect(route) {
-		most, others = AspectsMost, otherAspects
+		most, others = MaxAspects, otherAspects
 	}
 	n := 0
 	for i := range r.Routes {
@@ -115,8 +115,8 @@
 			return
 		}
 	}
-	if len(r.Faults) < FaultsMost {
-		r.Faults = append(r.Faults, Fault{Route: route, Endpoint: endpoint})
+	if len(r.Faults) < MaxFaults {
+		r.Faults = append(r.Faults, FaultCounts{Route: route, Endpoint: endpoint})
 	}
 	r.Faults[len(r.Faults)-1].count(loaded)
 }
@@ -130,19 +130,19 @@
 }
 
 // faultsOf returns the bad answers of an endpoint on a row, and zeros if there are none.
-func (r *Report) faultOf(route, endpoint uint32) Fault {
+func (r *Report) faultOf(route, endpoint uint32) FaultCounts {
 	for _, f := range r.Faults {
 		if f.Route == route && f.Endpoint == endpoint {
 			return f
 		}
 	}
-	return Fault{Route: route, Endpoint: endpoint}
+	return FaultCounts{Route: route, Endpoint: endpoint}
 }
 
 // follows reports whether r keeps the bounds of a report and no count is below that of an
 // earlier report.
 func (r *Report) follows(was *Report) bool {
-	if r.Requests < was.Requests || r.Exposed < was.Exposed || len(r.Routes) > RowsMost || len(r.Faults) > FaultsMost {
+	if r.Requests < was.Requests || r.Exposed < was.Exposed || len(r.Routes) > MaxRows || len(r.Faults) > MaxFaults {
 		return false
 	}
 	for _, w := range was.Routes {
--- a/pkg/roll/retired.go
+++ b/pkg/roll/retired.go
@@ -9,30 +9,30 @@
 // newest first. Endpoints of such versions may be listed long afterwards and must get no
 // requests, unless a new roll-out of the version is ordered. The zero value holds none;
 // unused elements are empty.
-type Past [pastMost]string
+type Retired [pastMost]string
 
 // maxRetired bounds the versions that are kept: endpoints of the third last roll-out are
 // certainly gone.
 const pastMost = 6
 
 // Has reports whether the version is retired.
-func (p Past) Has(version string) bool { return version != "" && slices.Contains(p[:], version) }
+func (p Retired) Has(version string) bool { return version != "" && slices.Contains(p[:], version) }
 
 // With returns p with version as its newest one; the oldest is dropped if there is no
 // room. It returns p itself for an empty version.
-func (p Past) With(version string) Past {
+func (p Retired) With(version string) Retired {
 	if version == "" {
 		return p
 	}
 	rest := p.Without(version)
-	next := Past{version}
+	next := Retired{version}
 	copy(next[1:], rest[:])
 	return next
 }
 
 // Without returns p without version.
-func (p Past) Without(version string) Past {
-	var next Past
+func (p Retired) Without(version string) Retired {
+	var next Retired
 	n := 0
 	for _, v := range p {
 		if v != version {
@@ -44,7 +44,7 @@
 }
 
 // List returns the versions, newest first.
-func (p Past) List() (list []string) {
+func (p Retired) List() (list []string) {
 	for _, v := range p {
 		if v != "" {
 			list = append(list, v)
@@ -54,7 +54,7 @@
 }
 
 // RetiredOf is the inverse of Retired.List.
-func PastOf(list []string) (p Past) {
+func RetiredOf(list []string) (p Retired) {
 	for _, v := range slices.Backward(list) {
 		p = p.With(v)
 	}
--- a/pkg/roll/retired_test.go
+++ b/pkg/roll/retired_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPast(t *testing.T) {
-	var p Past
+	var p Retired
 	for i := range 10 {
 		p = p.With(fmt.Sprint("v", i))
 	}
@@ -23,7 +23,7 @@
 	if got, want := p.Without("v8").List(), []string{"v9", "v7", "v6", "v5", "v4"}; !slices.Equal(got, want) {
 		t.Errorf("without a version: got %v, want %v", got, want)
 	}
-	if got := PastOf(p.List()); got != p {
+	if got := RetiredOf(p.List()); got != p {
 		t.Errorf("from the list: got %v, want %v", got, p)
 	}
 	if p.Has("") || !p.Has("v4") || p.Has("v3") {
@@ -44,9 +44,9 @@
 		{Trying, "v3", []string{"v2", "v1"}},
 		{Rejected, "v1", []string{"v2"}},
 	} {
-		last := Trial{Service: "s", Version: "v2", State: c.state, Step: 3, Past: PastOf([]string{"v1"})}
-		got := last.Ordered(c.order)
-		if got.State != Ordered || got.Step != 0 || got.Version != c.order || !slices.Equal(got.Past.List(), c.want) {
+		last := Trial{Service: "s", Version: "v2", State: c.state, Step: 3, Retired: RetiredOf([]string{"v1"})}
+		got := last.Successor(c.order)
+		if got.State != Ordered || got.Step != 0 || got.Version != c.order || !slices.Equal(got.Retired.List(), c.want) {
 			t.Errorf("%s after %s: got %+v, want %v retired", c.order, c.state, got, c.want)
 		}
 	}
--- a/pkg/roll/roll_test.go
+++ b/pkg/roll/roll_test.go
@@ -38,11 +38,11 @@
 
 const loadsMost = 2
 
-func (w *world) facts() *Facts {
-	return &Facts{
+func (w *world) facts() *StepInput {
+	return &StepInput{
 		Now: w.now, VMs: map[string][]string{"p": w.vms},
-		Has:        func(vm, _ string) (bool, bool) { return w.has[vm], true },
-		LoadWithin: func(now time.Time) time.Time { return now.Add(time.Minute) },
+		HasVersion: func(vm, _ string) (bool, bool) { return w.has[vm], true },
+		GiveUpAt:   func(now time.Time) time.Time { return now.Add(time.Minute) },
 	}
 }
 
@@ -89,12 +89,12 @@
 			w.has[o.VM] = true
 		}
 	}
-	c, ok := b.Rollouts[0].Wanted()
+	c, ok := b.Rollouts[0].PendingChange()
 	if !ok {
 		return
 	}
 	w.share = max(w.share, c.Share)
-	if interrupt > 2 && b.Accepted(c.ID, w.now) {
+	if interrupt > 2 && b.MarkAccepted(c.ID, w.now) {
 		w.write(&b, read)
 	}
 }
@@ -161,22 +161,22 @@
 		{"waves that do not reach 1", b.Start(Rollout{Waves: []float64{0.5}}), ErrWaves},
 		{"start", b.Start(r), nil},
 		{"start again", b.Start(r), ErrExists},
-		{"pause", b.Order("m@2", Paused), nil},
-		{"resume", b.Order("m@2", Running), nil},
-		{"unknown", b.Order("m@3", Paused), ErrUnknown},
-		{"abort", b.Order("m@2", Aborting), nil},
-		{"resume after abort", b.Order("m@2", Running), ErrEnded},
+		{"pause", b.SetState("m@2", Paused), nil},
+		{"resume", b.SetState("m@2", Running), nil},
+		{"unknown", b.SetState("m@3", Paused), ErrUnknown},
+		{"abort", b.SetState("m@2", Aborting), nil},
+		{"resume after abort", b.SetState("m@2", Running), ErrEnded},
 	}
 	for _, s := range steps {
 		if s.got != s.want {
 			t.Errorf("%s: got %v, want %v", s.name, s.got, s.want)
 		}
 	}
-	c, ok := b.Rollouts[0].Wanted()
+	c, ok := b.Rollouts[0].PendingChange()
 	if !ok || !c.Withdraw {
 		t.Errorf("after abort: got %+v %v, want a withdrawal", c, ok)
 	}
-	if !b.Accepted(c.ID, begin) || b.Accepted(c.ID, begin) || b.Rollouts[0].State != Aborted {
+	if !b.MarkAccepted(c.ID, begin) || b.MarkAccepted(c.ID, begin) || b.Rollouts[0].State != Aborted {
 		t.Errorf("after the withdrawal: got state %s, want aborted, once", b.Rollouts[0].State)
 	}
 }
--- a/pkg/roll/step.go
+++ b/pkg/roll/step.go
@@ -10,7 +10,7 @@
 )
 
 // StepInput is the state that a process observes when it takes a step.
-type Facts struct {
+type StepInput struct {
 	// Now is the time.
 	Now time.Time
 	// VMs lists the live VMs by pool. The targets of a pool that is missing are left as
@@ -18,9 +18,9 @@
 	VMs map[string][]string
 	// HasVersion reports whether the guard of a VM reports that the VM has a version;
 	// known is false if this process has no report of the VM.
-	Has func(vm, version string) (has, known bool)
+	HasVersion func(vm, version string) (has, known bool)
 	// GiveUpAt returns the deadline of a load that begins now.
-	LoadWithin func(now time.Time) time.Time
+	GiveUpAt func(now time.Time) time.Time
 }
 
 // Change is a change of the settings that a roll-out requires.
@@ -39,7 +39,7 @@
 
 // LoadOrder is an order to a VM to load a version. It is sent with the version of the
 // board's object as its fencing token.
-type Order struct {
+type LoadOrder struct {
 	VM, Model, Version string
 }
 
@@ -48,13 +48,13 @@
 type Plan struct {
 	// Changed says that the step changed the board.
 	Changed bool
-	Orders  []Order
+	Orders  []LoadOrder
 }
 
 // Step advances every roll-out as far as the input allows and updates b in place. The
 // plan has an order for each load that is in progress and not reported yet, also if a
 // former step had it: orders are idempotent.
-func (b *Board) Step(f *Facts) Plan {
+func (b *Board) Step(f *StepInput) Plan {
 	var p Plan
 	loads := 0
 	for i := range b.Rollouts {
@@ -88,7 +88,7 @@
 }
 
 // syncTargets makes the targets those of the live VMs, in the states that guards report.
-func (r *Rollout) follow(f *Facts, p *Plan) {
+func (r *Rollout) follow(f *StepInput, p *Plan) {
 	live := f.VMs[r.Pool]
 	if live == nil {
 		return
@@ -113,8 +113,8 @@
 // next returns the target in its observed state: Loaded once its guard reports the
 // version, and Waiting again if a load is past its deadline or a loaded VM no longer has
 // the version, as after its replacement.
-func (t Target) next(f *Facts, version string) Target {
-	has, known := f.Has(t.VM, version)
+func (t Target) next(f *StepInput, version string) Target {
+	has, known := f.HasVersion(t.VM, version)
 	switch {
 	case known && has:
 		return Target{VM: t.VM, State: Loaded}
@@ -129,13 +129,13 @@
 
 // startLoads starts loads of waiting targets up to maxLoads over all roll-outs. loads is
 // the number of loads in progress before, the result that after it.
-func (r *Rollout) begin(f *Facts, loads, most int, p *Plan) int {
+func (r *Rollout) begin(f *StepInput, loads, most int, p *Plan) int {
 	for i := range r.Targets {
 		if r.Targets[i].State != Waiting || loads >= most {
 			continue
 		}
 		r.Targets[i].State = Loading
-		r.Targets[i].GiveUpAt = f.LoadWithin(f.Now)
+		r.Targets[i].GiveUpAt = f.GiveUpAt(f.Now)
 		loads++
 		p.Changed = true
 	}
@@ -149,14 +149,14 @@
 	}
 	for _, t := range r.Targets {
 		if t.State == Loading {
-			p.Orders = append(p.Orders, Order{VM: t.VM, Model: r.Model, Version: r.Version})
+			p.Orders = append(p.Orders, LoadOrder{VM: t.VM, Model: r.Model, Version: r.Version})
 		}
 	}
 }
 
 // advance begins the next wave, or ends the roll-out after its last wave, once every
 // target has the version, the last wave is applied and its hold time is over.
-func (r *Rollout) advance(f *Facts, p *Plan) {
+func (r *Rollout) advance(f *StepInput, p *Plan) {
 	if !r.loaded() || len(r.Targets) == 0 || r.Applied < r.Wave || f.Now.Before(r.HoldUntil) {
 		return
 	}
@@ -172,7 +172,7 @@
 // PendingChange returns the settings change that the roll-out requires in its present
 // state, and false if it requires none. Any process may apply it: the ID is the same in
 // all of them, so that it is applied once.
-func (r *Rollout) Wanted() (Change, bool) {
+func (r *Rollout) PendingChange() (Change, bool) {
 	c := Change{Model: r.Model, Version: r.Version, Reason: fmt.Sprintf("roll-out of %s: %s", r.Name(), r.Reason)}
 	switch {
 	case r.ended():
@@ -196,10 +196,10 @@
 // MarkAccepted records that the settings change with the given ID was accepted: a
 // withdrawal ends the roll-out, a wave is held from now on. It returns false and changes
 // nothing if no roll-out requires that change any more.
-func (b *Board) Accepted(id string, now time.Time) bool {
+func (b *Board) MarkAccepted(id string, now time.Time) bool {
 	for i := range b.Rollouts {
 		r := &b.Rollouts[i]
-		c, ok := r.Wanted()
+		c, ok := r.PendingChange()
 		if !ok || c.ID != id {
 			continue
 		}
--- a/pkg/roll/trial.go
+++ b/pkg/roll/trial.go
@@ -33,27 +33,27 @@
 	// by the clock of this process.
 	Begun, Ends time.Time
 	// Retired holds the versions that must get no requests.
-	Past Past
+	Retired Retired
 	// MaxExposure is the part of the service's requests, 0 to 1, that a version which turns
 	// out bad may get, as configured at this process; 0 for defaultMaxExposure. The shares
 	// before the last step are proportional to it, but never above their defaults.
-	Most float64
+	MaxExposure float64
 	// Revision is that of the stored object from which the trial was read.
 	Revision int64
 }
 
 // IsOld reports whether a version serves the sessions that the new version does not: any
 // version that is neither the new one nor retired.
-func (t *Trial) Old(version string) bool { return version != t.Version && !t.Past.Has(version) }
+func (t *Trial) IsOld(version string) bool { return version != t.Version && !t.Retired.Has(version) }
 
 // Successor returns the trial of version when it is ordered after t, which may have ended
 // or not: only a proven version serves on, any other is retired.
-func (t *Trial) Ordered(version string) Trial {
-	past := t.Past
+func (t *Trial) Successor(version string) Trial {
+	past := t.Retired
 	if t.State != Proven {
 		past = past.With(t.Version)
 	}
-	return Trial{Service: t.Service, Version: version, State: Ordered, Past: past.Without(version)}
+	return Trial{Service: t.Service, Version: version, State: Ordered, Retired: past.Without(version)}
 }
 
 // step is one step of a trial: from at on, a fraction of the trial's duration, share of
@@ -105,7 +105,7 @@
 	// ExposureSpent says that the new version has got as many requests as a bad version may
 	// get. ExposureShort says that it would reach that number by the end of the trial if it
 	// got all requests from now on, and Burst that it would exceed it by far.
-	Spent, Crowded, Burst bool
+	ExposureSpent, ExposureShort, Burst bool
 }
 
 // Share returns the share of sessions, 0 to 1, that the new version serves.
@@ -125,16 +125,16 @@
 // otherwise they would use up so much of it that the last step had to come too late.
 func (t *Trial) shareOf(step int) float64 {
 	share := steps[step].share
-	if step == len(steps)-1 || t.Most <= 0 {
+	if step == len(steps)-1 || t.MaxExposure <= 0 {
 		return share
 	}
-	return share * min(t.Most/usualMost, 1)
+	return share * min(t.MaxExposure/usualMost, 1)
 }
 
 // ServesNew reports whether the new version serves a session with the random number draw,
 // 0 to 1, which is the same in every process. As the share only grows, a session moves to
 // the new version at most once.
-func (t *Trial) New(draw float64) bool { return draw < t.Share() }
+func (t *Trial) ServesNew(draw float64) bool { return draw < t.Share() }
 
 // LoadedShare returns the share of the sessions, 0 to 1, that one of the new version's
 // endpoints serves at now, so that it bears the load which the old version's endpoints
@@ -145,11 +145,11 @@
 // affected. All endpoints serve the rest of the share; they are lightly loaded and show
 // how slow the version is by itself. In the peak phase before the last step the endpoint
 // bears a load as in a burst.
-func (t *Trial) Loaded(endpoints int, now time.Time) float64 {
+func (t *Trial) LoadedShare(endpoints int, now time.Time) float64 {
 	if t.State != Trying || t.Step < 2 || t.Step == len(steps) || endpoints == 0 {
 		return 0
 	}
-	if t.Peaks(now) {
+	if t.InPeakPhase(now) {
 		return min(peak/float64(endpoints), t.Share()*peakMost)
 	}
 	// At most half of the share, so that at least as many sessions run under a light load.
@@ -159,7 +159,7 @@
 // InPeakPhase reports whether one endpoint bears a load as in a burst at now. A version
 // fails there if it fails under a load that it would otherwise get only after the last
 // step, when no other version is left.
-func (t *Trial) Peaks(now time.Time) bool {
+func (t *Trial) InPeakPhase(now time.Time) bool {
 	return t.State == Trying && t.Step == len(steps)-1 && t.part(now.Sub(t.Begun)) >= peakFrom
 }
 
@@ -204,7 +204,7 @@
 	if t.Step+1 < len(steps) {
 		return true
 	}
-	return !f.Crowded && (f.Verdict == Good && part >= lastForGood || f.Verdict == Fair)
+	return !f.ExposureShort && (f.Verdict == Good && part >= lastForGood || f.Verdict == Fair)
 }
 
 // lastStepState returns the state of a trial at its last step, at the fraction part of the
@@ -213,9 +213,9 @@
 	switch {
 	case f.Verdict == Good:
 		return proof(part, full, f)
-	case f.Verdict == Fair && part < waitsBy && !f.Spent:
+	case f.Verdict == Fair && part < waitsBy && !f.ExposureSpent:
 		return Trying
-	case full >= fullMost || part >= overBy || f.Spent:
+	case full >= fullMost || part >= overBy || f.ExposureSpent:
 		return Rejected
 	default:
 		return Trying
@@ -227,7 +227,7 @@
 // bad under the load of the burst fails within these seconds.
 func proof(part, full float64, f Findings) TrialState {
 	waits := f.Burst && part < 1
-	served := full >= fullFor || part >= overBy || f.Spent
+	served := full >= fullFor || part >= overBy || f.ExposureSpent
 	if served && !waits {
 		return Proven
 	}
--- a/pkg/roll/trial_test.go
+++ b/pkg/roll/trial_test.go
@@ -105,7 +105,7 @@
 		verdict Verdict
 		want    TrialState
 	}{{Unknown, Rejected}, {Fair, Rejected}, {Good, Proven}} {
-		if got, _ := tr.Next(at, Findings{Verdict: c.verdict, StepAt: at, Spent: true}); got.State != c.want {
+		if got, _ := tr.Next(at, Findings{Verdict: c.verdict, StepAt: at, ExposureSpent: true}); got.State != c.want {
 			t.Errorf("exposure spent and %v: got %s, want %s", c.verdict, got.State, c.want)
 		}
 	}
@@ -183,7 +183,7 @@
 	}{
 		{96, Findings{Verdict: Good}, Proven},
 		{96, Findings{Verdict: Good, Burst: true}, Trying},
-		{99, Findings{Verdict: Good, Burst: true, Spent: true}, Trying},
+		{99, Findings{Verdict: Good, Burst: true, ExposureSpent: true}, Trying},
 		{99, Findings{Verdict: Bad, Burst: true}, Rejected},
 		{101, Findings{Verdict: Good, Burst: true}, Proven},
 	} {
@@ -214,10 +214,10 @@
 		{3, 30, 19 * time.Second, 0, false},
 	} {
 		tr.Step = c.step
-		if got := tr.Loaded(c.endpoints, t0.Add(c.at)); math.Abs(got-c.want) > 1e-9 {
+		if got := tr.LoadedShare(c.endpoints, t0.Add(c.at)); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("step %d, %d endpoints, %v: got %.3f of the sessions, want %.3f", c.step, c.endpoints, c.at, got, c.want)
 		}
-		if got := tr.Peaks(t0.Add(c.at)); got != c.peaks {
+		if got := tr.InPeakPhase(t0.Add(c.at)); got != c.peaks {
 			t.Errorf("step %d, %v: in peak phase: got %v, want %v", c.step, c.at, got, c.peaks)
 		}
 	}
@@ -243,7 +243,7 @@
 // must still have the whole share.
 func TestSharesFollowTheUsersPart(t *testing.T) {
 	for _, most := range []float64{0, usualMost, 0.0975, 0.12, 0.3} {
-		trial := Trial{State: Trying, Most: most}
+		trial := Trial{State: Trying, MaxExposure: most}
 		got := 0.0
 		for i, s := range steps {
 			next := 1.0
--- a/pkg/sizes/choose.go
+++ b/pkg/sizes/choose.go
@@ -7,12 +7,12 @@
 // value and its cost are parts of the value of a good answer in time, which is 1.
 type Model struct {
 	// GoodProb is the probability that the answer is good.
-	Good float64
+	GoodProb float64
 	// InTimeProb is the probability that the answer comes in time; 0 or 1 for a model that
 	// has answered.
-	InTime float64
+	InTimeProb float64
 	// TooLate says that the answer cannot come before the caller gives up.
-	Never bool
+	TooLate bool
 	// Cost is the cost of asking the model; 0 for one that has answered.
 	Cost float64
 }
@@ -34,18 +34,18 @@
 func right(good float64) float64 { return good + (1-good)*weakWorth }
 
 // worth returns the expected value of the model's answer less its cost.
-func (m *Model) worth() float64 { return punctual(m.InTime)*right(m.Good) - m.Cost }
+func (m *Model) worth() float64 { return punctual(m.InTimeProb)*right(m.GoodProb) - m.Cost }
 
 // Choose returns the index in list of the model with the highest expected net value; 0 means
 // to keep the answer at hand. list holds the models that may serve the request, smallest
 // first; the first one has answered and list must not be empty. keepWorth is the expected
 // net value of that answer, bestWorth that of the choice. The value of a model includes the
 // gain of asking a still larger one after it.
-func Ask(list []Model) (next int, keep, asks float64) {
+func Choose(list []Model) (next int, keep, asks float64) {
 	keep = list[0].worth()
 	asks = keep
 	for i := 1; i < len(list); i++ {
-		if list[i].Never {
+		if list[i].TooLate {
 			continue
 		}
 		if w := list[i].worth() + further(list[i], list[i+1:]); w > asks {
@@ -59,14 +59,14 @@
 // of m turns out to be weak; 0 if none of them gains anything.
 func further(m Model, larger []Model) (most float64) {
 	for _, l := range larger {
-		if l.Never || l.Good <= m.Good {
+		if l.TooLate || l.GoodProb <= m.GoodProb {
 			continue
 		}
 		// The larger model is assumed to answer well whatever m answers well. Its answer
 		// comes after that of m.
-		weak := 1 - m.Good
-		asked := Model{Good: (l.Good - m.Good) / weak, InTime: l.InTime * m.InTime, Cost: l.Cost}
-		most = max(most, weak*(asked.worth()-punctual(m.InTime)*weakWorth))
+		weak := 1 - m.GoodProb
+		asked := Model{GoodProb: (l.GoodProb - m.GoodProb) / weak, InTimeProb: l.InTimeProb * m.InTimeProb, Cost: l.Cost}
+		most = max(most, weak*(asked.worth()-punctual(m.InTimeProb)*weakWorth))
 	}
 	return most
 }
--- a/pkg/sizes/confidence.go
+++ b/pkg/sizes/confidence.go
@@ -13,7 +13,7 @@
 // request is from the limit of what the model can answer, with normally distributed noise.
 // The zero value has no samples and returns the priors. ConfidenceStats is not safe for
 // concurrent use.
-type Opinions struct {
+type ConfidenceStats struct {
 	pairs map[pair]*gap
 	// variance is that of the differences around the mean of their pair, in squared points,
 	// and n the number of differences in it, at most maxSamples.
@@ -29,7 +29,7 @@
 
 const (
 	// EvenConfidence is the confidence of a model that is as likely to be right as wrong.
-	Even = 50
+	EvenConfidence = 50
 	// priorGain is the assumed difference in confidence between a model and the next larger
 	// one while few samples exist: it takes a request from poor to even odds. priorNoise is
 	// the assumed standard deviation of a confidence, a tenth of the scale. Both are in
@@ -52,8 +52,8 @@
 // Add adds the confidences of a smaller and a larger model in answers to the same request.
 // Pairs with a censored confidence are left out, so that a gain that mostly ends at the end
 // of the scale is estimated slightly too low.
-func (o *Opinions) Add(smaller, larger string, before, after int) {
-	if !Inside(before) || !Inside(after) || smaller == larger {
+func (o *ConfidenceStats) Add(smaller, larger string, before, after int) {
+	if !Uncensored(before) || !Uncensored(after) || smaller == larger {
 		return
 	}
 	if o.pairs == nil {
@@ -79,13 +79,13 @@
 // Uncensored reports whether a confidence lies inside the scale and so tells how far a
 // request is from the limit of what the model can answer. A confidence at an end of the
 // scale gives only a lower bound of that distance.
-func Inside(confidence int) bool { return confidence > scaleEnd && confidence < 100-scaleEnd }
+func Uncensored(confidence int) bool { return confidence > scaleEnd && confidence < 100-scaleEnd }
 
 // Gain returns by how many points the larger model is expected to be more confident, at
 // least 0. Without enough samples of the pair it is the prior for a model that is steps
 // sizes larger.
-func (o *Opinions) Gain(smaller, larger string, steps int) float64 {
-	if o.Known(smaller, larger) {
+func (o *ConfidenceStats) Gain(smaller, larger string, steps int) float64 {
+	if o.GainKnown(smaller, larger) {
 		return max(o.pairs[pair{smaller, larger}].mean, 0)
 	}
 	return float64(gainFirst * steps)
@@ -93,13 +93,13 @@
 
 // GainKnown reports whether there are enough samples of a pair of models for Gain to use
 // them.
-func (o *Opinions) Known(smaller, larger string) bool {
+func (o *ConfidenceStats) GainKnown(smaller, larger string) bool {
 	g, ok := o.pairs[pair{smaller, larger}]
 	return ok && g.n >= seenLeast
 }
 
 // Noise returns the standard deviation of one model's confidence, in points.
-func (o *Opinions) Roughness() float64 {
+func (o *ConfidenceStats) Noise() float64 {
 	if o.pairs == nil {
 		return roughFirst
 	}
@@ -108,7 +108,7 @@
 
 // GoodProb returns the probability that an answer is good if its model's expected confidence
 // is confidence, in points, averaged over the given number of samples.
-func (o *Opinions) Good(confidence float64, opinions int) float64 {
-	rough := o.Roughness() / math.Sqrt(float64(max(opinions, 1)))
-	return 0.5 * math.Erfc((Even-confidence)/(rough*math.Sqrt2))
+func (o *ConfidenceStats) GoodProb(confidence float64, opinions int) float64 {
+	rough := o.Noise() / math.Sqrt(float64(max(opinions, 1)))
+	return 0.5 * math.Erfc((EvenConfidence-confidence)/(rough*math.Sqrt2))
 }
--- a/pkg/sizes/confidence_test.go
+++ b/pkg/sizes/confidence_test.go
@@ -19,7 +19,7 @@
 // answers, and again after both have changed. The samples are those of a cascade: the larger
 // model is asked where the confidence of the smaller one is below 60.
 func TestOpinionsAreLearned(t *testing.T) {
-	var o Opinions
+	var o ConfidenceStats
 	if got := o.Gain("s", "l", 2); got != 2*gainFirst {
 		t.Errorf("gain of two sizes without samples: got %v, want %v", got, 2*gainFirst)
 	}
@@ -40,20 +40,20 @@
 		if got := o.Gain("s", "l", 1); math.Abs(got-c.gain) > c.within {
 			t.Errorf("after %d answers: gain: got %.1f, want %.0f within %.0f", c.n, got, c.gain, c.within)
 		}
-		if got := o.Roughness(); math.Abs(got-c.rough) > c.within {
+		if got := o.Noise(); math.Abs(got-c.rough) > c.within {
 			t.Errorf("after %d answers: noise: got %.1f, want %.0f within %.0f", c.n, got, c.rough, c.within)
 		}
 	}
 }
 
 func TestGood(t *testing.T) {
-	var o Opinions
+	var o ConfidenceStats
 	for _, c := range []struct {
 		confidence float64
 		opinions   int
 		want       float64
 	}{{50, 1, 0.5}, {60, 1, 0.84}, {40, 1, 0.16}, {60, 4, 0.977}} {
-		if got := o.Good(c.confidence, c.opinions); math.Abs(got-c.want) > 0.005 {
+		if got := o.GoodProb(c.confidence, c.opinions); math.Abs(got-c.want) > 0.005 {
 			t.Errorf("confidence %v, %d samples: got %.3f, want %.3f", c.confidence, c.opinions, got, c.want)
 		}
 	}
@@ -63,13 +63,13 @@
 // doubtful answer, the best one after a weak answer, and none after a good answer or where
 // the new answer would be too late.
 func TestAsk(t *testing.T) {
-	small := func(good float64) Model { return Model{Good: good, InTime: 1} }
-	middle := func(good float64) Model { return Model{Good: good, InTime: 0.95, Cost: 0.04} }
-	large := Model{Good: 0.98, InTime: 0.9, Cost: 0.15}
+	small := func(good float64) Model { return Model{GoodProb: good, InTimeProb: 1} }
+	middle := func(good float64) Model { return Model{GoodProb: good, InTimeProb: 0.95, Cost: 0.04} }
+	large := Model{GoodProb: 0.98, InTimeProb: 0.9, Cost: 0.15}
 	late := large
-	late.InTime = 0
+	late.InTimeProb = 0
 	never := large
-	never.Never = true
+	never.TooLate = true
 	for _, c := range []struct {
 		name string
 		list []Model
@@ -78,12 +78,12 @@
 		{"good", []Model{small(0.98), middle(0.99), large}, 0},
 		{"doubtful", []Model{small(0.7), middle(0.93), large}, 1},
 		{"weak", []Model{small(0.02), middle(0.05), large}, 2},
-		{"weak, the largest is late and costs more than it gains", []Model{small(0.02), {Good: 0.05, InTime: 0.9, Cost: 0.04}, late}, 0},
+		{"weak, the largest is late and costs more than it gains", []Model{small(0.02), {GoodProb: 0.05, InTimeProb: 0.9, Cost: 0.04}, late}, 0},
 		{"weak, the largest is too late", []Model{small(0.02), middle(0.3), never}, 1},
-		{"late already", []Model{{Good: 0.9}, {Good: 0.99, Cost: 0.04}}, 0},
+		{"late already", []Model{{GoodProb: 0.9}, {GoodProb: 0.99, Cost: 0.04}}, 0},
 		{"only one model", []Model{small(0.1)}, 0},
 	} {
-		if got, _, _ := Ask(c.list); got != c.want {
+		if got, _, _ := Choose(c.list); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
 		}
 	}
--- a/pkg/sizes/sizes.go
+++ b/pkg/sizes/sizes.go
@@ -40,7 +40,7 @@
 
 // Threshold returns the confidence below which an answer of the model at size leads to the
 // larger one at size next.
-func (p Policy) Under(size, next int) int {
+func (p Policy) Threshold(size, next int) int {
 	if next > size+1 {
 		return p.Straight
 	}
--- a/pkg/tries/tries.go
+++ b/pkg/tries/tries.go
@@ -21,35 +21,35 @@
 // State is the progress of a request.
 type State struct {
 	// Attempts is the number of attempts that reached an endpoint.
-	Made int
+	Attempts int
 	// AnswerBegun says that part of an answer was sent to the caller.
-	Begun bool
+	AnswerBegun bool
 	// Finished says that the caller no longer waits or that the answer is final.
-	Over bool
+	Finished bool
 }
 
 // Decision says whether a request is retried.
-type Verdict string
+type Decision string
 
 // The decisions.
 const (
 	// Stop ends the request with the failure.
-	Stop Verdict = "stop"
+	Stop Decision = "stop"
 	// Free allows another attempt without charging the retry budget.
-	Free Verdict = "free"
+	Free Decision = "free"
 	// Paid allows another attempt if the retry budget has room for it.
-	Paid Verdict = "paid"
+	Paid Decision = "paid"
 )
 
 // Next returns the decision after an attempt that failed with err. A request that may have
 // run is retried only if it may run again, and one whose answer has begun only if it may be
 // resumed. The retry is free if the endpoint refused the request before doing any work,
 // unless it refused for lack of capacity.
-func Next(r Rules, s State, err *fault.Error) Verdict {
+func Next(r Rules, s State, err *fault.Error) Decision {
 	switch {
-	case s.Over || s.Begun && !r.Resumable:
+	case s.Finished || s.AnswerBegun && !r.Resumable:
 		return Stop
-	case !err.Kind.Answer().Again || s.Made >= r.MaxAttempts:
+	case !err.Kind.Answer().Again || s.Attempts >= r.MaxAttempts:
 		return Stop
 	case err.Run != fault.NotRun && !r.mayRepeat():
 		return Stop
--- a/pkg/tries/tries_test.go
+++ b/pkg/tries/tries_test.go
@@ -21,17 +21,17 @@
 		r    Rules
 		s    State
 		err  *fault.Error
-		want Verdict
+		want Decision
 	}{
-		{"once, may have run", once, State{Made: 1}, lost, Stop},
+		{"once, may have run", once, State{Attempts: 1}, lost, Stop},
 		{"once, not sent", once, State{}, unsent, Free},
-		{"once, refused as full", once, State{Made: 1}, full, Paid},
-		{"safe, may have run", safe, State{Made: 1}, lost, Paid},
-		{"safe, answer begun", safe, State{Made: 1, Begun: true}, lost, Stop},
-		{"safe, attempts used up", safe, State{Made: 2}, lost, Stop},
-		{"stream, answer begun", stream, State{Made: 1, Begun: true}, lost, Paid},
-		{"caller gone", safe, State{Made: 1, Over: true}, lost, Stop},
-		{"bad request", safe, State{Made: 1}, bad, Stop},
+		{"once, refused as full", once, State{Attempts: 1}, full, Paid},
+		{"safe, may have run", safe, State{Attempts: 1}, lost, Paid},
+		{"safe, answer begun", safe, State{Attempts: 1, AnswerBegun: true}, lost, Stop},
+		{"safe, attempts used up", safe, State{Attempts: 2}, lost, Stop},
+		{"stream, answer begun", stream, State{Attempts: 1, AnswerBegun: true}, lost, Paid},
+		{"caller gone", safe, State{Attempts: 1, Finished: true}, lost, Stop},
+		{"bad request", safe, State{Attempts: 1}, bad, Stop},
 	} {
 		if got := Next(c.r, c.s, c.err); got != c.want {
 			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
