--- a/pkg/budget/budget.go
+++ b/pkg/budget/budget.go
@@ -9,7 +9,7 @@
 
 // bucketsPerWindow is the number of buckets in the length of a window. One more bucket is
 // counted, so that no span of the window's length holds more extra attempts than allowed.
-const slices = 20
+const bucketsPerWindow = 20
 
 // Window counts requests and extra attempts over a sliding window. The zero value has
 // neither ratio nor length: call SetLimits first. A Window is not safe for concurrent use.
@@ -22,41 +22,41 @@
 	// positive.
 	BucketLength time.Duration
 	// bucketStart is when the newest bucket began; zero before the first use.
-	start time.Time
+	bucketStart time.Time
 	// ring holds the buckets, newest is the index of the newest one. requests and extra are
 	// the sums over the ring.
-	ring          [slices + 1]slice
-	at            int
-	requests, ext int
+	ring            [bucketsPerWindow + 1]bucket
+	newest          int
+	requests, extra int
 }
 
 // bucket holds the counts of one part of the window.
-type slice struct{ requests, ext int }
+type bucket struct{ requests, extra int }
 
 // SetLimits sets the length of the window and its limits. What was counted is kept.
 func (w *Window) SetLimits(length time.Duration, ratio, slack float64) {
-	w.BucketLength, w.Ratio, w.Slack = length/slices, ratio, slack
+	w.BucketLength, w.Ratio, w.Slack = length/bucketsPerWindow, ratio, slack
 }
 
 // advance drops the buckets that have left the window.
-func (w *Window) turn(now time.Time) {
-	if w.start.IsZero() || now.Sub(w.start) > time.Duration(len(w.ring))*w.BucketLength {
-		w.ring, w.requests, w.ext, w.start = [slices + 1]slice{}, 0, 0, now
+func (w *Window) advance(now time.Time) {
+	if w.bucketStart.IsZero() || now.Sub(w.bucketStart) > time.Duration(len(w.ring))*w.BucketLength {
+		w.ring, w.requests, w.extra, w.bucketStart = [bucketsPerWindow + 1]bucket{}, 0, 0, now
 		return
 	}
-	for !now.Before(w.start.Add(w.BucketLength)) {
-		w.start = w.start.Add(w.BucketLength)
-		w.at = (w.at + 1) % len(w.ring)
-		w.requests -= w.ring[w.at].requests
-		w.ext -= w.ring[w.at].ext
-		w.ring[w.at] = slice{}
+	for !now.Before(w.bucketStart.Add(w.BucketLength)) {
+		w.bucketStart = w.bucketStart.Add(w.BucketLength)
+		w.newest = (w.newest + 1) % len(w.ring)
+		w.requests -= w.ring[w.newest].requests
+		w.extra -= w.ring[w.newest].extra
+		w.ring[w.newest] = bucket{}
 	}
 }
 
 // AddRequest counts a request.
 func (w *Window) AddRequest(now time.Time) {
-	w.turn(now)
-	w.ring[w.at].requests++
+	w.advance(now)
+	w.ring[w.newest].requests++
 	w.requests++
 }
 
@@ -66,28 +66,28 @@
 	if w.Remaining(now) < 1+reserve {
 		return false
 	}
-	w.ring[w.at].ext++
-	w.ext++
+	w.ring[w.newest].extra++
+	w.extra++
 	return true
 }
 
 // Refund returns an extra attempt that was taken but not made. It has no effect if none was
 // taken in the present bucket.
 func (w *Window) Refund(now time.Time) {
-	w.turn(now)
-	if w.ring[w.at].ext > 0 {
-		w.ring[w.at].ext--
-		w.ext--
+	w.advance(now)
+	if w.ring[w.newest].extra > 0 {
+		w.ring[w.newest].extra--
+		w.extra--
 	}
 }
 
 // Remaining returns the number of extra attempts that may still be made. It can be negative
 // once requests have left the window.
-func (w *Window) Remaining(now time.Time) float64 { return w.Allowed(now) - float64(w.ext) }
+func (w *Window) Remaining(now time.Time) float64 { return w.Allowed(now) - float64(w.extra) }
 
 // Allowed returns the number of extra attempts that the requests in the window and the slack
 // allow, including those already made.
 func (w *Window) Allowed(now time.Time) float64 {
-	w.turn(now)
+	w.advance(now)
 	return w.Ratio*float64(w.requests) + w.Slack
 }
--- a/pkg/roll/board.go
+++ b/pkg/roll/board.go
@@ -101,7 +101,7 @@
 
 // maxEndedRollouts is the number of roll-outs above which Start removes the oldest
 // ended ones.
-const endedKept = 20
+const maxEndedRollouts = 20
 
 // find returns the newest roll-out of a version, and nil if there is none.
 func (b *Board) find(name string) *Rollout {
@@ -116,7 +116,7 @@
 // Start adds a roll-out in state Running. It returns ErrWaves if r.Waves are not
 // valid and ErrExists if a roll-out of the version has not ended.
 func (b *Board) Start(r Rollout) error {
-	if !growing(r.Waves) {
+	if !validWaves(r.Waves) {
 		return ErrWaves
 	}
 	if old := b.find(r.Name()); old != nil && !old.ended() {
@@ -124,7 +124,7 @@
 	}
 	r.State, r.Wave, r.Applied = Running, 0, 0
 	b.Rollouts = append(b.Rollouts, r)
-	for i := 0; i < len(b.Rollouts) && len(b.Rollouts) > endedKept; i++ {
+	for i := 0; i < len(b.Rollouts) && len(b.Rollouts) > maxEndedRollouts; i++ {
 		if b.Rollouts[i].ended() {
 			b.Rollouts = slices.Delete(b.Rollouts, i, i+1)
 			i--
@@ -134,7 +134,7 @@
 }
 
 // validWaves reports whether the shares increase from above 0 to exactly 1.
-func growing(waves []float64) bool {
+func validWaves(waves []float64) bool {
 	last := 0.0
 	for _, w := range waves {
 		if w <= last {
--- a/pkg/roll/evidence.go
+++ b/pkg/roll/evidence.go
@@ -12,18 +12,18 @@
 type evidence struct {
 	// oldBadShare is the moving average of the old version's share of bad answers, 0
 	// to 1, and oldAnswers the number of its answers.
-	oldBad  float64
-	oldSeen int
+	oldBadShare float64
+	oldAnswers  int
 	// cusum is the log likelihood ratio since it was last 0, never negative: the
 	// cumulative sum test (Page, 1954), which also detects a version that turns bad
 	// late. cusumByEndpoint holds the sum's positive terms, those of bad answers, by
 	// endpoint.
-	sum float64
-	by  map[uint32]float64
+	cusum           float64
+	cusumByEndpoint map[uint32]float64
 	// llr is the log likelihood ratio of all answers since the start. loadedLLR is that
 	// of the answers under a load like the old version's, against a share that is higher
 	// by loadedExcess. Good answers lower neither below -maxGoodLLR.
-	any, loaded float64
+	llr, loadedLLR float64
 	// newGood and newBad count the new version's answers.
 	newGood, newBad int
 }
@@ -32,18 +32,18 @@
 	// priorBadShare is the share of bad answers that an old version is assumed to have
 	// before its first answer, and priorAnswers the number of answers that this prior
 	// counts as.
-	oldFirst       = 0.1
-	oldFirstWeight = 5
+	priorBadShare = 0.1
+	priorAnswers  = 5
 	// minOldWeight is the weight of one answer in the moving average of the old version's
 	// share once many were received. The average covers some seconds of a small fleet's
 	// answers, as disturbances that affect both versions last seconds.
-	oldWeight = 0.01
+	minOldWeight = 0.01
 	// minOldShare and maxOldShare bound the share that an old version is assumed to have.
 	// Within them single failures of the new version are no proof, and several are.
-	oldLeast, oldMost = 0.03, 0.7
+	minOldShare, maxOldShare = 0.03, 0.7
 	// minOldAnswers is the number of the old version's answers on a route from which the
 	// route is tested by itself.
-	oldEnough = 10
+	minOldAnswers = 10
 	// excess is how much higher the share of bad answers of a bad version is assumed to
 	// be. A version with 8 bad answers of 100 more than the old one is as likely to be
 	// found bad as not.
@@ -53,96 +53,96 @@
 	loadedExcess = 0.2
 	// badThreshold is the cumulative sum at which a version is bad: odds of about 8,000,
 	// as the sum is tested after each of some thousand answers.
-	convincing = 9
+	badThreshold = 9
 	// doubtfulThreshold is the cumulative sum from which a version is not good: odds of
 	// 90, as the sum is tested ten times a second.
-	doubtful = 4.5
+	doubtfulThreshold = 4.5
 	// doubtfulLLR is the log likelihood ratio of one route, or of the answers under load,
 	// above which a version is not good: odds of 4 to 5, as a route may have few answers.
-	against = 1.5
+	doubtfulLLR = 1.5
 	// fairLLR is the negated log likelihood ratio at which a version is fair: odds of 6,
 	// which takes 11 good answers. goodLLR is that at which it is good: odds of 100,
 	// provided that the answers under load reach goodLoadedLLR: odds of 10, which takes
 	// 10 good answers.
-	promising        = 1.8
-	acquitting       = 4.6
-	acquittingLoaded = 2.3
+	fairLLR       = 1.8
+	goodLLR       = 4.6
+	goodLoadedLLR = 2.3
 	// maxGoodLLR bounds the evidence in favour of a version, as it may turn bad late.
-	ratioMost = 7
+	maxGoodLLR = 7
 	// maxEndpointSum is the part of a cumulative sum that one endpoint contributes at
 	// most: one failing endpoint alone does not make a version bad.
-	oneMost = 5
+	maxEndpointSum = 5
 )
 
 // addOld adds n answers of the old version.
-func (e *evidence) old(bad bool, n int) {
+func (e *evidence) addOld(bad bool, n int) {
 	x := 0.0
 	if bad {
 		x = 1
 	}
-	if e.oldSeen == 0 {
-		e.oldBad = oldFirst
+	if e.oldAnswers == 0 {
+		e.oldBadShare = priorBadShare
 	}
-	for range min(n, batchMost) {
-		e.oldSeen++
-		e.oldBad += (x - e.oldBad) * max(oldWeight, 1/float64(e.oldSeen+oldFirstWeight))
+	for range min(n, maxBatch) {
+		e.oldAnswers++
+		e.oldBadShare += (x - e.oldBadShare) * max(minOldWeight, 1/float64(e.oldAnswers+priorAnswers))
 	}
 }
 
 // maxBatch is the maximum number of answers that one count of a report contributes.
-const batchMost = 2000
+const maxBatch = 2000
 
 // oldShare returns the share of bad answers, 0 to 1, that the old version is assumed to
 // have.
-func (e *evidence) share() float64 {
-	if e.oldSeen == 0 {
-		return oldFirst
+func (e *evidence) oldShare() float64 {
+	if e.oldAnswers == 0 {
+		return priorBadShare
 	}
-	return min(max(e.oldBad, oldLeast), oldMost)
+	return min(max(e.oldBadShare, minOldShare), maxOldShare)
 }
 
 // addGood adds n good answers of the new version; loaded says that they were given under
 // a load like the old version's.
-func (e *evidence) good(loaded bool, n int) {
+func (e *evidence) addGood(loaded bool, n int) {
 	e.newGood += n
-	old, times := e.share(), float64(min(n, batchMost))
+	old, times := e.oldShare(), float64(min(n, maxBatch))
 	ratio := math.Log((1-old-excess)/(1-old)) * times
-	e.any = max(e.any+ratio, -ratioMost)
+	e.llr = max(e.llr+ratio, -maxGoodLLR)
 	if loaded {
-		e.loaded = max(e.loaded+math.Log((1-old-loadedExcess)/(1-old))*times, -ratioMost)
+		e.loadedLLR = max(e.loadedLLR+math.Log((1-old-loadedExcess)/(1-old))*times, -maxGoodLLR)
 	}
-	if e.sum += ratio; e.sum <= 0 {
-		e.sum = 0
-		clear(e.by)
+	if e.cusum += ratio; e.cusum <= 0 {
+		e.cusum = 0
+		clear(e.cusumByEndpoint)
 	}
 }
 
 // addBad adds n bad answers of an endpoint of the new version; loaded says that they were
 // given under a load like the old version's.
-func (e *evidence) bad(endpoint uint32, loaded bool, n int) {
+func (e *evidence) addBad(endpoint uint32, loaded bool, n int) {
 	if n <= 0 {
 		return
 	}
 	e.newBad += n
-	old, times := e.share(), float64(min(n, batchMost))
+	old, times := e.oldShare(), float64(min(n, maxBatch))
 	ratio := math.Log((old+excess)/old) * times
-	e.any += ratio
-	e.sum += ratio
+	e.llr += ratio
+	e.cusum += ratio
 	if loaded {
-		e.loaded += math.Log((old+loadedExcess)/old) * times
+		e.loadedLLR += math.Log((old+loadedExcess)/old) * times
 	}
-	if e.by == nil {
-		e.by = make(map[uint32]float64)
+	if e.cusumByEndpoint == nil {
+		e.cusumByEndpoint = make(map[uint32]float64)
 	}
-	e.by[endpoint] += ratio
+	e.cusumByEndpoint[endpoint] += ratio
 }
 
 // endpointOverage returns by how much the contribution of the endpoint with the most bad
 // answers exceeds maxEndpointSum; 0 if it does not.
-func (e *evidence) oneSided() float64 {
+func (e *evidence) endpointOverage() float64 {
 	most := 0.0
-	for _, ratio := range e.by {
+	for _, ratio := range e.cusumByEndpoint {
 		most = max(most, ratio)
 	}
-	return max(most-oneMost, 0)
+	return max(most-maxEndpointSum, 0)
 }
--- a/pkg/roll/interleave_test.go
+++ b/pkg/roll/interleave_test.go
@@ -11,9 +11,9 @@
 
 // storedTrial is the object that holds a trial. A write succeeds only at the revision that was
 // read.
-type stored struct{ trial Trial }
+type storedTrial struct{ trial Trial }
 
-func (s *stored) put(t Trial) bool {
+func (s *storedTrial) put(t Trial) bool {
 	if t.Revision != s.trial.Revision {
 		return false
 	}
@@ -32,7 +32,7 @@
 	bad time.Time
 }
 
-func (p *process) read(s *stored, now time.Time) {
+func (p *process) read(s *storedTrial, now time.Time) {
 	if s.trial.Step != p.view.Step {
 		p.stepAt = now
 	}
@@ -41,7 +41,7 @@
 
 // step takes the next step if one is due. The write may be lost or delayed. The process does
 // not learn whether it succeeded.
-func (p *process) step(s *stored, now time.Time, rnd *rand.Rand, v Verdict) {
+func (p *process) step(s *storedTrial, now time.Time, rnd *rand.Rand, v Verdict) {
 	if !p.bad.IsZero() && !now.Before(p.bad) {
 		v = Bad
 	}
@@ -66,7 +66,7 @@
 	for seed := range uint64(3000) {
 		rnd := rand.New(rand.NewPCG(seed, 4))
 		t0 := time.Unix(0, 0)
-		s := &stored{Trial{State: Ordered, Begun: t0, Ends: t0.Add(whole), Revision: 1}}
+		s := &storedTrial{Trial{State: Ordered, Begun: t0, Ends: t0.Add(whole), Revision: 1}}
 		good := rnd.IntN(2) == 0
 		ps := make([]process, 1+rnd.IntN(4))
 		for i := range ps {
--- a/pkg/roll/judge.go
+++ b/pkg/roll/judge.go
@@ -37,12 +37,12 @@
 	Endpoints int
 	routes    map[uint32]*evidence
 	// overall is the evidence over all routes.
-	all evidence
+	overall evidence
 	// own holds the counts of this process, and received the last report of each process
 	// by Report.Reporter. requests and exposed are the sums of Requests and Exposed over
 	// own and received.
 	own               Report
-	heard             map[uint64]Report
+	received          map[uint64]Report
 	requests, exposed int
 	// bad is set once the version was found bad and never cleared.
 	bad bool
@@ -51,7 +51,7 @@
 // maxReporters bounds the processes whose reports are kept, some hundred bytes each. Each
 // restart of a router counts as a process of its own: 1,480 are four restarts each of 370
 // routers, as many as can be made one after another within a trial.
-const heardMost = 1480
+const maxReporters = 1480
 
 // Answer is one answer, or one aspect of an answer, as evidence.
 type Answer struct {
@@ -80,7 +80,7 @@
 // Add adds an answer that this process received.
 func (j *Judge) Add(a Answer) {
 	row := j.own.row(a.Route)
-	c := j.own.counts(row)
+	c := j.own.countsFor(row)
 	switch {
 	case !a.New:
 		n := &c.OldGood
@@ -88,19 +88,19 @@
 			n = &c.OldBad
 		}
 		*n++
-		j.old(a.Route, a.Bad, 1)
+		j.addOld(a.Route, a.Bad, 1)
 	case a.Bad:
-		j.own.fault(row, a.Endpoint, a.Loaded)
-		j.newBad(a.Route, a.Endpoint, a.Loaded, 1)
+		j.own.addFault(row, a.Endpoint, a.Loaded)
+		j.addNewBad(a.Route, a.Endpoint, a.Loaded, 1)
 	default:
 		n := &c.NewGoodLight
 		if a.Loaded {
 			n = &c.NewGood
 		}
 		*n++
-		j.newGood(a.Route, a.Loaded, 1)
+		j.addNewGood(a.Route, a.Loaded, 1)
 	}
-	j.conclude()
+	j.updateBad()
 }
 
 // LocalReport returns the counts of this process, without Trial and Reporter. The report
@@ -112,39 +112,39 @@
 // ignores a report with a count below that of the last one, and reports of new processes
 // beyond maxReporters.
 func (j *Judge) Merge(r Report) {
-	was, ok := j.heard[r.Reporter]
-	if !ok && len(j.heard) >= heardMost || ok && !r.follows(&was) {
+	was, ok := j.received[r.Reporter]
+	if !ok && len(j.received) >= maxReporters || ok && !r.follows(&was) {
 		return
 	}
-	if j.heard == nil {
-		j.heard = make(map[uint64]Report)
+	if j.received == nil {
+		j.received = make(map[uint64]Report)
 	}
-	j.heard[r.Reporter] = r
+	j.received[r.Reporter] = r
 	j.requests += int(r.Requests - was.Requests)
 	j.exposed += int(r.Exposed - was.Exposed)
 	for _, c := range r.Routes {
 		w := was.countsOf(c.Route)
-		j.old(c.Route, false, int(c.OldGood-w.OldGood))
-		j.old(c.Route, true, int(c.OldBad-w.OldBad))
-		j.newGood(c.Route, true, int(c.NewGood-w.NewGood))
-		j.newGood(c.Route, false, int(c.NewGoodLight-w.NewGoodLight))
+		j.addOld(c.Route, false, int(c.OldGood-w.OldGood))
+		j.addOld(c.Route, true, int(c.OldBad-w.OldBad))
+		j.addNewGood(c.Route, true, int(c.NewGood-w.NewGood))
+		j.addNewGood(c.Route, false, int(c.NewGoodLight-w.NewGoodLight))
 	}
 	for _, f := range r.Faults {
-		w := was.faultOf(f.Route, f.Endpoint)
-		j.newBad(f.Route, f.Endpoint, false, int(f.Light-w.Light))
-		j.newBad(f.Route, f.Endpoint, true, int(f.Loaded-w.Loaded))
+		w := was.faultsOf(f.Route, f.Endpoint)
+		j.addNewBad(f.Route, f.Endpoint, false, int(f.Light-w.Light))
+		j.addNewBad(f.Route, f.Endpoint, true, int(f.Loaded-w.Loaded))
 	}
-	j.conclude()
+	j.updateBad()
 }
 
 // maxJudgedRoutes bounds the routes and aspects of a Judge, some hundred bytes each. The
 // evidence of further ones counts only in the overall evidence.
-const routesKept = 256
+const maxJudgedRoutes = 256
 
 // evidenceFor returns the evidence of a route or an aspect, and creates it if needed.
-func (j *Judge) of(route uint32) *evidence {
+func (j *Judge) evidenceFor(route uint32) *evidence {
 	e, ok := j.routes[route]
-	if !ok && len(j.routes) >= routesKept {
+	if !ok && len(j.routes) >= maxJudgedRoutes {
 		return &evidence{}
 	}
 	if !ok {
@@ -172,27 +172,27 @@
 
 func isAspect(route uint32) bool { return route&aspectBit != 0 }
 
-func (j *Judge) old(route uint32, bad bool, n int) {
-	j.of(route).old(bad, n)
+func (j *Judge) addOld(route uint32, bad bool, n int) {
+	j.evidenceFor(route).addOld(bad, n)
 	if bad || !isAspect(route) {
-		j.all.old(bad, n)
+		j.overall.addOld(bad, n)
 	}
 }
 
-func (j *Judge) newGood(route uint32, loaded bool, n int) {
-	j.of(route).good(loaded, n)
+func (j *Judge) addNewGood(route uint32, loaded bool, n int) {
+	j.evidenceFor(route).addGood(loaded, n)
 	if !isAspect(route) {
-		j.all.good(loaded, n)
+		j.overall.addGood(loaded, n)
 	}
 }
 
-func (j *Judge) newBad(route, endpoint uint32, loaded bool, n int) {
-	j.of(route).bad(endpoint, loaded, n)
-	j.all.bad(endpoint, loaded, n)
+func (j *Judge) addNewBad(route, endpoint uint32, loaded bool, n int) {
+	j.evidenceFor(route).addBad(endpoint, loaded, n)
+	j.overall.addBad(endpoint, loaded, n)
 }
 
 // updateBad sets bad once the evidence reaches badThreshold.
-func (j *Judge) conclude() { j.bad = j.bad || j.MaxSum() >= convincing }
+func (j *Judge) updateBad() { j.bad = j.bad || j.MaxSum() >= badThreshold }
 
 // Bad reports whether the version was found bad. Once true, it stays true.
 func (j *Judge) Bad() bool { return j.bad }
@@ -201,11 +201,11 @@
 // together and over each route with enough answers of the old version: the strongest
 // evidence against the new version.
 func (j *Judge) MaxSum() float64 {
-	most := j.guilt(&j.all)
+	most := j.adjustedSum(&j.overall)
 	for _, e := range j.routes {
 		// With few answers of the old version there is nothing to compare with.
-		if e.oldSeen >= oldEnough {
-			most = max(most, j.guilt(e))
+		if e.oldAnswers >= minOldAnswers {
+			most = max(most, j.adjustedSum(e))
 		}
 	}
 	return most
@@ -213,15 +213,15 @@
 
 // adjustedSum returns the cumulative sum without the part that a single failing endpoint
 // may have caused.
-func (j *Judge) guilt(e *evidence) float64 { return max(e.sum-j.excused(e), 0) }
+func (j *Judge) adjustedSum(e *evidence) float64 { return max(e.cusum-j.endpointDiscount(e), 0) }
 
 // endpointDiscount returns the part of the evidence that a single failing endpoint may
 // have caused; 0 if the version has only one endpoint.
-func (j *Judge) excused(e *evidence) float64 {
+func (j *Judge) endpointDiscount(e *evidence) float64 {
 	if j.Endpoints == 1 {
 		return 0
 	}
-	return e.oneSided()
+	return e.endpointOverage()
 }
 
 // Verdict returns the verdict on the present evidence.
@@ -229,11 +229,11 @@
 	switch {
 	case j.bad:
 		return Bad
-	case j.MaxSum() >= doubtful || j.speaksAgainst():
+	case j.MaxSum() >= doubtfulThreshold || j.llrDoubtful():
 		return Doubtful
-	case j.ratio() > -promising:
+	case j.adjustedLLR() > -fairLLR:
 		return Unknown
-	case j.all.loaded <= -acquittingLoaded && j.ratio() <= -acquitting:
+	case j.overall.loadedLLR <= -goodLoadedLLR && j.adjustedLLR() <= -goodLLR:
 		return Good
 	default:
 		return Fair
@@ -242,16 +242,16 @@
 
 // adjustedLLR returns the log likelihood ratio over all routes, without the part that a
 // single failing endpoint may have caused.
-func (j *Judge) ratio() float64 { return j.all.any - j.excused(&j.all) }
+func (j *Judge) adjustedLLR() float64 { return j.overall.llr - j.endpointDiscount(&j.overall) }
 
 // llrDoubtful reports whether the log likelihood ratio of the answers under load, or that
 // of any route with enough answers of the old version, exceeds doubtfulLLR.
-func (j *Judge) speaksAgainst() bool {
-	if j.all.loaded > against {
+func (j *Judge) llrDoubtful() bool {
+	if j.overall.loadedLLR > doubtfulLLR {
 		return true
 	}
 	for _, e := range j.routes {
-		if e.oldSeen >= oldEnough && e.any-j.excused(e) > against {
+		if e.oldAnswers >= minOldAnswers && e.llr-j.endpointDiscount(e) > doubtfulLLR {
 			return true
 		}
 	}
@@ -266,14 +266,14 @@
 	// slowFactor is the multiple of the usual time beyond which an answer is slow. Up to a
 	// tenth of the old version's answers take as long. They count as bad as well, so that
 	// a disturbance of both versions is no evidence against either.
-	slower = 1.75
+	slowFactor = 1.75
 	// minSlowDelay is how much longer than usual a slow answer takes at least: less is the
 	// jitter of busy processes.
-	slowLeast = 10 * time.Millisecond
+	minSlowDelay = 10 * time.Millisecond
 )
 
 // Slow reports whether d is longer than an answer of the old version usually takes. It
 // returns false if the usual time is unknown, that is 0.
 func Slow(d, usual time.Duration) bool {
-	return usual > 0 && d > usual+slowLeast && float64(d) > slower*float64(usual)
+	return usual > 0 && d > usual+minSlowDelay && float64(d) > slowFactor*float64(usual)
 }
--- a/pkg/roll/judge_test.go
+++ b/pkg/roll/judge_test.go
@@ -11,7 +11,7 @@
 // scenario holds the shares of bad answers of the old and the new version, the number of
 // endpoints that give the new one's bad answers, and whether the new version's endpoints have
 // the old version's load.
-type version struct {
+type scenario struct {
 	oldBad, newBad float64
 	endpoints      int
 	loaded         bool
@@ -20,7 +20,7 @@
 // runJudges gives routers, which exchange reports, up to 300 answers of the old and 100 of the
 // new version. It returns the last verdict and, for a bad version, the number of its answers
 // when it was found bad.
-func judged(seed uint64, v version, routers int) (verdict Verdict, after int) {
+func runJudges(seed uint64, v scenario, routers int) (verdict Verdict, after int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	js := make([]Judge, routers)
 	add := func(a Answer) {
@@ -56,36 +56,36 @@
 func TestJudge(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		version
+		scenario
 		// most is the number of the new version's answers by which it must be found bad, and
 		// wrong the number of runs of 100 that may miss this or end with another verdict.
 		most, wrong int
 		want        Verdict
 	}{
-		{"errors", version{0, 0.4, 4, true}, 45, 3, Bad},
-		{"a fifth fails", version{0.03, 0.25, 4, true}, 100, 5, Bad},
-		{"good", version{0.005, 0.005, 4, true}, 0, 2, Good},
-		{"good under a lighter load", version{0.005, 0.005, 4, false}, 0, 2, Fair},
-		{"as bad as the old one", version{0.14, 0.14, 4, true}, 0, 35, Good},
-		{"worse than a bad old one", version{0.14, 0.6, 4, true}, 60, 3, Bad},
-		{"one endpoint fails", version{0.03, 0.9, 1, false}, 0, 3, Fair},
+		{"errors", scenario{0, 0.4, 4, true}, 45, 3, Bad},
+		{"a fifth fails", scenario{0.03, 0.25, 4, true}, 100, 5, Bad},
+		{"good", scenario{0.005, 0.005, 4, true}, 0, 2, Good},
+		{"good under a lighter load", scenario{0.005, 0.005, 4, false}, 0, 2, Fair},
+		{"as bad as the old one", scenario{0.14, 0.14, 4, true}, 0, 35, Good},
+		{"worse than a bad old one", scenario{0.14, 0.6, 4, true}, 60, 3, Bad},
+		{"one endpoint fails", scenario{0.03, 0.9, 1, false}, 0, 3, Fair},
 	} {
 		for _, routers := range []int{1, 5} {
-			wrong, convicted := 0, 0
+			wrong, foundBad := 0, 0
 			for seed := range uint64(100) {
-				got, n := judged(seed, c.version, routers)
+				got, n := runJudges(seed, c.scenario, routers)
 				if got != c.want || n > c.most {
 					wrong++
 				}
 				if got == Bad {
-					convicted++
+					foundBad++
 				}
 			}
 			if wrong > c.wrong {
 				t.Errorf("%s, %d routers: got %d verdicts of 100 that are not %v, want at most %d", c.name, routers, wrong, c.want, c.wrong)
 			}
-			if c.want != Bad && convicted > 2 {
-				t.Errorf("%s, %d routers: found bad in %d runs of 100, want at most 2", c.name, routers, convicted)
+			if c.want != Bad && foundBad > 2 {
+				t.Errorf("%s, %d routers: found bad in %d runs of 100, want at most 2", c.name, routers, foundBad)
 			}
 		}
 	}
@@ -108,29 +108,29 @@
 
 // TestMergeLostAndRepeatedReports merges reports in random order, some of them repeatedly and
 // some not at all, and finally the last one: the counts must equal the reporter's.
-func TestReportsMayBeLostAndComeTwice(t *testing.T) {
+func TestMergeLostAndRepeatedReports(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
-		var teller, hearer Judge
+		var reporter, receiver Judge
 		var reports []Report
 		for range 120 {
 			isNew := rnd.IntN(3) == 0
 			endpoint := uint32(rnd.IntN(5))
-			teller.AddRequest(isNew)
-			teller.Add(Answer{Route: uint32(rnd.IntN(3)), Endpoint: endpoint, New: isNew, Bad: rnd.IntN(10) == 0})
-			r := teller.LocalReport()
+			reporter.AddRequest(isNew)
+			reporter.Add(Answer{Route: uint32(rnd.IntN(3)), Endpoint: endpoint, New: isNew, Bad: rnd.IntN(10) == 0})
+			r := reporter.LocalReport()
 			reports = append(reports, r.Copy())
 		}
 		for range 60 {
-			hearer.Merge(reports[rnd.IntN(len(reports))])
+			receiver.Merge(reports[rnd.IntN(len(reports))])
 		}
-		hearer.Merge(reports[len(reports)-1])
-		n, of := hearer.Exposed()
-		wantN, want := teller.Exposed()
+		receiver.Merge(reports[len(reports)-1])
+		n, of := receiver.Exposed()
+		wantN, want := reporter.Exposed()
 		if n != wantN || of != want {
 			t.Fatalf("seed %d: exposed: got %d of %d, want %d of %d", seed, n, of, wantN, want)
 		}
-		if got, want := hearer.all.oldSeen, teller.all.oldSeen; got != want {
+		if got, want := receiver.overall.oldAnswers, reporter.overall.oldAnswers; got != want {
 			t.Fatalf("seed %d: old answers: got %d, want %d", seed, got, want)
 		}
 	}
@@ -181,38 +181,38 @@
 // the process that received its answers, and by others from a report that has no row for each
 // route. Aspects have rows whatever the number of routes.
 func TestBadOnOneRouteOfMany(t *testing.T) {
-	judges := func(routes int) (teller, hearer Judge) {
+	judges := func(routes int) (reporter, receiver Judge) {
 		for i := range 60 {
 			for n := range routes {
 				route := RouteOf(uint64(n))
-				teller.Add(Answer{Route: route, Endpoint: uint32(i)})
-				teller.Add(Answer{Route: route, New: true, Endpoint: uint32(i), Bad: n == routes-2})
+				reporter.Add(Answer{Route: route, Endpoint: uint32(i)})
+				reporter.Add(Answer{Route: route, New: true, Endpoint: uint32(i), Bad: n == routes-2})
 			}
-			teller.Add(Answer{Route: AspectOf(7), New: true, Endpoint: uint32(i)})
+			reporter.Add(Answer{Route: AspectOf(7), New: true, Endpoint: uint32(i)})
 		}
-		own := teller.LocalReport()
+		own := reporter.LocalReport()
 		report := own.Copy()
 		report.Reporter = 1
-		hearer.Merge(report)
+		receiver.Merge(report)
 		if got := report.countsOf(AspectOf(7)).NewGoodLight; got != 60 {
 			t.Errorf("%d routes: answers on the aspect's row: got %d, want 60", routes, got)
 		}
-		return teller, hearer
+		return reporter, receiver
 	}
-	if teller, _ := judges(40); teller.Verdict() != Bad {
-		t.Errorf("reporter, one bad route of 40: got %v, want %v", teller.Verdict(), Bad)
+	if reporter, _ := judges(40); reporter.Verdict() != Bad {
+		t.Errorf("reporter, one bad route of 40: got %v, want %v", reporter.Verdict(), Bad)
 	}
-	if _, hearer := judges(MaxRoutes + 2); hearer.Verdict() != Bad {
-		t.Errorf("receiver, one bad route of %d: got %v, want %v", MaxRoutes+2, hearer.Verdict(), Bad)
+	if _, receiver := judges(MaxRoutes + 2); receiver.Verdict() != Bad {
+		t.Errorf("receiver, one bad route of %d: got %v, want %v", MaxRoutes+2, receiver.Verdict(), Bad)
 	}
 }
 
 // TestMergeManyReporters checks that the reports of 370 routers that were all restarted once are
 // merged.
-func TestManyLivesAreHeard(t *testing.T) {
+func TestMergeManyReporters(t *testing.T) {
 	var j Judge
-	for life := range uint64(740) {
-		j.Merge(Report{Reporter: life + 1, Requests: 2, Exposed: 1, Routes: []RouteCounts{{Route: 2, OldGood: 1, NewGood: 1}}})
+	for reporter := range uint64(740) {
+		j.Merge(Report{Reporter: reporter + 1, Requests: 2, Exposed: 1, Routes: []RouteCounts{{Route: 2, OldGood: 1, NewGood: 1}}})
 	}
 	if n, of := j.Exposed(); n != 740 || of != 1480 {
 		t.Errorf("exposed: got %d of %d, want 740 of 1480", n, of)
--- a/pkg/roll/report.go
+++ b/pkg/roll/report.go
@@ -96,7 +96,7 @@
 }
 
 // countsFor returns the counts of a row, which it adds if needed.
-func (r *Report) counts(row uint32) *RouteCounts {
+func (r *Report) countsFor(row uint32) *RouteCounts {
 	for i := range r.Routes {
 		if r.Routes[i].Route == row {
 			return &r.Routes[i]
@@ -108,7 +108,7 @@
 
 // addFault counts a bad answer of the new version. Without room for another entry, it
 // counts in the last one.
-func (r *Report) fault(route, endpoint uint32, loaded bool) {
+func (r *Report) addFault(route, endpoint uint32, loaded bool) {
 	for i := range r.Faults {
 		if f := &r.Faults[i]; f.Route == route && f.Endpoint == endpoint {
 			f.count(loaded)
@@ -130,7 +130,7 @@
 }
 
 // faultsOf returns the bad answers of an endpoint on a row, and zeros if there are none.
-func (r *Report) faultOf(route, endpoint uint32) FaultCounts {
+func (r *Report) faultsOf(route, endpoint uint32) FaultCounts {
 	for _, f := range r.Faults {
 		if f.Route == route && f.Endpoint == endpoint {
 			return f
@@ -151,7 +151,7 @@
 		}
 	}
 	for _, w := range was.Faults {
-		if f := r.faultOf(w.Route, w.Endpoint); f.Loaded < w.Loaded || f.Light < w.Light {
+		if f := r.faultsOf(w.Route, w.Endpoint); f.Loaded < w.Loaded || f.Light < w.Light {
 			return false
 		}
 	}
--- a/pkg/roll/retired.go
+++ b/pkg/roll/retired.go
@@ -9,11 +9,11 @@
 // newest first. Endpoints of such versions may be listed long afterwards and must get no
 // requests, unless a new roll-out of the version is ordered. The zero value holds none;
 // unused elements are empty.
-type Retired [pastMost]string
+type Retired [maxRetired]string
 
 // maxRetired bounds the versions that are kept: endpoints of the third last roll-out are
 // certainly gone.
-const pastMost = 6
+const maxRetired = 6
 
 // Has reports whether the version is retired.
 func (p Retired) Has(version string) bool { return version != "" && slices.Contains(p[:], version) }
--- a/pkg/roll/retired_test.go
+++ b/pkg/roll/retired_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestPast(t *testing.T) {
+func TestRetired(t *testing.T) {
 	var p Retired
 	for i := range 10 {
 		p = p.With(fmt.Sprint("v", i))
@@ -33,7 +33,7 @@
 
 // TestSuccessor checks which versions are retired when the next one is ordered, by the state of
 // the last trial.
-func TestOrderedAfter(t *testing.T) {
+func TestSuccessor(t *testing.T) {
 	for _, c := range []struct {
 		state TrialState
 		order string
--- a/pkg/roll/roll_test.go
+++ b/pkg/roll/roll_test.go
@@ -36,7 +36,7 @@
 	share float64
 }
 
-const loadsMost = 2
+const loadsAtOnce = 2
 
 func (w *world) facts() *StepInput {
 	return &StepInput{
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	if n := after.loading(); n > loadsMost {
+	if n := after.loading(); n > loadsAtOnce {
 		w.t.Fatalf("got %d loads at once", n)
 	}
 }
@@ -124,7 +124,7 @@
 		for i := range rapid.IntRange(1, 6).Draw(t, "vms") {
 			w.vms = append(w.vms, fmt.Sprint("vm", i))
 		}
-		b := Board{LoadsAtOnce: loadsMost}
+		b := Board{LoadsAtOnce: loadsAtOnce}
 		if err := b.Start(Rollout{Model: "m", Version: "2", Pool: "p", Waves: []float64{0.1, 1}, HoldSeconds: 5, ID: "c"}); err != nil {
 			t.Fatal(err)
 		}
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestOrders(t *testing.T) {
+func TestStartAndSetState(t *testing.T) {
 	var b Board
 	r := Rollout{Model: "m", Version: "2", Waves: []float64{0.5, 1}}
 	steps := []struct {
--- a/pkg/roll/step.go
+++ b/pkg/roll/step.go
@@ -61,17 +61,17 @@
 		if b.Rollouts[i].ended() {
 			continue
 		}
-		b.Rollouts[i].follow(f, &p)
+		b.Rollouts[i].syncTargets(f, &p)
 		loads += b.Rollouts[i].loading()
 	}
 	for i := range b.Rollouts {
 		r := &b.Rollouts[i]
 		switch r.State {
 		case Running:
-			loads = r.begin(f, loads, max(b.LoadsAtOnce, 1), &p)
+			loads = r.startLoads(f, loads, max(b.LoadsAtOnce, 1), &p)
 			r.advance(f, &p)
 		}
-		r.order(&p)
+		r.addOrders(&p)
 	}
 	return p
 }
@@ -88,7 +88,7 @@
 }
 
 // syncTargets makes the targets those of the live VMs, in the states that guards report.
-func (r *Rollout) follow(f *StepInput, p *Plan) {
+func (r *Rollout) syncTargets(f *StepInput, p *Plan) {
 	live := f.VMs[r.Pool]
 	if live == nil {
 		return
@@ -129,9 +129,9 @@
 
 // startLoads starts loads of waiting targets up to maxLoads over all roll-outs. loads is
 // the number of loads in progress before, the result that after it.
-func (r *Rollout) begin(f *StepInput, loads, most int, p *Plan) int {
+func (r *Rollout) startLoads(f *StepInput, loads, maxLoads int, p *Plan) int {
 	for i := range r.Targets {
-		if r.Targets[i].State != Waiting || loads >= most {
+		if r.Targets[i].State != Waiting || loads >= maxLoads {
 			continue
 		}
 		r.Targets[i].State = Loading
@@ -143,7 +143,7 @@
 }
 
 // addOrders adds the orders of the loads in progress to the plan.
-func (r *Rollout) order(p *Plan) {
+func (r *Rollout) addOrders(p *Plan) {
 	if r.State != Running {
 		return
 	}
--- a/pkg/roll/summary.go
+++ b/pkg/roll/summary.go
@@ -29,8 +29,8 @@
 func (j *Judge) Summaries() []RouteSummary {
 	list := make([]RouteSummary, 0, len(j.routes))
 	for route, e := range j.routes {
-		list = append(list, RouteSummary{Route: route, OldAnswers: e.oldSeen, OldBadShare: e.oldBad, NewGood: e.newGood, NewBad: e.newBad,
-			Sum: j.guilt(e), LLR: e.any - j.excused(e)})
+		list = append(list, RouteSummary{Route: route, OldAnswers: e.oldAnswers, OldBadShare: e.oldBadShare, NewGood: e.newGood, NewBad: e.newBad,
+			Sum: j.adjustedSum(e), LLR: e.llr - j.endpointDiscount(e)})
 	}
 	slices.SortFunc(list, func(a, b RouteSummary) int {
 		return cmp.Or(cmp.Compare(b.Sum, a.Sum), cmp.Compare(b.LLR, a.LLR), cmp.Compare(a.Route, b.Route))
--- a/pkg/roll/trial.go
+++ b/pkg/roll/trial.go
@@ -71,7 +71,7 @@
 var steps = []step{{0.5, 0.1}, {0.6, 0.18}, {0.915, 1}}
 
 // defaultMaxExposure is the MaxExposure for which the shares of steps are.
-const usualMost = 0.15
+const defaultMaxExposure = 0.15
 
 // Fractions of a trial's duration, and the load of a peak.
 const (
@@ -81,20 +81,20 @@
 	// with a burst after such a version was proven, 5 of 40 exceeded the allowed exposure
 	// with it and 25 of 35 without it. Together with the later last step it costs 0.007 of
 	// a day on which a good version is rolled out while other faults occur.
-	peakFrom = 0.8
-	peak     = 2.5
-	peakMost = 0.8
+	peakStart    = 0.8
+	peakLoad     = 2.5
+	maxPeakShare = 0.8
 	// goodLastStepAt is when the last step of a version that is already good is due. The
 	// exposure that the delay saves is left for bursts that begin after the step.
-	lastForGood = 0.945
+	goodLastStepAt = 0.945
 	// minLastStep is how long the last step lasts before a good version is proven, and
 	// maxLastStep the time after which a version that is not good by then is rejected.
-	fullFor, fullMost = 0.03, 0.055
+	minLastStep, maxLastStep = 0.03, 0.055
 	// decisionAt is when a doubtful version is rejected at any step, and when a good one is
 	// proven without waiting for minLastStep: the rest of the time is for the write. Other
 	// verdicts may wait until latestEnd: at low request rates it may take that long to
 	// receive 30 answers.
-	overBy, waitsBy = 0.975, 1.1
+	decisionAt, latestEnd = 0.975, 1.1
 )
 
 // Findings are what a process knows of a trial beyond its stored state.
@@ -116,19 +116,19 @@
 	case t.State != Trying || t.Step == 0:
 		return 0
 	default:
-		return t.shareOf(min(t.Step, len(steps)) - 1)
+		return t.stepShare(min(t.Step, len(steps)) - 1)
 	}
 }
 
 // stepShare returns the share of the step at an index of steps. If less exposure is
 // allowed than by default, the shares before the last step are reduced in proportion:
 // otherwise they would use up so much of it that the last step had to come too late.
-func (t *Trial) shareOf(step int) float64 {
+func (t *Trial) stepShare(step int) float64 {
 	share := steps[step].share
 	if step == len(steps)-1 || t.MaxExposure <= 0 {
 		return share
 	}
-	return share * min(t.MaxExposure/usualMost, 1)
+	return share * min(t.MaxExposure/defaultMaxExposure, 1)
 }
 
 // ServesNew reports whether the new version serves a session with the random number draw,
@@ -150,7 +150,7 @@
 		return 0
 	}
 	if t.InPeakPhase(now) {
-		return min(peak/float64(endpoints), t.Share()*peakMost)
+		return min(peakLoad/float64(endpoints), t.Share()*maxPeakShare)
 	}
 	// At most half of the share, so that at least as many sessions run under a light load.
 	return min(1/float64(endpoints), t.Share()/2)
@@ -160,7 +160,7 @@
 // fails there if it fails under a load that it would otherwise get only after the last
 // step, when no other version is left.
 func (t *Trial) InPeakPhase(now time.Time) bool {
-	return t.State == Trying && t.Step == len(steps)-1 && t.part(now.Sub(t.Begun)) >= peakFrom
+	return t.State == Trying && t.Step == len(steps)-1 && t.fraction(now.Sub(t.Begun)) >= peakStart
 }
 
 // Next returns the trial with the transition that is due at now, and whether there is one.
@@ -180,14 +180,14 @@
 		next.State = Rejected
 		return next, true
 	}
-	part := t.part(now.Sub(t.Begun))
+	part := t.fraction(now.Sub(t.Begun))
 	if t.Step == len(steps) {
-		next.State = t.ending(part, t.part(now.Sub(f.StepAt)), f)
+		next.State = t.lastStepState(part, t.fraction(now.Sub(f.StepAt)), f)
 		return next, next != *t
 	}
-	if part >= overBy && f.Verdict == Doubtful || part >= waitsBy && f.Verdict != Good {
+	if part >= decisionAt && f.Verdict == Doubtful || part >= latestEnd && f.Verdict != Good {
 		next.State = Rejected
-	} else if t.due(part, f) {
+	} else if t.stepDue(part, f) {
 		next.Step++
 	}
 	return next, next != *t
@@ -197,25 +197,25 @@
 // skipped, as each must have been in force before the next. The last step requires a fair
 // or good version. It waits while requests come so often that the rest of the trial would
 // exceed the allowed exposure: the times of the steps assume an even rate of requests.
-func (t *Trial) due(part float64, f Findings) bool {
+func (t *Trial) stepDue(part float64, f Findings) bool {
 	if part < steps[t.Step].at {
 		return false
 	}
 	if t.Step+1 < len(steps) {
 		return true
 	}
-	return !f.ExposureShort && (f.Verdict == Good && part >= lastForGood || f.Verdict == Fair)
+	return !f.ExposureShort && (f.Verdict == Good && part >= goodLastStepAt || f.Verdict == Fair)
 }
 
 // lastStepState returns the state of a trial at its last step, at the fraction part of the
 // trial. full is the fraction that the last step has lasted.
-func (t *Trial) ending(part, full float64, f Findings) TrialState {
+func (t *Trial) lastStepState(part, full float64, f Findings) TrialState {
 	switch {
 	case f.Verdict == Good:
-		return proof(part, full, f)
-	case f.Verdict == Fair && part < waitsBy && !f.ExposureSpent:
+		return goodState(part, full, f)
+	case f.Verdict == Fair && part < latestEnd && !f.ExposureSpent:
 		return Trying
-	case full >= fullMost || part >= overBy || f.ExposureSpent:
+	case full >= maxLastStep || part >= decisionAt || f.ExposureSpent:
 		return Rejected
 	default:
 		return Trying
@@ -225,9 +225,9 @@
 // goodState returns the state of a trial of a good version at its last step. As a proof
 // cannot be undone, it waits during a burst until the end of the trial: a version that is
 // bad under the load of the burst fails within these seconds.
-func proof(part, full float64, f Findings) TrialState {
+func goodState(part, full float64, f Findings) TrialState {
 	waits := f.Burst && part < 1
-	served := full >= fullFor || part >= overBy || f.ExposureSpent
+	served := full >= minLastStep || part >= decisionAt || f.ExposureSpent
 	if served && !waits {
 		return Proven
 	}
@@ -235,4 +235,4 @@
 }
 
 // fraction returns d as a fraction of the trial's duration.
-func (t *Trial) part(d time.Duration) float64 { return float64(d) / float64(t.Ends.Sub(t.Begun)) }
+func (t *Trial) fraction(d time.Duration) float64 { return float64(d) / float64(t.Ends.Sub(t.Begun)) }
--- a/pkg/roll/trial_test.go
+++ b/pkg/roll/trial_test.go
@@ -15,14 +15,14 @@
 )
 
 // verdictFrom is a verdict that holds from a time of a trial on.
-type found struct {
+type verdictFrom struct {
 	from    time.Duration
 	verdict Verdict
 }
 
 // runTrial runs a trial of 20 s and calls onChange for each transition. The verdicts must be in
 // the order of their times.
-func play(verdicts []found, onChange func(at time.Duration, tr Trial)) Trial {
+func runTrial(verdicts []verdictFrom, onChange func(at time.Duration, tr Trial)) Trial {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Ordered, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	f := Findings{StepAt: t0}
@@ -49,7 +49,7 @@
 // golden file.
 func TestTrialOverTime(t *testing.T) {
 	var got bytes.Buffer
-	for _, verdicts := range [][]found{
+	for _, verdicts := range [][]verdictFrom{
 		{{0, Good}},
 		{{0, Unknown}, {14 * time.Second, Bad}},
 		{{0, Unknown}},
@@ -65,7 +65,7 @@
 			fmt.Fprintf(&got, " %v at %v", v.verdict, v.from)
 		}
 		fmt.Fprintln(&got)
-		play(verdicts, func(at time.Duration, tr Trial) {
+		runTrial(verdicts, func(at time.Duration, tr Trial) {
 			fmt.Fprintf(&got, "  %6v  %-8s step %d  share %.2f\n", at, tr.State, tr.Step, tr.Share())
 		})
 	}
@@ -77,12 +77,12 @@
 func TestTrialBoundsExposure(t *testing.T) {
 	for seed := range uint64(2000) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		var verdicts []found
+		var verdicts []verdictFrom
 		for at := time.Duration(0); at < 20*time.Second; at += time.Duration(rnd.IntN(4000)) * time.Millisecond {
-			verdicts = append(verdicts, found{at, []Verdict{Unknown, Fair, Fair, Doubtful}[rnd.IntN(4)]})
+			verdicts = append(verdicts, verdictFrom{at, []Verdict{Unknown, Fair, Fair, Doubtful}[rnd.IntN(4)]})
 		}
 		exposed, share, last := 0.0, 0.0, time.Duration(0)
-		tr := play(verdicts, func(at time.Duration, tr Trial) {
+		tr := runTrial(verdicts, func(at time.Duration, tr Trial) {
 			at = min(at, 20*time.Second)
 			exposed += share * float64(at-last)
 			share, last = tr.Share(), at
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestTrialEndsWhenItsRequestsAreSpent(t *testing.T) {
+func TestTrialEndsWhenExposureIsSpent(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Trying, Step: 3, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	at := t0.Add(16 * time.Second)
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestTrialIsNotSkippedThrough(t *testing.T) {
+func TestTrialSkipsNoStep(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Trying, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	next, _ := tr.Next(t0.Add(18*time.Second), Findings{Verdict: Good})
@@ -168,7 +168,7 @@
 // TestBurstDelaysProof checks that a good version at the last step is not proven before the end
 // of the trial during a burst: a version that fails under the load of the burst would be proven
 // before it fails.
-func TestBurstLetsTheProofWait(t *testing.T) {
+func TestBurstDelaysProof(t *testing.T) {
 	begun := time.Unix(0, 0)
 	last := Trial{Service: "s", Version: "v2", State: Trying, Step: len(steps), Begun: begun, Ends: begun.Add(100 * time.Second)}
 	at := func(second int, f Findings) TrialState {
@@ -196,7 +196,7 @@
 // TestLoadedShare checks that one endpoint bears the usual load from the second step on, and a
 // peak in the last fifth of the trial until the last step. A part of the share remains for all
 // endpoints, also where there are few.
-func TestOneEndpointBearsAPeak(t *testing.T) {
+func TestLoadedShare(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Trying, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	for _, c := range []struct {
@@ -207,9 +207,9 @@
 	}{
 		{1, 30, 17 * time.Second, 0, false},
 		{2, 30, 15 * time.Second, 1. / 30, false},
-		{2, 30, 17 * time.Second, peak / 30, true},
+		{2, 30, 17 * time.Second, peakLoad / 30, true},
 		{2, 4, 15 * time.Second, 0.09, false},
-		{2, 4, 17 * time.Second, 0.18 * peakMost, true},
+		{2, 4, 17 * time.Second, 0.18 * maxPeakShare, true},
 		{2, 0, 17 * time.Second, 0, true},
 		{3, 30, 19 * time.Second, 0, false},
 	} {
@@ -230,7 +230,7 @@
 		verdict Verdict
 		want    time.Duration
 	}{{Fair, 18300 * time.Millisecond}, {Good, 18900 * time.Millisecond}} {
-		play([]found{{0, c.verdict}}, func(at time.Duration, tr Trial) {
+		runTrial([]verdictFrom{{0, c.verdict}}, func(at time.Duration, tr Trial) {
 			if tr.State == Trying && tr.Step == len(steps) && (at < c.want || at > c.want+100*time.Millisecond) {
 				t.Errorf("%v: last step at %v, want %v", c.verdict, at, c.want)
 			}
@@ -241,8 +241,8 @@
 // TestSharesFollowMaxExposure checks that the requests of a version, with the last step at the time
 // for a good one, stay within the allowed exposure where it is lower than the default. The last step
 // must still have the whole share.
-func TestSharesFollowTheUsersPart(t *testing.T) {
-	for _, most := range []float64{0, usualMost, 0.0975, 0.12, 0.3} {
+func TestSharesFollowMaxExposure(t *testing.T) {
+	for _, most := range []float64{0, defaultMaxExposure, 0.0975, 0.12, 0.3} {
 		trial := Trial{State: Trying, MaxExposure: most}
 		got := 0.0
 		for i, s := range steps {
@@ -251,17 +251,17 @@
 				next = steps[i+1].at
 			}
 			if i+1 == len(steps)-1 {
-				next = lastForGood
+				next = goodLastStepAt
 			}
 			if i == len(steps)-1 {
-				s.at = lastForGood
+				s.at = goodLastStepAt
 			}
 			trial.Step = i + 1
 			got += trial.Share() * (next - s.at)
 		}
-		want := usualMost
+		want := defaultMaxExposure
 		if most > 0 {
-			want = min(most, usualMost)
+			want = min(most, defaultMaxExposure)
 		}
 		if got > want+0.01 {
 			t.Errorf("max exposure %v: got %.4f of the requests by the end, want at most %v", most, got, want)
--- a/pkg/sizes/choose.go
+++ b/pkg/sizes/choose.go
@@ -27,37 +27,37 @@
 
 // timeFactor returns the factor by which the probability of coming in time reduces the
 // expected value of an answer.
-func punctual(inTime float64) float64 { return inTime + (1-inTime)*lateWorth }
+func timeFactor(inTime float64) float64 { return inTime + (1-inTime)*lateWorth }
 
 // qualityFactor returns the factor by which the probability of being good reduces the
 // expected value of an answer.
-func right(good float64) float64 { return good + (1-good)*weakWorth }
+func qualityFactor(good float64) float64 { return good + (1-good)*weakWorth }
 
 // worth returns the expected value of the model's answer less its cost.
-func (m *Model) worth() float64 { return punctual(m.InTimeProb)*right(m.GoodProb) - m.Cost }
+func (m *Model) worth() float64 { return timeFactor(m.InTimeProb)*qualityFactor(m.GoodProb) - m.Cost }
 
 // Choose returns the index in list of the model with the highest expected net value; 0 means
 // to keep the answer at hand. list holds the models that may serve the request, smallest
 // first; the first one has answered and list must not be empty. keepWorth is the expected
 // net value of that answer, bestWorth that of the choice. The value of a model includes the
 // gain of asking a still larger one after it.
-func Choose(list []Model) (next int, keep, asks float64) {
-	keep = list[0].worth()
-	asks = keep
+func Choose(list []Model) (next int, keepWorth, bestWorth float64) {
+	keepWorth = list[0].worth()
+	bestWorth = keepWorth
 	for i := 1; i < len(list); i++ {
 		if list[i].TooLate {
 			continue
 		}
-		if w := list[i].worth() + further(list[i], list[i+1:]); w > asks {
-			next, asks = i, w
+		if w := list[i].worth() + escalationGain(list[i], list[i+1:]); w > bestWorth {
+			next, bestWorth = i, w
 		}
 	}
-	return next, keep, asks
+	return next, keepWorth, bestWorth
 }
 
 // escalationGain returns the expected gain of asking one of the larger models if the answer
 // of m turns out to be weak; 0 if none of them gains anything.
-func further(m Model, larger []Model) (most float64) {
+func escalationGain(m Model, larger []Model) (most float64) {
 	for _, l := range larger {
 		if l.TooLate || l.GoodProb <= m.GoodProb {
 			continue
@@ -66,7 +66,7 @@
 		// comes after that of m.
 		weak := 1 - m.GoodProb
 		asked := Model{GoodProb: (l.GoodProb - m.GoodProb) / weak, InTimeProb: l.InTimeProb * m.InTimeProb, Cost: l.Cost}
-		most = max(most, weak*(asked.worth()-punctual(m.InTimeProb)*weakWorth))
+		most = max(most, weak*(asked.worth()-timeFactor(m.InTimeProb)*weakWorth))
 	}
 	return most
 }
--- a/pkg/sizes/confidence_test.go
+++ b/pkg/sizes/confidence_test.go
@@ -18,10 +18,10 @@
 // TestConfidenceStats checks that the gain of a pair and the noise are learned from some ten
 // answers, and again after both have changed. The samples are those of a cascade: the larger
 // model is asked where the confidence of the smaller one is below 60.
-func TestOpinionsAreLearned(t *testing.T) {
+func TestConfidenceStats(t *testing.T) {
 	var o ConfidenceStats
-	if got := o.Gain("s", "l", 2); got != 2*gainFirst {
-		t.Errorf("gain of two sizes without samples: got %v, want %v", got, 2*gainFirst)
+	if got := o.Gain("s", "l", 2); got != 2*priorGain {
+		t.Errorf("gain of two sizes without samples: got %v, want %v", got, 2*priorGain)
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	learn := func(n int, gain, rough float64) {
@@ -46,15 +46,15 @@
 	}
 }
 
-func TestGood(t *testing.T) {
+func TestGoodProb(t *testing.T) {
 	var o ConfidenceStats
 	for _, c := range []struct {
 		confidence float64
-		opinions   int
+		samples    int
 		want       float64
 	}{{50, 1, 0.5}, {60, 1, 0.84}, {40, 1, 0.16}, {60, 4, 0.977}} {
-		if got := o.GoodProb(c.confidence, c.opinions); math.Abs(got-c.want) > 0.005 {
-			t.Errorf("confidence %v, %d samples: got %.3f, want %.3f", c.confidence, c.opinions, got, c.want)
+		if got := o.GoodProb(c.confidence, c.samples); math.Abs(got-c.want) > 0.005 {
+			t.Errorf("confidence %v, %d samples: got %.3f, want %.3f", c.confidence, c.samples, got, c.want)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 // TestChoose checks that the model with the highest net value is chosen: a cheap one after a
 // doubtful answer, the best one after a weak answer, and none after a good answer or where
 // the new answer would be too late.
-func TestAsk(t *testing.T) {
+func TestChoose(t *testing.T) {
 	small := func(good float64) Model { return Model{GoodProb: good, InTimeProb: 1} }
 	middle := func(good float64) Model { return Model{GoodProb: good, InTimeProb: 0.95, Cost: 0.04} }
 	large := Model{GoodProb: 0.98, InTimeProb: 0.9, Cost: 0.15}
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -62,7 +62,7 @@
     "ownBillForgets": ("internal/guard/bills.go", "		r.billed = true", "		r.settled = true", "./internal/guard", "TestAskAfterOwnBill"),
     "revisionGoesBack": ("pkg/config/snapshot.go", "if head.Revision <= s.Head.Revision {", "if false {", "./internal/spread", "TestNeverBack"),
     "guardTrustsOrders": ("internal/guard/order.go", "if fence < version || fence < g.fence {", "if false {", "./internal/rig", "TestOldOrder"),
-    "rolloutForgetsLimit": ("pkg/roll/step.go", "|| loads >= most {", "{", "./internal/rig", "TestRollout"),
+    "rolloutForgetsLimit": ("pkg/roll/step.go", "|| loads >= maxLoads {", "{", "./internal/rig", "TestRollout"),
     "shareIgnored": ("pkg/route/decide.go", "case req.Draw >= c.Spec.Exposure():", "case false:", "./internal/rig", "TestRollout|TestRolloutAborted"),
     "wavesBeforeLoads": ("pkg/roll/step.go", "if !r.loaded() || len(r.Targets) == 0 ||", "if len(r.Targets) == 0 ||", "./pkg/roll", "TestInterrupted"),
     "frozenDecides": ("internal/entry/serve.go", "	e.catchUp()\n", "", "./internal/rig", "TestFrozenEntry"),
