--- a/pkg/budget/budget.go
+++ b/pkg/budget/budget.go
@@ -11,8 +11,9 @@
 // counted, so that no span of the window's length holds more extra attempts than allowed.
 const bucketsPerWindow = 20
 
-// Window counts requests and extra attempts over a sliding window. The zero value has
-// neither ratio nor length: call SetLimits first. A Window is not safe for concurrent use.
+// Window counts requests and extra attempts over a sliding window. The zero value allows no
+// extra attempts; call SetLimits before any other method. A Window is not safe for
+// concurrent use.
 type Window struct {
 	// Ratio is the number of extra attempts that each request adds to the budget.
 	Ratio float64
--- a/pkg/roll/judge.go
+++ b/pkg/roll/judge.go
@@ -32,8 +32,8 @@
 // for concurrent use.
 type Judge struct {
 	// Endpoints is the number of endpoints of the new version; the caller keeps it up to
-	// date. With a single endpoint, a failure of the endpoint cannot be told from one of
-	// the version.
+	// date. With a single endpoint, a failure of the endpoint cannot be distinguished from
+	// one of the version.
 	Endpoints int
 	routes    map[uint32]*evidence
 	// overall is the evidence over all routes.
--- a/pkg/sizes/choose.go
+++ b/pkg/sizes/choose.go
@@ -6,10 +6,10 @@
 // Model holds the estimates for a model that may answer a request, or has answered it. Its
 // value and its cost are parts of the value of a good answer in time, which is 1.
 type Model struct {
-	// GoodProb is the probability that the answer is good.
+	// GoodProb is the probability, 0 to 1, that the answer is good.
 	GoodProb float64
-	// InTimeProb is the probability that the answer comes in time; 0 or 1 for a model that
-	// has answered.
+	// InTimeProb is the probability, 0 to 1, that the answer comes in time. It is 0 or 1 for
+	// a model that has answered.
 	InTimeProb float64
 	// TooLate says that the answer cannot come before the caller gives up.
 	TooLate bool
--- a/pkg/sizes/confidence.go
+++ b/pkg/sizes/confidence.go
@@ -9,8 +9,8 @@
 // answers to the same requests, how much more confident a larger model is than a smaller
 // one, and the noise of a confidence. Confidences are in points, 0 to 100.
 //
-// The model behind it: the distance of a confidence from EvenConfidence tells how far the
-// request is from the limit of what the model can answer, with normally distributed noise.
+// The distance of a confidence from EvenConfidence is taken as the distance of the request
+// from the limit of what the model can answer, plus normally distributed noise.
 // The zero value has no samples and returns the priors. ConfidenceStats is not safe for
 // concurrent use.
 type ConfidenceStats struct {
@@ -76,7 +76,7 @@
 	o.variance += (off*(d-g.mean) - o.variance) / (o.n + minSamples)
 }
 
-// Uncensored reports whether a confidence lies inside the scale and so tells how far a
+// Uncensored reports whether a confidence lies inside the scale and so measures how far a
 // request is from the limit of what the model can answer. A confidence at an end of the
 // scale gives only a lower bound of that distance.
 func Uncensored(confidence int) bool { return confidence > scaleMargin && confidence < 100-scaleMargin }
@@ -98,7 +98,8 @@
 	return ok && g.n >= minSamples
 }
 
-// Noise returns the standard deviation of one model's confidence, in points.
+// Noise returns the standard deviation of one model's confidence, in points. A difference of
+// two confidences has twice their variance.
 func (o *ConfidenceStats) Noise() float64 {
 	if o.pairs == nil {
 		return priorNoise
@@ -106,8 +107,8 @@
 	return min(max(math.Sqrt(o.variance/2), minNoise), maxNoise)
 }
 
-// GoodProb returns the probability that an answer is good if its model's expected confidence
-// is confidence, in points, averaged over the given number of samples.
+// GoodProb returns the probability, 0 to 1, that an answer is good if its model's expected
+// confidence is confidence, in points, averaged over the given number of samples.
 func (o *ConfidenceStats) GoodProb(confidence float64, samples int) float64 {
 	noise := o.Noise() / math.Sqrt(float64(max(samples, 1)))
 	return 0.5 * math.Erfc((EvenConfidence-confidence)/(noise*math.Sqrt2))
--- a/pkg/sizes/confidence_test.go
+++ b/pkg/sizes/confidence_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// said returns the confidence of a model in an answer: ease, with normally distributed noise
-// of standard deviation rough, clipped to the scale.
+// drawConfidence returns the confidence of a model in an answer: ease, with normally distributed
+// noise of the given standard deviation, clipped to the scale.
 func said(rnd *rand.Rand, ease, rough float64) int {
 	return int(min(max(ease+rough*rnd.NormFloat64(), 0), 100))
 }
