--- a/pkg/roll/roll_test.go
+++ b/pkg/roll/roll_test.go
@@ -38,7 +38,7 @@
 
 const loadsAtOnce = 2
 
-func (w *world) facts() *StepInput {
+func (w *world) stepInput() *StepInput {
 	return &StepInput{
 		Now: w.now, VMs: map[string][]string{"p": w.vms},
 		HasVersion: func(vm, _ string) (bool, bool) { return w.has[vm], true },
@@ -70,7 +70,7 @@
 	}
 	before := b.Rollouts[0]
 	before.Targets = append([]Target(nil), before.Targets...)
-	plan := b.Step(w.facts())
+	plan := b.Step(w.stepInput())
 	w.check(&before, &b.Rollouts[0])
 	if interrupt == 0 {
 		return
--- a/pkg/roll/trial_test.go
+++ b/pkg/roll/trial_test.go
@@ -203,7 +203,7 @@
 		step, endpoints int
 		at              time.Duration
 		want            float64
-		peaks           bool
+		inPeak          bool
 	}{
 		{1, 30, 17 * time.Second, 0, false},
 		{2, 30, 15 * time.Second, 1. / 30, false},
@@ -217,8 +217,8 @@
 		if got := tr.LoadedShare(c.endpoints, t0.Add(c.at)); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("step %d, %d endpoints, %v: got %.3f of the sessions, want %.3f", c.step, c.endpoints, c.at, got, c.want)
 		}
-		if got := tr.InPeakPhase(t0.Add(c.at)); got != c.peaks {
-			t.Errorf("step %d, %v: in peak phase: got %v, want %v", c.step, c.at, got, c.peaks)
+		if got := tr.InPeakPhase(t0.Add(c.at)); got != c.inPeak {
+			t.Errorf("step %d, %v: in peak phase: got %v, want %v", c.step, c.at, got, c.inPeak)
 		}
 	}
 }
--- a/pkg/sizes/confidence_test.go
+++ b/pkg/sizes/confidence_test.go
@@ -11,8 +11,8 @@
 
 // drawConfidence returns the confidence of a model in an answer: ease, with normally distributed
 // noise of the given standard deviation, clipped to the scale.
-func said(rnd *rand.Rand, ease, rough float64) int {
-	return int(min(max(ease+rough*rnd.NormFloat64(), 0), 100))
+func drawConfidence(rnd *rand.Rand, ease, noise float64) int {
+	return int(min(max(ease+noise*rnd.NormFloat64(), 0), 100))
 }
 
 // TestConfidenceStats checks that the gain of a pair and the noise are learned from some ten
@@ -24,24 +24,24 @@
 		t.Errorf("gain of two sizes without samples: got %v, want %v", got, 2*priorGain)
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
-	learn := func(n int, gain, rough float64) {
+	learn := func(n int, gain, noise float64) {
 		for range n {
 			ease := 120*rnd.Float64() - 10
-			if c := said(rnd, ease, rough); c < 60 {
-				o.Add("s", "l", c, said(rnd, ease+gain, rough))
+			if c := drawConfidence(rnd, ease, noise); c < 60 {
+				o.Add("s", "l", c, drawConfidence(rnd, ease+gain, noise))
 			}
 		}
 	}
 	for _, c := range []struct {
 		n                   int
-		gain, rough, within float64
+		gain, noise, within float64
 	}{{40, 30, 10, 8}, {400, 30, 10, 3}, {800, 15, 5, 3}, {800, 25, 15, 5}} {
-		learn(c.n, c.gain, c.rough)
+		learn(c.n, c.gain, c.noise)
 		if got := o.Gain("s", "l", 1); math.Abs(got-c.gain) > c.within {
 			t.Errorf("after %d answers: gain: got %.1f, want %.0f within %.0f", c.n, got, c.gain, c.within)
 		}
-		if got := o.Noise(); math.Abs(got-c.rough) > c.within {
-			t.Errorf("after %d answers: noise: got %.1f, want %.0f within %.0f", c.n, got, c.rough, c.within)
+		if got := o.Noise(); math.Abs(got-c.noise) > c.within {
+			t.Errorf("after %d answers: noise: got %.1f, want %.0f within %.0f", c.n, got, c.noise, c.within)
 		}
 	}
 }
