--- a/pkg/roll/judge.go
+++ b/pkg/roll/judge.go
@@ -48,9 +48,9 @@
 	bad bool
 }
 
-// maxReporters bounds the processes whose reports are kept, some hundred bytes each. Each
-// restart of a router counts as a process of its own: 1,480 are four restarts each of 370
-// routers, as many as can be made one after another within a trial.
+// maxReporters bounds the processes whose reports are kept, some hundred bytes each. A router
+// counts as a new process after each restart: there is room for four processes of each of 370
+// routers, as many as restarting them one after another can make within a trial.
 const maxReporters = 1480
 
 // Answer is one answer, or one aspect of an answer, as evidence.
