--- a/pkg/budget/budget.go
+++ b/pkg/budget/budget.go
@@ -1,89 +1,94 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package budget keeps the extra attempts of a service within a share of its
-// requests over a sliding window. It reads no clock and takes no lock.
+// Package budget implements a retry budget: it keeps the extra attempts of a service within
+// a ratio of its requests over a sliding window. It reads no clock and takes no lock.
 package budget
 
 import "time"
 
-// slices is how finely the window is kept; a whole slice more than the window is
-// counted, so that no span of the window's length holds more than allowed.
-const slices = 20
+// bucketsPerWindow is the number of buckets in the length of a window. One more bucket is
+// counted, so that no span of the window's length holds more extra attempts than allowed.
+const bucketsPerWindow = 20
 
-// Window counts requests and extra attempts. The zero value allows none; set
-// Ratio, Slack and Slice first.
+// Window counts requests and extra attempts over a sliding window. The zero value allows no
+// extra attempts; call SetLimits before any other method. A Window is not safe for
+// concurrent use.
 type Window struct {
-	// Ratio is how many extra attempts one request pays for.
+	// Ratio is the number of extra attempts that each request adds to the budget.
 	Ratio float64
-	// Slack is how many extra attempts are allowed beyond that.
+	// Slack is the number of extra attempts in a window that are allowed in addition.
 	Slack float64
-	// Slice is the time that one slice covers: the window's length over 20.
-	// It is positive.
-	Slice time.Duration
-	// start is when the newest slice began.
-	start time.Time
-	// ring holds the slices; at is the newest. The sums equal the ring's.
-	ring          [slices + 1]slice
-	at            int
-	requests, ext int
+	// BucketLength is the time that one bucket covers: the window's length over 20. It is
+	// positive.
+	BucketLength time.Duration
+	// bucketStart is when the newest bucket began; zero before the first use.
+	bucketStart time.Time
+	// ring holds the buckets, newest is the index of the newest one. requests and extra are
+	// the sums over the ring.
+	ring            [bucketsPerWindow + 1]bucket
+	newest          int
+	requests, extra int
 }
 
-type slice struct{ requests, ext int }
+// bucket holds the counts of one part of the window.
+type bucket struct{ requests, extra int }
 
-// Set makes the window count over length, keeping what was counted.
-func (w *Window) Set(length time.Duration, ratio, slack float64) {
-	w.Slice, w.Ratio, w.Slack = length/slices, ratio, slack
+// SetLimits sets the length of the window and its limits. What was counted is kept.
+func (w *Window) SetLimits(length time.Duration, ratio, slack float64) {
+	w.BucketLength, w.Ratio, w.Slack = length/bucketsPerWindow, ratio, slack
 }
 
-// turn drops the slices that have left the window.
-func (w *Window) turn(now time.Time) {
-	if w.start.IsZero() || now.Sub(w.start) > time.Duration(len(w.ring))*w.Slice {
-		w.ring, w.requests, w.ext, w.start = [slices + 1]slice{}, 0, 0, now
+// advance drops the buckets that have left the window.
+func (w *Window) advance(now time.Time) {
+	if w.bucketStart.IsZero() || now.Sub(w.bucketStart) > time.Duration(len(w.ring))*w.BucketLength {
+		w.ring, w.requests, w.extra, w.bucketStart = [bucketsPerWindow + 1]bucket{}, 0, 0, now
 		return
 	}
-	for !now.Before(w.start.Add(w.Slice)) {
-		w.start = w.start.Add(w.Slice)
-		w.at = (w.at + 1) % len(w.ring)
-		w.requests -= w.ring[w.at].requests
-		w.ext -= w.ring[w.at].ext
-		w.ring[w.at] = slice{}
+	for !now.Before(w.bucketStart.Add(w.BucketLength)) {
+		w.bucketStart = w.bucketStart.Add(w.BucketLength)
+		w.newest = (w.newest + 1) % len(w.ring)
+		w.requests -= w.ring[w.newest].requests
+		w.extra -= w.ring[w.newest].extra
+		w.ring[w.newest] = bucket{}
 	}
 }
 
-// Request counts a request.
-func (w *Window) Request(now time.Time) {
-	w.turn(now)
-	w.ring[w.at].requests++
+// AddRequest counts a request.
+func (w *Window) AddRequest(now time.Time) {
+	w.advance(now)
+	w.ring[w.newest].requests++
 	w.requests++
 }
 
-// Take takes one extra attempt, if at least reserve more would be left, and
+// Take takes one extra attempt from the budget if at least reserve more remain after it. It
 // reports whether it did.
 func (w *Window) Take(now time.Time, reserve float64) bool {
-	if w.Left(now) < 1+reserve {
+	if w.Remaining(now) < 1+reserve {
 		return false
 	}
-	w.ring[w.at].ext++
-	w.ext++
+	w.ring[w.newest].extra++
+	w.extra++
 	return true
 }
 
-// Give returns an extra attempt that was not made after all.
-func (w *Window) Give(now time.Time) {
-	w.turn(now)
-	if w.ring[w.at].ext > 0 {
-		w.ring[w.at].ext--
-		w.ext--
+// Refund returns an extra attempt that was taken but not made. It has no effect if none was
+// taken in the present bucket.
+func (w *Window) Refund(now time.Time) {
+	w.advance(now)
+	if w.ring[w.newest].extra > 0 {
+		w.ring[w.newest].extra--
+		w.extra--
 	}
 }
 
-// Left returns how many extra attempts may be made.
-func (w *Window) Left(now time.Time) float64 { return w.Allowed(now) - float64(w.ext) }
+// Remaining returns the number of extra attempts that may still be made. It can be negative
+// once requests have left the window.
+func (w *Window) Remaining(now time.Time) float64 { return w.Allowed(now) - float64(w.extra) }
 
-// Allowed returns how many extra attempts the requests of the window and the slack pay for, those
-// that were made included.
+// Allowed returns the number of extra attempts that the requests in the window and the slack
+// allow, including those already made.
 func (w *Window) Allowed(now time.Time) float64 {
-	w.turn(now)
+	w.advance(now)
 	return w.Ratio*float64(w.requests) + w.Slack
 }
--- a/pkg/roll/roll_test.go
+++ b/pkg/roll/roll_test.go
@@ -22,29 +22,31 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// world is what the steps of several processes act on: one object, VMs that load
-// and lose versions, and settings.
+// world is the state that several processes share: the stored board, VMs that load and lose a
+// version, and the version's share in the settings.
 type world struct {
 	t *rapid.T
-	// written holds every version of the board.
+	// written holds every stored revision of the board, encoded.
 	written [][]byte
 	now     time.Time
 	vms     []string
-	has     map[string]bool
-	share   float64
+	// has holds the VMs that have the version.
+	has map[string]bool
+	// share is the version's share of requests in the settings.
+	share float64
 }
 
-const loadsMost = 2
+const loadsAtOnce = 2
 
-func (w *world) facts() *Facts {
-	return &Facts{
+func (w *world) stepInput() *StepInput {
+	return &StepInput{
 		Now: w.now, VMs: map[string][]string{"p": w.vms},
-		Has:        func(vm, _ string) (bool, bool) { return w.has[vm], true },
-		LoadWithin: func(now time.Time) time.Time { return now.Add(time.Minute) },
+		HasVersion: func(vm, _ string) (bool, bool) { return w.has[vm], true },
+		GiveUpAt:   func(now time.Time) time.Time { return now.Add(time.Minute) },
 	}
 }
 
-// write puts a board that was read at a version, unless another process has
+// write stores a board that was read at a revision. It returns false if another process has
 // written since.
 func (w *world) write(b *Board, read int) bool {
 	if read != len(w.written)-1 {
@@ -58,8 +60,9 @@
 	return true
 }
 
-// process is one that continues roll-outs from a board that it may have read
-// long ago, and may be interrupted before each thing it does.
+// process takes a step from the board of revision read, which may be stale. interrupt is the
+// number of its actions, 0 to 3, after which it stops: store the step, send the orders and
+// change the settings, record the change.
 func (w *world) process(read, interrupt int) {
 	var b Board
 	if err := json.Unmarshal(w.written[read], &b); err != nil {
@@ -67,7 +70,7 @@
 	}
 	before := b.Rollouts[0]
 	before.Targets = append([]Target(nil), before.Targets...)
-	plan := b.Step(w.facts())
+	plan := b.Step(w.stepInput())
 	w.check(&before, &b.Rollouts[0])
 	if interrupt == 0 {
 		return
@@ -82,16 +85,16 @@
 		return
 	}
 	for _, o := range plan.Orders {
-		if read == len(w.written)-1 { // else a guard refuses the old fence
+		if read == len(w.written)-1 { // Otherwise the guard refuses the old fencing token.
 			w.has[o.VM] = true
 		}
 	}
-	c, ok := b.Rollouts[0].Wanted()
+	c, ok := b.Rollouts[0].PendingChange()
 	if !ok {
 		return
 	}
 	w.share = max(w.share, c.Share)
-	if interrupt > 2 && b.Accepted(c.ID, w.now) {
+	if interrupt > 2 && b.MarkAccepted(c.ID, w.now) {
 		w.write(&b, read)
 	}
 }
@@ -107,21 +110,21 @@
 			}
 		}
 	}
-	if n := after.loading(); n > loadsMost {
-		w.t.Fatalf("%d loads at a time", n)
+	if n := after.loading(); n > loadsAtOnce {
+		w.t.Fatalf("got %d loads at once", n)
 	}
 }
 
-// TestInterrupted lets processes continue a roll-out and be interrupted at any
-// point, while VMs lose the version: it ends, step by step, and never loads
-// more at a time than allowed.
+// TestInterrupted runs a roll-out in processes with stale boards that are interrupted at any
+// point, while VMs lose the version. The roll-out must go wave by wave, exceed the limit of
+// concurrent loads at no time, and end.
 func TestInterrupted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, now: begin, has: make(map[string]bool)}
 		for i := range rapid.IntRange(1, 6).Draw(t, "vms") {
 			w.vms = append(w.vms, fmt.Sprint("vm", i))
 		}
-		b := Board{LoadsAtOnce: loadsMost}
+		b := Board{LoadsAtOnce: loadsAtOnce}
 		if err := b.Start(Rollout{Model: "m", Version: "2", Pool: "p", Waves: []float64{0.1, 1}, HoldSeconds: 5, ID: "c"}); err != nil {
 			t.Fatal(err)
 		}
@@ -146,7 +149,7 @@
 	})
 }
 
-func TestOrders(t *testing.T) {
+func TestStartAndSetState(t *testing.T) {
 	var b Board
 	r := Rollout{Model: "m", Version: "2", Waves: []float64{0.5, 1}}
 	steps := []struct {
@@ -158,22 +161,22 @@
 		{"waves that do not reach 1", b.Start(Rollout{Waves: []float64{0.5}}), ErrWaves},
 		{"start", b.Start(r), nil},
 		{"start again", b.Start(r), ErrExists},
-		{"pause", b.Order("m@2", Paused), nil},
-		{"resume", b.Order("m@2", Running), nil},
-		{"unknown", b.Order("m@3", Paused), ErrUnknown},
-		{"abort", b.Order("m@2", Aborting), nil},
-		{"resume after abort", b.Order("m@2", Running), ErrEnded},
+		{"pause", b.SetState("m@2", Paused), nil},
+		{"resume", b.SetState("m@2", Running), nil},
+		{"unknown", b.SetState("m@3", Paused), ErrUnknown},
+		{"abort", b.SetState("m@2", Aborting), nil},
+		{"resume after abort", b.SetState("m@2", Running), ErrEnded},
 	}
 	for _, s := range steps {
 		if s.got != s.want {
 			t.Errorf("%s: got %v, want %v", s.name, s.got, s.want)
 		}
 	}
-	c, ok := b.Rollouts[0].Wanted()
+	c, ok := b.Rollouts[0].PendingChange()
 	if !ok || !c.Withdraw {
 		t.Errorf("after abort: got %+v %v, want a withdrawal", c, ok)
 	}
-	if !b.Accepted(c.ID, begin) || b.Accepted(c.ID, begin) || b.Rollouts[0].State != Aborted {
+	if !b.MarkAccepted(c.ID, begin) || b.MarkAccepted(c.ID, begin) || b.Rollouts[0].State != Aborted {
 		t.Errorf("after the withdrawal: got state %s, want aborted, once", b.Rollouts[0].State)
 	}
 }
