--- a/pkg/pool/book.go
+++ b/pkg/pool/book.go
@@ -13,31 +13,31 @@
 	"github.com/traildrift/traildrift/pkg/mixer"
 )
 
-// Entry is an endpoint as it is listed.
+// Entry is an endpoint as the endpoint list has it.
 type Entry struct {
-	// ID names an endpoint; no other one has the same.
+	// ID identifies the endpoint; it is unique over all services.
 	ID string
-	// Born is when this life of the endpoint began, by its own clock, and names the life; zero
-	// where endpoints have one life only.
+	// StartedAt is when this incarnation of the endpoint started, by the endpoint's own clock, and
+	// identifies the incarnation; zero where endpoints have only one.
 	Born    time.Time
 	Service string
 	Addr    netip.AddrPort
 	Zone    string
-	// Version is that of the endpoint's software.
+	// Version is the version of the endpoint's software.
 	Version string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of runs that the endpoint executes at once.
 	Slots int
-	// Leaving says that it takes no new work.
+	// Leaving is set once the endpoint accepts no new work.
 	Leaving bool
-	// HeardAt is when this word of the endpoint came, and WarmAt when by this word it is
-	// warmed up after a start; until then it bears less. WarmTold says that it told that.
+	// ReceivedAt is when this process received the entry. WarmAt is when the endpoint's warm-up after
+	// a start ends, as the entry reports it; WarmReported is false if the entry reports none.
 	HeardAt, WarmAt time.Time
 	WarmTold        bool
-	// Revision is that of the listed entry; it only grows.
+	// Revision is the revision of the listed entry; it only grows.
 	Revision int64
 }
 
-// Endpoint is what is known of an endpoint.
+// Endpoint is the state of one endpoint.
 type Endpoint struct {
 	Entry
 	Load  Load
@@ -45,42 +45,42 @@
 	Pace  Pace
 	hash  uint64
 	warming
-	// said is what the endpoint said of itself; place is this process's among its senders.
+	// announced is what the endpoint announced about itself; cachedRank is this process's rank among its senders.
 	said  said
 	place place
-	// area, warmup and senders are what it shares with others of the book.
+	// zoneState, warmup and senders are shared with other endpoints of the book.
 	area    *zone
 	warmup  *Warmup
 	senders *senders
-	// leaving is set once the endpoint was listed as leaving, said so itself or was removed in
-	// calm times; it never goes back while the endpoint lives.
+	// leaving is set once the endpoint was listed as leaving, announced it, or was removed while the list
+	// was readable; it is never reset within an incarnation.
 	leaving bool
-	// lapsedUntil is when an entry that lapsed while the list could not be
-	// read counts as gone; zero for one that is listed.
+	// graceUntil is when an endpoint that was removed during an outage of the list is dropped; zero
+	// for a listed one.
 	lapsedUntil time.Time
 }
 
-// Book holds the endpoints of all services. Use NewBook.
+// Book is the table of the endpoints of all services. Use NewBook.
 type Book struct {
 	byID   map[string]*Endpoint
 	byHash map[uint64]*Endpoint
-	// byService holds the endpoints of each service in the order of their
-	// hashes, which is the same in every process.
+	// byService holds the endpoints of each service in the order of their hashes, which is the same
+	// in every process.
 	byService map[string][]*Endpoint
 	held      held
-	// zones holds the availability zones that are known, warmups how the endpoints of each
-	// service are spared while they warm up, and senders by whom.
+	// zones holds the state of the known availability zones, warmups the warm-up limits of each service,
+	// and senders the processes that share those limits.
 	zones   map[string]*zone
 	warmups map[string]*Warmup
 	senders *senders
-	// gone remembers the revisions at which endpoints were removed, so that a
-	// late word of one does not bring it back.
+	// removed maps removed endpoints to the revision of their removal, so that an older entry that
+	// arrives late does not list them again.
 	gone map[string]int64
-	// said remembers what lives said of themselves that are not listed any more: they may be again,
-	// as they were before they said it, as the list lags behind by any time.
+	// unlisted holds what endpoints that are no longer listed announced. The list may lag by any time
+	// and list them again in their state from before the announcement.
 	said map[string]saidBy
-	// early holds what other processes were told by lives of endpoints, by their hashes, that are
-	// not listed here yet.
+	// pendingNotices holds notices that peers relayed for incarnations that are not listed here yet, by
+	// the incarnation's hash.
 	early map[uint64]Notice
 }
 
@@ -92,11 +92,11 @@
 	}
 }
 
-// goneMost bounds how many removed endpoints are remembered.
+// maxUnlisted bounds each of the maps of endpoints that are not listed.
 const goneMost = 4096
 
-// Put takes over a listed entry. It reports what changed: false for an entry
-// that is older than what is known.
+// Put applies a listed entry. It reports whether the endpoint is new, in use again, or changed to
+// leaving or to another incarnation; false for an entry that is older than the stored one.
 func (b *Book) Put(e Entry) bool {
 	if e.Revision < b.gone[e.ID] {
 		return false
@@ -111,11 +111,11 @@
 	}
 	changed := !p.lapsedUntil.IsZero() || e.Leaving && !p.leaving
 	if e.Born.IsZero() {
-		// A process of an earlier release hands entries on without it.
+		// Processes of an earlier release send entries without a start time.
 		e.Born = p.Born
 	}
 	if !p.Born.IsZero() && !e.Born.Equal(p.Born) {
-		// What an earlier life said of itself does not hold for this one.
+		// Announcements and pace of an earlier incarnation do not apply to this one.
 		changed, p.leaving, p.said, p.Pace = true, false, said{}, Pace{}
 	}
 	p.Entry = e
@@ -124,7 +124,7 @@
 	return changed
 }
 
-// add takes over the entry of an endpoint that is not listed yet, or not any more.
+// add inserts the entry of an endpoint that is not in the book.
 func (b *Book) add(e Entry) {
 	p := &Endpoint{Entry: e, area: b.zone(e.Zone), warmup: b.warmup(e.Service), senders: b.senders}
 	p.heardAt = e.HeardAt
@@ -148,9 +148,9 @@
 	b.byService[p.Service] = slices.Insert(list, i, p)
 }
 
-// Remove takes an endpoint out. With a later lapsesAt, as after a time in which
-// the list could not be read, an endpoint that was not leaving is kept until
-// then, as it may be listed again.
+// Remove removes an endpoint, unless the book has a newer revision of it. If graceUntil is later than
+// now, as after an outage of the list, an endpoint that is not leaving is kept until then, as it may be
+// listed again.
 func (b *Book) Remove(id string, revision int64, now, lapsesAt time.Time) {
 	p, ok := b.byID[id]
 	if !ok || revision < p.Revision {
@@ -175,7 +175,7 @@
 	b.byService[p.Service] = slices.DeleteFunc(b.byService[p.Service], func(q *Endpoint) bool { return q == p })
 }
 
-// remember notes something of an endpoint that is not listed any more.
+// putBounded stores a value for an endpoint that is not listed; a full map is cleared first.
 func remember[K comparable, T any](m map[K]T, id K, v T) {
 	if len(m) >= goneMost {
 		clear(m)
@@ -183,8 +183,8 @@
 	m[id] = v
 }
 
-// Expire drops the endpoints that lapsed and were not listed again in time. It
-// returns their IDs.
+// Expire drops the endpoints whose grace period ended before they were listed again, and returns
+// their IDs.
 func (b *Book) Expire(now time.Time) []string {
 	var ids []string
 	for id, p := range b.byID {
@@ -196,19 +196,19 @@
 	return ids
 }
 
-// Get returns the endpoint of an ID; nil if there is none.
+// Get returns the endpoint with an ID; nil if there is none.
 func (b *Book) Get(id string) *Endpoint { return b.byID[id] }
 
-// ByHash returns the endpoint of a hash; nil if there is none.
+// ByHash returns the endpoint with a hash (see HashOf); nil if there is none.
 func (b *Book) ByHash(hash uint64) *Endpoint { return b.byHash[hash] }
 
-// HashOf returns what processes know the endpoint of an ID by.
+// HashOf returns the hash that identifies an endpoint between processes.
 func HashOf(id string) uint64 { return mixer.Mix(Hash(id)) }
 
-// Hash returns what other processes know the endpoint by.
+// Hash returns the hash that identifies the endpoint between processes: HashOf of its ID.
 func (p *Endpoint) Hash() uint64 { return p.hash }
 
-// Life returns what other processes know this life of the endpoint by.
+// Incarnation returns the hash that identifies this incarnation of the endpoint between processes.
 func (p *Endpoint) Life() uint64 {
 	if p.Born.IsZero() {
 		return p.hash
@@ -216,7 +216,7 @@
 	return mixer.Mix(p.hash ^ uint64(p.Born.UnixMilli()))
 }
 
-// Count returns how many endpoints of a service have software of a version that fits.
+// Count returns the number of endpoints of a service whose software version fits.
 func (b *Book) Count(service string, fit func(version string) bool) (n int) {
 	for _, p := range b.byService[service] {
 		if fit(p.Version) {
@@ -226,7 +226,7 @@
 	return n
 }
 
-// Versions returns the versions of software that the endpoints of a service have, in order.
+// Versions returns the software versions of a service's endpoints, sorted.
 func (b *Book) Versions(service string) []string {
 	seen := make(map[string]bool)
 	for _, p := range b.byService[service] {
@@ -235,19 +235,20 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// Size returns how many endpoints a service has.
+// Size returns the number of endpoints of a service.
 func (b *Book) Size(service string) int { return len(b.byService[service]) }
 
-// Len returns how many endpoints are known.
+// Len returns the number of endpoints of all services.
 func (b *Book) Len() int { return len(b.byID) }
 
-// Leaves reports whether the endpoint was listed as leaving, said so, or was removed in calm times.
+// IsLeaving reports whether the endpoint was listed as leaving, announced it, or was removed while the
+// list was readable.
 func (p *Endpoint) Leaves() bool { return p.leaving }
 
-// usable reports whether the endpoint may get new work.
+// usable reports whether the endpoint may get new work: its zone is open, and it is listed.
 func (p *Endpoint) usable(now time.Time) bool { return !p.area.closed && p.listed(now) }
 
-// listed reports whether the endpoint is there and stays.
+// listed reports whether the endpoint is listed or within its grace period, and not leaving.
 func (p *Endpoint) listed(now time.Time) bool {
 	return !p.leaving && (p.lapsedUntil.IsZero() || now.Before(p.lapsedUntil))
 }
--- a/pkg/pool/book_test.go
+++ b/pkg/pool/book_test.go
@@ -48,7 +48,7 @@
 	}
 	b.Put(entry("x", 6))
 	if got := b.Len(); got != 1 {
-		t.Errorf("endpoints after a newer word: got %d, want 1", got)
+		t.Errorf("endpoints after a newer entry: got %d, want 1", got)
 	}
 }
 
@@ -69,7 +69,7 @@
 	b.Put(entry("y", 10))
 	b.Expire(lapsesAt)
 	if got := picks(b, lapsesAt); got["y"] == 0 || len(got) != 1 {
-		t.Errorf("endpoints in use when lapsed ones are gone: got %v, want y alone", got)
+		t.Errorf("endpoints in use after the grace period: got %v, want only y", got)
 	}
 }
 
--- a/pkg/pool/held.go
+++ b/pkg/pool/held.go
@@ -5,10 +5,9 @@
 
 import "time"
 
-// held is what endpoints are believed to hold in memory: which prefixes they were sent,
-// by this process and by others that told of it. The zero value knows nothing. Prefixes
-// that were not used lately are forgotten by halves: what was noted since the last time
-// young was full, and the one before.
+// prefixTable records which endpoints hold which prompt prefixes in memory: those to which this process
+// or a peer sent the prefix. The zero value is empty. It evicts by generations: prefixes are added to
+// young; once that is full it becomes old, and what was in old is dropped.
 type held struct {
 	young, old map[uint64]*holders
 }
@@ -16,25 +15,25 @@
 // holders are the endpoints that were sent a prefix, in no order.
 type holders [holdersMost]holding
 
-// holding is an endpoint that was sent a prefix, by its hash, and when it was last.
+// prefixHolder is an endpoint, by its hash, that was sent a prefix, and the time of the last send.
 type holding struct {
 	endpoint uint64
 	at       time.Time
 }
 
 const (
-	// holdersMost bounds the endpoints that are remembered for one prefix: the least
-	// lately used one gives way.
+	// maxHolders bounds the endpoints that are stored for one prefix; the least recently used one is
+	// replaced.
 	holdersMost = 4
-	// prefixesMost bounds the prefixes of a half; 8,192 take a megabyte.
+	// maxPrefixes bounds the prefixes of one generation; 8,192 take a megabyte.
 	prefixesMost = 1 << 13
-	// heldFor is how long after its last use an endpoint is believed to hold a prefix.
-	// Endpoints give up what was not used for the longest: the users' busiest read as
-	// many tokens as they have memory for in 24 s.
+	// prefixTTL is how long after its last use an endpoint is expected to hold a prefix. Endpoints
+	// evict the least recently used: the busiest endpoints of the sites read in 24 s as many
+	// tokens as they have memory for.
 	heldFor = 20 * time.Second
 )
 
-// note remembers that an endpoint was sent a prefix.
+// record stores that an endpoint was sent a prefix.
 func (h *held) note(prefix, endpoint uint64, at time.Time) {
 	in := h.of(prefix)
 	if in == nil {
@@ -54,7 +53,7 @@
 	*place = holding{endpoint, at}
 }
 
-// forget notes that an endpoint does not hold a prefix.
+// forget removes an endpoint from the holders of a prefix.
 func (h *held) forget(prefix, endpoint uint64) {
 	in := h.of(prefix)
 	if in == nil {
@@ -67,7 +66,7 @@
 	}
 }
 
-// of returns who holds a prefix; nil if it is not known.
+// lookup returns the holders of a prefix; nil if none are stored.
 func (h *held) of(prefix uint64) *holders {
 	if in, ok := h.young[prefix]; ok {
 		return in
@@ -75,7 +74,7 @@
 	return h.old[prefix]
 }
 
-// add makes room for a prefix.
+// add inserts a prefix without holders.
 func (h *held) add(prefix uint64) *holders {
 	if h.young == nil || len(h.young) >= prefixesMost {
 		h.old, h.young = h.young, make(map[uint64]*holders)
@@ -85,8 +84,8 @@
 	return in
 }
 
-// Holds notes that an endpoint, known by its hash, was sent a prefix.
+// RecordHolder stores that an endpoint, identified by its hash, was sent a prefix.
 func (b *Book) Holds(prefix, endpoint uint64, at time.Time) { b.held.note(prefix, endpoint, at) }
 
-// Forgets notes that an endpoint does not hold a prefix after all.
+// ForgetHolder removes an endpoint from the holders of a prefix, as it does not hold the prefix after all.
 func (b *Book) Forgets(prefix, endpoint uint64) { b.held.forget(prefix, endpoint) }
--- a/pkg/pool/held_test.go
+++ b/pkg/pool/held_test.go
@@ -19,12 +19,12 @@
 		got[q.endpoint] = true
 	}
 	if len(got) != holdersMost || got[1] || !got[2] || !got[holdersMost+1] {
-		t.Errorf("holders: got %v, want the last %d that were used", got, holdersMost)
+		t.Errorf("holders: got %v, want the %d most recently used", got, holdersMost)
 	}
 	h.forget(7, 2)
 	for _, q := range h.of(7) {
 		if q.endpoint == 2 {
-			t.Error("a holder that was forgotten: got it, want none")
+			t.Error("removed holder: got it, want none")
 		}
 	}
 	h.forget(8, 2)
@@ -40,6 +40,6 @@
 	}
 	last := uint64(5*prefixesMost - 1)
 	if h.of(last) == nil || h.of(0) != nil {
-		t.Errorf("holders: got %v of the last and %v of the first, want only the last", h.of(last), h.of(0))
+		t.Errorf("holders: got %v of the last prefix and %v of the first, want only those of the last", h.of(last), h.of(0))
 	}
 }
--- a/pkg/pool/limit.go
+++ b/pkg/pool/limit.go
@@ -5,63 +5,62 @@
 
 import "time"
 
-// LimitWord is what an answer says of its endpoint's limit.
+// LimitStatus is what an answer states about its endpoint's limit.
 type LimitWord int
 
-// The words of a limit.
+// The statuses of a limit.
 const (
-	// NoWord leaves what is known as it is.
+	// LimitUnspecified leaves the stored limit unchanged.
 	NoWord LimitWord = iota
-	// Limited names a limit.
+	// Limited states a limit.
 	Limited
-	// Unlimited says that there is none.
+	// Unlimited states that there is none.
 	Unlimited
 )
 
-// limit is what is known of an endpoint's limit. The zero value is none.
+// limit is the stored limit of an endpoint. The zero value is no limit.
 type limit struct {
-	// named says that there is one, of perSecond requests a second.
+	// active is set while there is a limit, of perSecond requests per second.
 	named     bool
 	perSecond float64
-	// namedAt is when it was first named, after a time without.
+	// activeSince is when the limit was first stated after a time without one.
 	namedAt time.Time
-	// saidAt is when the last word that named it came, from the endpoint or from another
-	// process.
+	// confirmedAt is when the limit was last stated, by the endpoint or by another process.
 	saidAt time.Time
-	// sentAt is when this process sent its last request out of its own share, or granted it to
-	// another process; it is kept without a limit too.
+	// sentAt is when this process last sent a request from its own share, or granted one to another
+	// process; it is kept without a limit too.
 	sentAt time.Time
 	// endedAt is when the last limit ended; zero if none did.
 	endedAt time.Time
-	// grantedUntil is until when this process may send one request in the place of another one
-	// that has a share; zero for none.
+	// grantedUntil is the end of the time in which this process may send one request that a process
+	// with a share granted; zero for none.
 	grantedUntil time.Time
-	// askAt is when another process may be asked for that again.
+	// nextQueryAt is when another process may be asked for a grant again.
 	askAt time.Time
-	// toldAt is when the others were told of the limit last.
+	// reportSentAt is when this process last sent the limit to its peers.
 	toldAt time.Time
 }
 
 const (
-	// holdersLeast is how many processes share even the lowest limit, and holdersPerRequest how
-	// many more do for each request a second. Each sends evenly, so that over any time the
-	// endpoint gets what its limit allows, and at most one request more from each of them. Users
-	// bear half as much again as the limit allows in 4 s, and 5 requests more: with the limit
-	// itself and these that leaves a margin of 3/2 of a second's requests and 2 for processes
-	// whose lists differ.
+	// minSharers is the number of processes that share even the lowest limit, and sharersPerRequest the
+	// number added for each request per second. Each process sends at even intervals, so that over any
+	// time the endpoint gets what its limit allows and at most one request more from each process. An
+	// endpoint may get 1.5 times its limit in 4 s, and 5 requests more: beyond the limit itself and one
+	// request from each sharer, 3/2 of a second's requests and 2 remain as a margin for processes with
+	// differing lists.
 	holdersLeast      = 3
 	holdersPerRequest = 0.5
-	// limitLeast is the least limit that is kept to, in requests a second: one request in 4 s
-	// finds out whether an endpoint that takes none takes some again.
+	// minLimit is the lowest limit that is applied, in requests per second: one request in 4 s finds
+	// out whether an endpoint with a limit of 0 accepts requests again.
 	limitLeast = 0.25
-	// doubtAfter is how long without a word of a limit a process that has no share in it waits at
-	// least, before it sends one request to find out whether it still holds; doubtShare is the part
-	// of the limit that all such requests together take.
+	// probeAfter is how long after the last statement of a limit a process without a share waits at
+	// least before it sends one request to find out whether the limit still holds. probeShare is the
+	// fraction of the limit that all these requests take together.
 	doubtAfter = 10 * time.Second
 	doubtShare = 1. / 8
 )
 
-// take takes in what the endpoint says of its limit. It reports whether that changed what is known.
+// apply stores what the endpoint states about its limit. It reports whether the stored limit changed.
 func (l *limit) take(n Notice, now time.Time) (changed bool) {
 	switch n.Limit {
 	case Limited:
@@ -78,24 +77,23 @@
 	return changed
 }
 
-// Limit returns the requests a second that the endpoint takes from all processes together, by
-// its last word; ok is false if it named no limit.
+// Limit returns the last stated limit, in requests per second from all processes together; ok is false
+// if the endpoint has none.
 func (p *Endpoint) Limit() (perSecond float64, ok bool) {
 	return p.said.limit.perSecond, p.said.limit.named
 }
 
-// within reports whether this process may send a request to an endpoint now, as far as the
-// endpoint has named a limit.
+// withinLimit reports whether the endpoint's limit allows this process to send a request now.
 //
-// The processes share a limit without hearing of each other: what one sent is known to the others
-// too late, and not at all to one that is cut off or has just started. Only what is left of a share
-// is lent, by the process that has it.
+// The processes share a limit without coordination: messages about each request would arrive too late,
+// and not at all at a process that is partitioned or has just started. Only the unused part of a share is
+// lent, by the process that owns the share.
 func (p *Endpoint) within(now time.Time) bool {
 	return !p.said.limit.named || !now.Before(p.limitedUntil()) || now.Before(p.said.limit.grantedUntil)
 }
 
-// sends counts a request that this process sends, as granted by another one if there is nothing
-// left of its own share. It reports whether it was.
+// recordSend records a request that this process sends; own says that its own share allows it. Otherwise
+// the request uses up a grant, if there is one. It reports whether it did.
 func (l *limit) sends(own bool, now time.Time) (granted bool) {
 	if !own && now.Before(l.grantedUntil) {
 		l.grantedUntil = time.Time{}
@@ -105,16 +103,17 @@
 	return false
 }
 
-// Holders returns how many of the processes that are known share the endpoint's limit, and whether
-// this one does.
+// LimitSharers returns how many of the known processes share the endpoint's limit, and whether this one
+// does.
 func (p *Endpoint) Holders() (holders int, self bool) {
 	rank, n := p.rank()
 	holders = min(n, holdersOf(max(p.said.limit.perSecond, limitLeast)))
 	return holders, rank < holders
 }
 
-// Grant gives another process a request out of this one's share. Otherwise at is when there is one
-// to give. A process that gives all away has nothing left for its own callers until then.
+// Grant gives another process one request out of this process's share. If it has none to give, at is when
+// it will have one; else at is when the share allows the next request. A process that grants all of its
+// share has nothing left for its own callers until then.
 func (p *Endpoint) Grant(now time.Time) (granted bool, at time.Time) {
 	at = p.limitedUntil()
 	if _, self := p.Holders(); !self || now.Before(at) {
@@ -124,14 +123,14 @@
 	return true, p.limitedUntil()
 }
 
-// Granted notes that another process granted a request that may be sent until a time.
+// RecordGrant stores that another process granted one request, which may be sent before until.
 func (p *Endpoint) Granted(until time.Time) { p.said.limit.grantedUntil = until }
 
-// Asks notes that another process is asked for a grant and is not asked again before a time.
+// SetNextQuery sets the time before which no process is asked for a grant again.
 func (p *Endpoint) Asks(again time.Time) { p.said.limit.askAt = again }
 
-// TellsLimit reports whether the others are to be told of the limit again, at most once in a time,
-// and notes that they are.
+// LimitReportDue reports whether the limit is to be sent to the peers again, at most once per interval.
+// If so, it records now as the time of sending.
 func (p *Endpoint) TellsLimit(now time.Time, every time.Duration) bool {
 	if !p.said.limit.named || now.Before(p.said.limit.toldAt.Add(every)) {
 		return false
@@ -140,8 +139,8 @@
 	return true
 }
 
-// Askable appends the endpoints that would take a request but for their limits, as far as others
-// may be asked for a grant.
+// BorrowCandidates appends to dst the endpoints that only their limits keep from taking a request, and for
+// which another process may be asked for a grant.
 func (b *Book) Askable(dst []*Endpoint, now time.Time, w *Want) []*Endpoint {
 	for _, p := range b.byService[w.Service] {
 		if p.allowed(now, w) && p.said.rest.over(now) && p.warm(now) && !p.within(now) && !now.Before(p.said.limit.askAt) {
@@ -151,8 +150,8 @@
 	return dst
 }
 
-// limitedUntil returns when this process may send its next request under the endpoint's limit;
-// zero for an endpoint that has none.
+// limitedUntil returns when the endpoint's limit allows this process its next request; zero for an
+// endpoint without a limit.
 func (p *Endpoint) limitedUntil() time.Time {
 	l := &p.said.limit
 	if !l.named {
@@ -163,18 +162,19 @@
 	holders, self := p.Holders()
 	switch {
 	case self && l.sentAt.Before(l.namedAt):
-		// The first request in turn, so that the shares of all follow one another evenly.
+		// The processes send their first requests in the order of rank, so that their shares interleave evenly.
 		return later(l.namedAt.Add(apart(rank+1, perSecond)), p.senders.From)
 	case self:
 		return later(l.sentAt.Add(apart(holders, perSecond)), p.senders.From)
 	}
-	// Without a share: each in its turn, as what they know of the limit may be of one time.
+	// Without a share, processes probe in the order of rank: all of them may have learned of the limit
+	// at the same time.
 	turn := l.saidAt.Add(doubtAfter + apart(rank+1, doubtShare*perSecond))
 	return later(turn, l.sentAt.Add(apart(n, doubtShare*perSecond)))
 }
 
-// roomAt returns when a request may find room under the endpoint's limit at this process, or sooner
-// at another one.
+// capacityAt returns when a retry may succeed under the endpoint's limit: at this process, or sooner at
+// another one.
 func (p *Endpoint) roomAt(now time.Time) time.Time {
 	at := p.limitedUntil()
 	if room := now.Add(apart(1, max(p.said.limit.perSecond, limitLeast))); p.said.limit.named && room.Before(at) {
@@ -183,20 +183,20 @@
 	return at
 }
 
-// holdersOf returns how many processes share a limit, where there are as many.
+// sharersOf returns how many processes share a limit, provided that there are as many.
 func holdersOf(perSecond float64) int {
 	return holdersLeast + int(min(holdersPerRequest*perSecond, processesMost))
 }
 
-// processesMost is more processes than there are.
+// maxProcesses exceeds the number of processes of any deployment; it keeps the conversion to int in range.
 const processesMost = 1 << 20
 
-// apart returns the time between the requests of each of n processes that share a limit.
+// sendInterval returns the time between the requests of each of n processes that share a limit.
 func apart(n int, perSecond float64) time.Duration {
 	return time.Duration(float64(n) / perSecond * float64(time.Second))
 }
 
-// Limited returns how many endpoints have named a limit.
+// Limited returns the number of endpoints with a limit.
 func (b *Book) Limited() (n int) {
 	for _, p := range b.byID {
 		if p.said.limit.named {
--- a/pkg/pool/limit_test.go
+++ b/pkg/pool/limit_test.go
@@ -11,13 +11,13 @@
 	"github.com/traildrift/traildrift/pkg/mixer"
 )
 
-// A limit holds for as long as answers name it: an answer to an attempt that was sent before the
-// last word of it is no evidence that it has ended.
+// A limit holds for as long as answers state it. An answer to an attempt that was sent before the limit was
+// last stated must not end it, as it may be older than the limit.
 func TestLimitEndsByLaterAttempt(t *testing.T) {
 	at := time.Unix(1000, 0)
 	p := &Endpoint{}
 	if !p.Notes(Notice{Limit: Limited, PerSecond: 2.5}, at, at.Add(time.Second)).Limit {
-		t.Error("first word: got no change")
+		t.Error("first statement: got no change")
 	}
 	for _, c := range []struct {
 		name    string
@@ -25,9 +25,9 @@
 		sentAt  time.Time
 		changed bool
 	}{
-		{"sent before the word", Unlimited, at.Add(500 * time.Millisecond), false},
-		{"no word", NoWord, at.Add(2 * time.Second), false},
-		{"sent after the word", Unlimited, at.Add(2 * time.Second), true},
+		{"sent before the statement", Unlimited, at.Add(500 * time.Millisecond), false},
+		{"unspecified", NoWord, at.Add(2 * time.Second), false},
+		{"sent after the statement", Unlimited, at.Add(2 * time.Second), true},
 		{"again", Unlimited, at.Add(2 * time.Second), false},
 	} {
 		if got := p.Notes(Notice{Limit: c.word}, c.sentAt, at.Add(3*time.Second)).Limit; got != c.changed {
@@ -40,21 +40,21 @@
 }
 
 const (
-	// limitWindow, limitOverage and limitSlack are the users' bound: an endpoint gets in any such
-	// time no more than so many times what its limit allows, and some more.
+	// limitWindow, limitOverage and limitSlack are the bound that is checked: in any window an endpoint
+	// gets at most limitOverage times what its limit allows, and limitSlack requests.
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
 )
 
-// limitedFleet is processes that send to one endpoint whenever they may.
+// limitedFleet is a set of processes that send to one endpoint whenever its limit lets them.
 type limitedFleet struct {
 	books []*Book
-	// sent holds when the endpoint got a request.
+	// sent holds the times at which the endpoint got a request.
 	sent []time.Time
 }
 
-// limitedProcess returns the book of a process that knows some of the others.
+// limitedProcess returns the book of a process that knows the processes in knows.
 func limitedProcess(self uint64, knows []uint64, perSecond float64) *Book {
 	b := NewBook()
 	b.SetSenders(Senders{Self: self, All: knows})
@@ -63,7 +63,7 @@
 	return b
 }
 
-// limitedFleetOf returns a fleet whose processes know all of each other but for those that lacks names.
+// limitedFleetOf returns a fleet of n processes; each knows all others except those that lacks reports.
 func limitedFleetOf(n int, perSecond float64, lacks func(self, other int) bool) *limitedFleet {
 	f := &limitedFleet{}
 	for i := range n {
@@ -78,7 +78,7 @@
 	return f
 }
 
-// send has all processes send whenever they may, for a time.
+// send makes all processes send whenever they may, from one time to another.
 func (f *limitedFleet) send(from, to time.Time) {
 	const step = 20 * time.Millisecond
 	for now := from; now.Before(to); now = now.Add(step) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// most returns the most requests in a window of those sent since a time.
+// most returns the most requests in one window among those sent since a time.
 func (f *limitedFleet) most(since time.Time) (most int) {
 	for i, at := range f.sent {
 		n := 0
@@ -103,9 +103,8 @@
 	return most
 }
 
-// An endpoint gets no more than the users' bound on what its limit allows, and most of that, from
-// processes that never hear of one another and send whenever they may; also with lists that lack a
-// fifth of the processes.
+// Guards against a limit that is exceeded, or left largely unused, as processes share it without
+// coordination: each sends whenever it may, also with lists that lack a fifth of the processes.
 func TestLimitIsSharedWithoutAWord(t *testing.T) {
 	const lasts = 40 * time.Second
 	all := func(int, int) bool { return false }
@@ -117,41 +116,41 @@
 				f.send(t0, t0.Add(lasts))
 				bound := limitOverage*perSecond*limitWindow.Seconds() + limitSlack
 				if got := f.most(t0); float64(got) > bound {
-					t.Errorf("%d processes, %s, limit %v: in %v: got %d, want %.1f at most", n, name, perSecond, limitWindow, got, bound)
+					t.Errorf("%d processes, %s, limit %v: requests in %v: got %d, want at most %.1f", n, name, perSecond, limitWindow, got, bound)
 				}
 				if got, want := float64(len(f.sent)), 0.9*perSecond*lasts.Seconds(); got < want {
-					t.Errorf("%d processes, %s, limit %v: in %v: got %.0f, want %.0f", n, name, perSecond, lasts, got, want)
+					t.Errorf("%d processes, %s, limit %v: requests in %v: got %.0f, want at least %.0f", n, name, perSecond, lasts, got, want)
 				}
 				if len(f.sent) == 0 {
-					t.Errorf("%d processes, %s, limit %v: got none, want one now and then", n, name, perSecond)
+					t.Errorf("%d processes, %s, limit %v: got no requests, want some", n, name, perSecond)
 				}
 			}
 		}
 	}
 }
 
-// A process that knows of no other yet sends nothing to an endpoint that has named a limit until
-// it has waited for so long that any number of them may.
+// A process that knows no other ones must not take the whole limit: it sends a request only after the time
+// in which any number of processes may probe.
 func TestLimitWithoutAListOfProcesses(t *testing.T) {
 	p := limitedProcess(1, nil, 2.5).Get("e0")
 	if p.ready(t0.Add(doubtAfter)) {
-		t.Error("before its turn: got a request, want none")
+		t.Error("before the probe is due: got ready, want not ready")
 	}
 	if !p.ready(p.limitedUntil()) {
-		t.Error("in its turn: got none, want one request")
+		t.Error("when the probe is due: got not ready, want ready")
 	}
 }
 
-// A limit beyond what can be sent bounds nothing.
+// A limit beyond what can be sent restricts nothing.
 func TestHugeLimit(t *testing.T) {
 	p := limitedProcess(1, []uint64{1, 2, 3}, math.MaxFloat64).Get("e0")
 	p.Sends(t0)
 	if !p.ready(t0) {
-		t.Error("at once: got none, want another request")
+		t.Error("right after a request: got not ready, want ready")
 	}
 }
 
-// A request that finds all endpoints limited is told when the first may be asked.
+// A request that finds all endpoints limited gets the time at which the first has room.
 func TestLackOfLimited(t *testing.T) {
 	b := limitedProcess(1, []uint64{1}, 2)
 	p := b.Get("e0")
@@ -162,14 +161,14 @@
 	}
 	l := b.Lack(t0.Add(100*time.Millisecond), &w)
 	if want := t0.Add(500 * time.Millisecond); l.Limited != 1 || !l.At.Equal(want) {
-		t.Errorf("lack: got %+v, want one limited until %v", l, want)
+		t.Errorf("unavailability: got %+v, want one limited until %v", l, want)
 	}
 	if got, _ := b.Pick(l.At, &w); got != p {
-		t.Error("picked then: got none, want the endpoint")
+		t.Error("picked at that time: got none, want the endpoint")
 	}
 }
 
-// A limit is of the life that named it: an endpoint that starts again under its ID has none.
+// A limit belongs to the incarnation that stated it: an endpoint that restarts under its ID has none.
 func TestLimitIsOfOneLife(t *testing.T) {
 	b := NewBook()
 	e := entry("e0", 1)
@@ -179,18 +178,19 @@
 	e.Revision = 2
 	b.Put(e)
 	if _, ok := b.Get("e0").Limit(); !ok {
-		t.Error("the same life, listed again: got no limit, want one")
+		t.Error("same incarnation, listed again: got no limit, want one")
 	}
 	e.Revision, e.Born = 3, t0.Add(time.Second)
 	if !b.Put(e) {
-		t.Error("another life: got no change")
+		t.Error("next incarnation: got no change")
 	}
 	if _, ok := b.Get("e0").Limit(); ok {
-		t.Error("another life: got a limit, want none")
+		t.Error("next incarnation: got a limit, want none")
 	}
 }
 
-// A request at a process without a share is told when another one may have room, not when this one may.
+// At a process without a share, a request gets the time at which another process may have room, not the
+// later one at which this process may probe.
 func TestLackWithoutAShare(t *testing.T) {
 	var knows []uint64
 	for i := range uint64(40) {
@@ -202,48 +202,49 @@
 			continue
 		}
 		if got, want := b.Lack(t0, &Want{Service: "s"}).At, t0.Add(500*time.Millisecond); !got.Equal(want) {
-			t.Errorf("process %x: got %v, want %v", self, got, want)
+			t.Errorf("process %x: retry at: got %v, want %v", self, got, want)
 		}
 	}
 }
 
-// What a process grants to another is gone from its own share, and is used once, in time.
+// A request that a process grants to another is deducted from its own share; the other one uses it once, and
+// before the grant expires.
 func TestGrantIsSpent(t *testing.T) {
 	const perSecond = 2.5
 	giver, taker := limitedProcess(1, []uint64{1, 2}, perSecond).Get("e0"), limitedProcess(2, []uint64{1, 2}, perSecond).Get("e0")
 	now := t0.Add(time.Minute)
 	taker.Sends(now)
 	if taker.ready(now) {
-		t.Error("after its own request: got another one, want none")
+		t.Error("borrower after its own request: got ready, want not ready")
 	}
 	granted, at := giver.Grant(now)
 	if want := now.Add(800 * time.Millisecond); !granted || !at.Equal(want) {
 		t.Errorf("grant: got %v, the next at %v, want one and the next at %v", granted, at, want)
 	}
 	if giver.ready(now) {
-		t.Error("the giver after its grant: got a request, want none")
+		t.Error("lender after its grant: got ready, want not ready")
 	}
 	if again, _ := giver.Grant(now); again {
 		t.Error("second grant: got one, want none")
 	}
 	taker.Granted(now.Add(50 * time.Millisecond))
 	if taker.ready(now.Add(50 * time.Millisecond)) {
-		t.Error("after the grant's time: got a request, want none")
+		t.Error("borrower after the grant expired: got ready, want not ready")
 	}
 	if !taker.ready(now) {
-		t.Error("with a grant: got none, want a request")
+		t.Error("borrower with a grant: got not ready, want ready")
 	}
 	taker.Sends(now)
 	if taker.ready(now) {
-		t.Error("after the granted request: got another one, want none")
+		t.Error("borrower after the granted request: got ready, want not ready")
 	}
 	if own := now.Add(800 * time.Millisecond); !taker.ready(own) {
-		t.Error("its own share once it is due: got none, want a request")
+		t.Error("borrower once its own share is due: got not ready, want ready")
 	}
 }
 
-// The shares of all follow one another evenly from the moment at which a limit is named, however lately
-// each process sent before: the room of the first seconds is used, and no two send together.
+// The shares of all processes interleave evenly from the moment at which a limit is stated, however recently
+// each sent before. Otherwise the capacity of the first seconds is lost, or several processes send at once.
 func TestSharesFollowOneAnother(t *testing.T) {
 	const perSecond, processes = 2.0, 4
 	f := limitedFleetOf(processes, perSecond, func(int, int) bool { return false })
--- a/pkg/pool/load.go
+++ b/pkg/pool/load.go
@@ -5,37 +5,36 @@
 
 import "time"
 
-// Load is how loaded an endpoint is believed to be.
+// Load estimates the load of an endpoint.
 type Load struct {
-	// Sent counts our own attempts that have not ended; 0 or more.
+	// InFlight counts this process's attempts that have not ended; 0 or more. Endpoint.RecordSend adds
+	// to it, the caller subtracts.
 	Sent int
-	// busyUntil is when the endpoint is believed to have read all prompts that this
-	// process sent it and that others told of.
+	// busyUntil is when the endpoint is expected to have read all prompts that this process sent and
+	// that peers reported.
 	busyUntil time.Time
-	// reported is what the endpoint told last, and reportedAt when; sentThen is
-	// Sent at that moment.
+	// reportedRuns is the number of runs that the endpoint last reported, at reportedAt;
+	// inFlightAtReport is InFlight at that time.
 	reported   int
 	sentThen   int
 	reportedAt time.Time
 }
 
-// reportHolds is how long a report outweighs what we sent ourselves. Answers
-// come several times a second from a busy endpoint, and a run takes about a
-// second.
+// loadReportTTL is how long a report takes precedence over the count of attempts in flight. A busy
+// endpoint answers several times per second, and a run takes about a second.
 const reportHolds = 2 * time.Second
 
-// Report takes over what an endpoint told of itself: runs under way and waiting.
+// RecordReport stores a load report of the endpoint: its runs in progress and waiting.
 func (l *Load) Report(now time.Time, running, waiting int) {
 	l.reported, l.sentThen, l.reportedAt = running+waiting, l.Sent, now
 }
 
-// busyMost is how far ahead an endpoint is believed to be busy at most: what is told
-// is an estimate, and where it is too long by a little, it adds up without end. Callers
-// with the longest prompts wait for 3 to 4 s.
+// maxBusy bounds how far ahead busyUntil may lie. Reported reading times are estimates, and without
+// the bound, small overestimates would add up. Callers with the longest prompts wait for 3 to 4 s.
 const busyMost = 4 * time.Second
 
-// Busy notes that the endpoint gets a prompt that it reads in d, behind what it has
-// already, and returns when that is expected to be done.
+// AddPrompt adds a prompt that takes d to read, after those that the endpoint already has. It returns
+// when the prompt is expected to be read.
 func (l *Load) Busy(now time.Time, d time.Duration) (done time.Time) {
 	if l.busyUntil.Before(now) {
 		l.busyUntil = now
@@ -51,23 +50,22 @@
 	}
 }
 
-// Read notes that a prompt was read now which was expected to be done at then: what
-// lies behind it comes earlier or later by as much.
+// FinishPrompt records that a prompt whose reading was expected to be done at then was read at now, and
+// shifts the prompts behind it by the difference.
 func (l *Load) Read(now, then time.Time) {
 	l.busyUntil = l.busyUntil.Add(now.Sub(then))
 	l.bound(now)
 }
 
-// Unsent notes that a prompt which takes d will not be read after all.
+// CancelPrompt removes a prompt of reading time d, which will not be read.
 func (l *Load) Unsent(d time.Duration) { l.busyUntil = l.busyUntil.Add(-d) }
 
-// Wait returns how long a prompt is expected to wait for others to be read, in
-// seconds.
+// Wait returns how long a new prompt is expected to wait until the earlier ones are read, in seconds.
 func (l *Load) Wait(now time.Time) float64 {
 	return max(l.busyUntil.Sub(now), 0).Seconds()
 }
 
-// Runs returns how many runs the endpoint is believed to have.
+// Runs estimates the number of runs that the endpoint has, in progress and waiting.
 func (l *Load) Runs(now time.Time) int {
 	if l.reportedAt.IsZero() || now.Sub(l.reportedAt) > reportHolds {
 		return l.Sent
--- a/pkg/pool/load_test.go
+++ b/pkg/pool/load_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// waits checks how long an endpoint is believed to read, to a microsecond.
+// waits checks the expected wait at an endpoint, to a microsecond.
 func waits(t *testing.T, what string, l *Load, now time.Time, want float64) {
 	t.Helper()
 	if got := l.Wait(now); math.Abs(got-want) > 1e-6 {
@@ -22,7 +22,7 @@
 	for range 100 {
 		l.Busy(t0, 300*time.Millisecond)
 	}
-	waits(t, "wait after much was told", &l, t0, busyMost.Seconds())
+	waits(t, "wait after 30 s of prompts", &l, t0, busyMost.Seconds())
 	l.Read(t0, t0.Add(-time.Minute))
 	waits(t, "wait after a head that came a minute late", &l, t0, busyMost.Seconds())
 }
@@ -31,11 +31,11 @@
 	var l Load
 	then := l.Busy(t0, 900*time.Millisecond)
 	l.Busy(t0, 200*time.Millisecond)
-	// What was to be read after 900 ms is read after 100 ms already.
+	// A prompt that was expected to be read after 900 ms is read after 100 ms.
 	now := t0.Add(100 * time.Millisecond)
 	l.Read(now, then)
 	waits(t, "wait after an early head", &l, now, 0.2)
-	// The next one, behind it, comes half a second late.
+	// The next prompt, behind it, is read half a second late.
 	then = l.Busy(now, 300*time.Millisecond)
 	l.Busy(now, 100*time.Millisecond)
 	late := then.Add(500 * time.Millisecond)
@@ -43,7 +43,7 @@
 	waits(t, "wait after a late head", &l, late, 0.1)
 	l.Busy(late, 400*time.Millisecond)
 	l.Unsent(400 * time.Millisecond)
-	waits(t, "wait after a prompt was given up", &l, late, 0.1)
+	waits(t, "wait after a prompt was cancelled", &l, late, 0.1)
 }
 
 func TestWorkIsDoneAsTimePasses(t *testing.T) {
--- a/pkg/pool/loss.go
+++ b/pkg/pool/loss.go
@@ -9,29 +9,27 @@
 	"github.com/traildrift/traildrift/pkg/mixer"
 )
 
-// What a choice loses is told in parts of what the request earns.
+// Losses are fractions of what the request earns.
 const (
-	// lateLoss is lost by an answer that comes too late: callers' credit for late ones
-	// is a tenth to a third.
+	// lateLoss is the loss of a late answer: callers credit a late one with a tenth to a third.
 	lateLoss = 0.8
-	// againLoss is lost where the whole prompt is read again though another endpoint
-	// holds it: 4 to 5 % on each of the users' sites, by their prices and credits.
+	// rereadLoss is the loss of reading the whole prompt again though another endpoint holds its
+	// prefix: 4 to 5 % by the prices and credits of each site.
 	againLoss = 0.045
-	// farLoss is lost where a prompt crosses availability zones: 0.4 to 5 % on the
-	// users' sites, by their prices and credits; the figure is their geometric mean.
+	// crossZoneLoss is the loss of sending a prompt to another availability zone: 0.4 to 5 % by the
+	// prices and credits of the sites; this is their geometric mean.
 	farLoss = 0.015
-	// strayLoss is lost where the whole prompt is read elsewhere than where it belongs:
-	// processes that were started since know of no holder, and look there. On a day that
-	// ends with a restart of all, reading again fell from 0.0081 to 0.0065 of it.
+	// offHomeLoss is the loss of reading the whole prompt elsewhere than at its home: processes that
+	// start later know of no holder and look for the prefix at the home. In a load test that ends
+	// with a restart of all processes, it lowered the loss by rereading from 0.0081 to 0.0065.
 	strayLoss = 0.03
-	// crowdLoss is lost at an endpoint all of whose slots are taken, before any wait:
-	// runs slow one another down, by up to a third, and what others sent is not all
-	// told.
+	// saturationLoss is the loss at an endpoint whose slots are all taken, apart from the wait: runs
+	// slow one another down by up to a third, and peers do not report all that they send.
 	crowdLoss = 0.05
 )
 
-// Wait returns how long the request is expected to wait at an endpoint until its prompt
-// is read, in seconds.
+// Wait returns how long the request is expected to wait at an endpoint until its prompt is read, in
+// seconds.
 func (w *Want) Wait(p *Endpoint, now time.Time) float64 {
 	wait := p.Load.Wait(now)
 	if w.Urgent {
@@ -41,8 +39,8 @@
 	return wait + p.Pace.Times(now)*w.Stream*max(float64(over), 0)/float64(max(p.Slots, 1))
 }
 
-// loss returns what the request is expected to lose at an endpoint that holds its prefix
-// or not.
+// loss returns the expected loss of the request at an endpoint; holds says whether the endpoint holds
+// its prefix.
 func (w *Want) loss(p *Endpoint, now time.Time, holds bool) float64 {
 	read, again := w.Whole, againLoss*w.Shared
 	if holds {
@@ -57,13 +55,13 @@
 	return loss
 }
 
-// Delays returns what others lose by a prompt that is read in so many seconds behind a wait,
-// in parts of what a request earns.
+// OthersLoss returns what other requests lose by a prompt that takes read seconds to read after wait
+// seconds, in fractions of what this request earns.
 func (w *Want) Delays(read, wait float64) float64 { return lateLoss * w.Others * w.delay(read, wait) }
 
-// delay returns how much later, in chances to be late, others come for a prompt that is read
-// in so many seconds behind a wait: those that come while it waits or is read, by half of
-// the reading on average. Their aims are taken to be like this one's.
+// delayToOthers returns the added probability of lateness, summed over the other requests, that a prompt
+// causes which takes read seconds to read after wait seconds. It delays those that arrive while it waits
+// or is read, on average by half of its reading time. Their aims are assumed to be like this request's.
 func (w *Want) delay(read, wait float64) float64 {
 	if w.Aim <= 0 {
 		return 0
@@ -71,10 +69,10 @@
 	return w.Rate * (wait + read) * lateness(read/2, w.Aim)
 }
 
-// lateness returns the chance, 0 to 1, that a head which is expected to take so long comes
-// after what is left of the aim, both in seconds: heads spread evenly up to twice what is
-// expected. Beyond that it goes on growing a little, so that the least late of all late
-// ones is known.
+// lateness returns the probability, 0 to 1, that the head of an answer, expected after head seconds, takes
+// longer than left seconds. The actual time is taken as uniform from 0 to twice the expected. Beyond
+// certainty the value grows by up to lateTail, so that the least late of several late endpoints is
+// preferred.
 func lateness(head, left float64) float64 {
 	x := head / (2 * max(left, leftLeast))
 	if x <= 1 {
@@ -84,29 +82,29 @@
 }
 
 const (
-	// leftLeast keeps the chance finite where no time is left, in seconds.
+	// minTimeLeft keeps the quotient finite where no time is left, in seconds.
 	leftLeast = 0.01
-	// beyond is how much the growth beyond certainty comes to.
+	// lateTail bounds how far lateness grows above 1.
 	beyond = 0.1
 )
 
-// chosen is the least loss found so far.
+// candidate is the endpoint with the least loss found so far.
 type chosen struct {
 	p    *Endpoint
 	why  Reason
 	loss float64
 }
 
-// offer takes an endpoint if it loses less.
+// consider replaces the candidate if an endpoint has a smaller loss.
 func (c *chosen) offer(p *Endpoint, why Reason, loss float64) {
 	if c.p == nil || loss < c.loss {
 		*c = chosen{p, why, loss}
 	}
 }
 
-// place returns the endpoint at which a request with a prefix loses least, of those that
-// hold the prefix, those where it belongs if none does, and some drawn at random: all
-// processes know about the same, so that the best of all would be swamped.
+// pickForPrefix returns the endpoint at which a request with a prefix loses least: one of the prefix's
+// holders, its homes, or a random sample. It does not search all endpoints, as every process has about
+// the same data and all would send to the same best one.
 func (b *Book) place(open []*Endpoint, now time.Time, w *Want, trust trustTest) (*Endpoint, Reason) {
 	var best chosen
 	near, all := home(open, w)
@@ -129,8 +127,8 @@
 	return best.p, best.why
 }
 
-// holder returns the endpoint at which a request loses least, of those that are believed to
-// hold its prefix and may serve it.
+// holder returns the endpoint with the least loss among the recorded holders of the request's prefix that
+// may serve it.
 func (b *Book) holder(now time.Time, w *Want, trust trustTest) (best chosen) {
 	in := b.held.of(w.Affinity)
 	if in == nil || w.Alone {
@@ -148,13 +146,13 @@
 	return best
 }
 
-// sampleLeast is how many endpoints are drawn at least: the better of two is much better
-// than one (Mitzenmacher, 2001).
+// minSample is the least number of endpoints that are drawn: the better of two is much better than one
+// (Mitzenmacher, 2001).
 const sampleLeast = 2
 
-// home returns where a prefix belongs by rendezvous hash (Thaler and Ravishankar, 1998),
-// which every process finds the same, also one that has just started: among the endpoints
-// of the request's availability zone, nil if there are none, and among all.
+// home returns the homes of a prefix by rendezvous hash (Thaler and Ravishankar, 1998): one among all
+// endpoints, and one among those of the request's availability zone, nil if there are none. Every process
+// finds the same, also one that has just started.
 func home(open []*Endpoint, w *Want) (near, all *Endpoint) {
 	var nearMost, allMost uint64
 	for _, p := range open {
--- a/pkg/pool/notice.go
+++ b/pkg/pool/notice.go
@@ -5,50 +5,50 @@
 
 import "time"
 
-// Notice is what an endpoint says of itself in the head of an answer. The zero value says
+// Notice is what an endpoint announces about itself in the head of an answer. The zero value announces
 // nothing.
 type Notice struct {
 	Limit LimitWord
-	// PerSecond is the requests a second that the endpoint takes from all processes
-	// together, 0 or more; it counts if Limit is Limited.
+	// PerSecond is the limit in requests per second from all processes together, 0 or more; valid if
+	// Limit is Limited.
 	PerSecond float64
-	// Leaving says that it takes no new work any more.
+	// Leaving announces that the endpoint accepts no new work.
 	Leaving bool
-	// RestUntil is until when it wants nothing from this process; zero if it does not say.
+	// RestUntil is the end of the rest period in which the endpoint wants no requests from this process
+	// (Retry-After); zero if it requests none.
 	RestUntil time.Time
 }
 
-// said is what an endpoint said of itself. The zero value is nothing.
+// announced is the stored announcements of an endpoint. The zero value is none.
 type said struct {
-	// leaving says that it takes no new work any more; it never goes back.
+	// leaving is set once the endpoint announced that it accepts no new work; it is never reset.
 	leaving bool
 	limit   limit
 	rest    rest
 }
 
-// anything reports whether the endpoint said something that may still hold.
+// isSet reports whether there is an announcement that may still hold.
 func (s *said) anything() bool { return s.leaving || s.limit.named || !s.rest.until.IsZero() }
 
-// saidBy is what a life of an endpoint said.
+// pastAnnounced is what one incarnation of an endpoint announced.
 type saidBy struct {
 	born time.Time
 	said
 }
 
-// saysLeaving notes that the endpoint said that it leaves. It needs no list for that.
+// setLeaving stores the endpoint's announcement that it is leaving, whatever the list has.
 func (p *Endpoint) saysLeaving() { p.leaving, p.said.leaving = true, true }
 
-// Left notes that an endpoint which is not listed any more said that it leaves.
+// RecordLeaving stores that an endpoint which is no longer listed announced that it is leaving.
 func (b *Book) Left(e Entry) { remember(b.said, e.ID, saidBy{e.Born, said{leaving: true}}) }
 
-// Changes tells which of what is known of an endpoint a notice has changed.
+// Changes names the stored announcements of an endpoint that a notice changed.
 type Changes struct{ Limit, Leaving, Rest bool }
 
-// Notes takes in what the endpoint says in an answer that came at now, to an attempt that was
-// sent at sentAt.
+// RecordNotice applies a notice from an answer that came at now, to an attempt that was sent at sentAt.
 func (p *Endpoint) Notes(n Notice, sentAt, now time.Time) (c Changes) {
 	if n.Limit == Unlimited && !sentAt.After(p.said.limit.saidAt) {
-		// An answer to an attempt from before the last word may be older than that.
+		// An answer to an attempt that was sent before the limit was last stated may be older than the limit.
 		n.Limit = NoWord
 	}
 	c = p.Told(n, now)
@@ -56,8 +56,8 @@
 	return c
 }
 
-// Told is Notes for what another process was told by the endpoint later than what it knew. What an
-// endpoint wants of that process alone does not count.
+// RecordPeerNotice applies a notice that a peer relayed and that is newer than what the peer knew. It
+// ignores the rest period, which holds for the peer alone.
 func (p *Endpoint) Told(n Notice, now time.Time) (c Changes) {
 	c.Limit = p.said.limit.take(n, now)
 	if c.Leaving = n.Leaving && !p.leaving; n.Leaving {
@@ -66,9 +66,9 @@
 	return c
 }
 
-// Told notes what another process was told by a life of an endpoint, both by their hashes. One that
-// is not listed here yet is noted once it is. It returns the endpoint, nil for such a one, or one
-// that has another life by now.
+// RecordPeerNotice applies a notice that a peer relayed for an endpoint and its incarnation, both
+// identified by their hashes. A notice for an endpoint that is not listed here is kept until it is, and
+// one for another incarnation than the listed one is ignored; both return nil.
 func (b *Book) Told(endpoint, life uint64, n Notice, now time.Time) (p *Endpoint, c Changes) {
 	p = b.ByHash(endpoint)
 	switch {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Notice returns what is known of what the endpoint said to all.
+// Notice returns the stored announcements that are meant for all processes; the rest period is not.
 func (p *Endpoint) Notice() Notice {
 	n := Notice{Leaving: p.said.leaving}
 	switch {
@@ -94,7 +94,7 @@
 	return n
 }
 
-// Noticed returns the endpoints that have said something to all which holds.
+// WithNotices returns the endpoints that have a limit or announced that they are leaving.
 func (b *Book) Noticed() (list []*Endpoint) {
 	for _, p := range b.byID {
 		if p.said.limit.named || p.said.leaving {
--- a/pkg/pool/notice_test.go
+++ b/pkg/pool/notice_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// An endpoint that has said that it leaves stays so for its life, whatever the list says: listed as
-// ready by a later revision, lapsed, removed and listed again. Its next life is ready.
+// An endpoint that announced that it is leaving gets no new work in this incarnation, whatever the list
+// has: a later revision as ready, a removal, a grace period, a new entry. Its next incarnation gets work.
 func TestEndpointThatSaidItLeaves(t *testing.T) {
 	usable := func(b *Book) bool {
 		got, _ := b.Pick(t0, &Want{Service: "s"})
@@ -20,9 +20,9 @@
 		change func(b *Book, e Entry)
 		want   bool
 	}{
-		{"nothing", func(*Book, Entry) {}, false},
+		{"unchanged", func(*Book, Entry) {}, false},
 		{"listed again", func(b *Book, e Entry) { e.Revision = 2; b.Put(e) }, false},
-		{"listed without its life", func(b *Book, e Entry) {
+		{"listed without its start time", func(b *Book, e Entry) {
 			e.Revision, e.Born = 2, time.Time{}
 			b.Put(e)
 			e.Revision, e.Born = 3, t0
@@ -33,19 +33,19 @@
 			e.Revision = 3
 			b.Put(e)
 		}, false},
-		{"said after its removal", func(b *Book, e Entry) {
+		{"announced after its removal", func(b *Book, e Entry) {
 			b.Remove(e.ID, 2, t0, time.Time{})
 			b.Left(e)
 			e.Revision = 3
 			b.Put(e)
 		}, false},
-		{"lapses at once", func(b *Book, e Entry) {
+		{"removed with a grace period", func(b *Book, e Entry) {
 			b.Remove(e.ID, 2, t0, t0.Add(time.Minute))
 			e.Revision = 3
 			b.Put(e)
 		}, false},
-		{"next life", func(b *Book, e Entry) { e.Revision, e.Born = 2, t0.Add(time.Second); b.Put(e) }, true},
-		{"next life after removal", func(b *Book, e Entry) {
+		{"next incarnation", func(b *Book, e Entry) { e.Revision, e.Born = 2, t0.Add(time.Second); b.Put(e) }, true},
+		{"next incarnation after removal", func(b *Book, e Entry) {
 			b.Remove(e.ID, 2, t0, time.Time{})
 			e.Revision, e.Born = 3, t0.Add(time.Second)
 			b.Put(e)
@@ -55,7 +55,7 @@
 		e.Born = t0
 		b.Put(e)
 		if got := b.Get("e0").Notes(Notice{Leaving: true}, t0, t0); !got.Leaving {
-			t.Errorf("%s: first word: got no change", c.name)
+			t.Errorf("%s: first announcement: got no change", c.name)
 		}
 		c.change(b, e)
 		if got := usable(b); got != c.want {
@@ -64,8 +64,8 @@
 	}
 }
 
-// What others were told holds for the life that said it alone, and is kept for an endpoint that is
-// not listed yet.
+// A notice that a peer relayed applies to its own incarnation only, and is kept for an endpoint that is not
+// listed yet.
 func TestToldOfLives(t *testing.T) {
 	e := entry("e0", 1)
 	e.Born = t0
@@ -77,10 +77,10 @@
 		early bool
 		want  Notice
 	}{
-		{"this life", at.Life(), false, said},
-		{"another life", at.Life() + 1, false, Notice{}},
-		{"this life, listed later", at.Life(), true, said},
-		{"another life, listed later", at.Life() + 1, true, Notice{}},
+		{"this incarnation", at.Life(), false, said},
+		{"another incarnation", at.Life() + 1, false, Notice{}},
+		{"this incarnation, listed later", at.Life(), true, said},
+		{"another incarnation, listed later", at.Life() + 1, true, Notice{}},
 	} {
 		b := NewBook()
 		if !c.early {
@@ -94,7 +94,7 @@
 	}
 }
 
-// What an endpoint said holds for its life, also where its entry lapses and is listed again meanwhile.
+// Announcements hold for an incarnation, also where its entry is removed and listed again meanwhile.
 func TestWhatWasSaidOutlivesTheEntry(t *testing.T) {
 	b, e := NewBook(), entry("e0", 1)
 	e.Born = t0
@@ -109,12 +109,12 @@
 		t.Errorf("limit of an entry listed again: got %v, %v, want 2", perSecond, ok)
 	}
 	if p.ready(t0.Add(2 * time.Second)) {
-		t.Error("rest of an entry listed again: got a request, want none")
+		t.Error("rest period of an entry listed again: got ready, want not ready")
 	}
 	b.Remove("e0", 4, t0, time.Time{})
 	e.Revision, e.Born = 5, t0.Add(time.Second)
 	b.Put(e)
 	if _, ok := b.Get("e0").Limit(); ok || !b.Get("e0").ready(t0.Add(2*time.Second)) {
-		t.Error("the next life: got a limit or a rest, want neither")
+		t.Error("next incarnation: got a limit or a rest period, want neither")
 	}
 }
--- a/pkg/pool/pace.go
+++ b/pkg/pool/pace.go
@@ -8,26 +8,28 @@
 	"time"
 )
 
-// Pace is how many times as long as usual work takes at an endpoint, as it tells itself: it may
-// share its VM with others, and VMs differ. The zero value is an endpoint that tells nothing.
+// Pace is an endpoint's service time relative to usual work, as the endpoint reports it: 2 takes twice as
+// long. It varies, as VMs differ and an endpoint may share its VM with others. The zero value, without
+// reports, has a factor of 1.
 type Pace struct {
-	// told holds what it told last, n how often it told, and at when it told last.
+	// factors is a ring of the last reported factors, n the number of reports, and reportedAt the
+	// time of the last one.
 	told [paceKept]float64
 	n    int
 	at   time.Time
 }
 
 const (
-	// paceKept is how many tellings the usual pace is the median of.
+	// paceSamples is the number of reports over which the median is taken.
 	paceKept = 5
-	// paceHolds is how long the last telling stands for the moment: others on the VM come and go
-	// several times a second.
+	// paceTTL is how long the last report is taken as the current factor: the load of other processes on
+	// the VM changes several times per second.
 	paceHolds = 400 * time.Millisecond
-	// paceLeast and paceMost bound what an endpoint may claim.
+	// minPace and maxPace bound the reported factor.
 	paceLeast, paceMost = 0.1, 10
 )
 
-// Tell takes over how many times as long as usual work takes now.
+// RecordReport stores a reported factor; it ignores one that is not positive.
 func (p *Pace) Tell(now time.Time, times float64) {
 	if !(times > 0) {
 		return
@@ -37,8 +39,8 @@
 	p.at = now
 }
 
-// Times returns how many times as long as usual work is expected to take: as told last, if that
-// was just now, and otherwise what is usual of this endpoint.
+// Factor returns the expected factor: the last reported one within paceTTL, else the median of the last
+// paceSamples reports.
 func (p *Pace) Times(now time.Time) float64 {
 	switch {
 	case p.n == 0:
--- a/pkg/pool/pace_test.go
+++ b/pkg/pool/pace_test.go
@@ -17,12 +17,12 @@
 		told      []float64
 		now, then float64
 	}{
-		{"untold", nil, 1, 1},
-		{"once", []float64{1.2}, 1.2, 1.2},
+		{"no report", nil, 1, 1},
+		{"one report", []float64{1.2}, 1.2, 1.2},
 		{"slow for a moment", []float64{1.2, 1.2, 3}, 3, 1.2},
 		{"slow at first", []float64{3, 1.2}, 1.2, 1.2},
 		{"has become slow", []float64{0.5, 0.5, 2, 2, 2, 2}, 2, 2},
-		{"nonsense", []float64{1.2, 0, -4}, 1.2, 1.2},
+		{"invalid reports", []float64{1.2, 0, -4}, 1.2, 1.2},
 		{"beyond the bounds", []float64{1e9}, paceMost, paceMost},
 	} {
 		var p Pace
@@ -30,22 +30,22 @@
 			p.Tell(t0, v)
 		}
 		if got := p.Times(t0); got != c.now {
-			t.Errorf("%s: at once: got %v, want %v", c.name, got, c.now)
+			t.Errorf("%s: right after the report: got %v, want %v", c.name, got, c.now)
 		}
 		if got := p.Times(t0.Add(later)); got != c.then {
-			t.Errorf("%s: later: got %v, want %v", c.name, got, c.then)
+			t.Errorf("%s: after paceTTL: got %v, want %v", c.name, got, c.then)
 		}
 	}
 }
 
-// unevenPlay sends prompts that take 0.2 s of usual work to endpoints that read one at a time, a
-// quarter of which take 0.55 times as long as usual and the others 1.2 times, and returns how many
-// of a hundred heads come after 1.5 s. Endpoints tell their pace with each answer, or do not.
+// unevenPlay sends prompts that take 0.2 s of usual work to endpoints that read one at a time: a quarter have
+// a pace of 0.55, the others one of 1.2. It returns the percentage of heads that come after more than 1.5 s.
+// With tells, endpoints report their pace with each answer.
 func unevenPlay(tells bool) (late float64) {
 	const (
 		endpoints, prompts = 12, 4000
 		usual              = 0.2
-		// pressed is the part of what all endpoints together bear that comes.
+		// pressed is the offered load as a fraction of the capacity of all endpoints.
 		pressed = 0.9
 	)
 	rnd := rand.New(rand.NewPCG(7, 7))
@@ -82,13 +82,13 @@
 	return 100 * float64(n) / prompts
 }
 
-// Pattern: endpoints of which some take more than twice as long as others for the same work, and
-// tell so, under nine tenths of what they bear together. Treated alike, the slow ones get more
-// than they bear and their callers wait.
+// Guards against overload of slow endpoints: some take more than twice as long as others for the same work and
+// report it, at a load of 0.9 of their total capacity. Treated alike, the slow ones get more than their
+// capacity and their callers wait.
 func TestUnevenEndpointsGetWhatTheyBear(t *testing.T) {
 	alike, told := unevenPlay(false), unevenPlay(true)
-	t.Logf("late: %.1f of a hundred treated alike, %.1f as they tell", alike, told)
+	t.Logf("late: %.1f %% treated alike, %.1f %% with reported pace", alike, told)
 	if told > alike/4 || told > 5 {
-		t.Errorf("late of a hundred: got %.1f, want a quarter of %.1f at most, and 5", told, alike)
+		t.Errorf("late: got %.1f %%, want at most a quarter of %.1f %%, and at most 5 %%", told, alike)
 	}
 }
--- a/pkg/pool/pick.go
+++ b/pkg/pool/pick.go
@@ -13,65 +13,66 @@
 	"github.com/traildrift/traildrift/pkg/mixer"
 )
 
-// Want is what a request asks of an endpoint.
+// Want describes a request for which Book.Pick selects an endpoint. The caller fills it in; Pick sets
+// PassedOver.
 type Want struct {
 	Service string
-	// Fit reports whether a version of the endpoints' software may serve the
-	// request; nil allows all.
+	// Fit reports whether a version of the endpoints' software may serve the request; nil allows all.
 	Fit func(version string) bool
 	// Zones reports whether the request may be served in an availability zone; nil allows all.
 	Zones func(zone string) bool
-	// One says that the request goes to the first of the endpoints that fit and are
-	// trusted, in the order of their hashes.
+	// FirstOnly restricts the request to the first endpoint, in the order of their hashes, that may
+	// serve it and is trusted.
 	One bool
-	// one is its hash; 0 for all.
+	// firstHash is the hash of that endpoint; 0 for no restriction.
 	one uint64
-	// Zone is where the asking process runs.
+	// Zone is the availability zone of this process.
 	Zone string
-	// Avoid holds the IDs that were tried already.
+	// Avoid holds the IDs of endpoints that are not to be picked, such as those already tried.
 	Avoid []string
-	// Affinity names what an endpoint may still hold in memory; 0 for nothing.
+	// Affinity is the hash of the prompt prefix that an endpoint may hold in memory; 0 for none.
 	Affinity uint64
-	// Whole and Rest are how long endpoints read the whole prompt, and what no other
-	// request shares of it, in seconds; Shared is the part of it that others share, 0
+	// FullRead is the time that endpoints take to read the whole prompt, UnsharedRead that for the part
+	// that no other request shares, both in seconds; SharedFraction is the shared part of the prompt, 0
 	// to 1.
 	Whole, Rest, Shared float64
-	// Left is how much of the time is left in which the head is in time, in seconds.
+	// TimeLeft is the time until the head of the answer is late, in seconds.
 	Left float64
-	// Aim is the whole of it, in seconds; 0 where there is none.
+	// Aim is the target time to the head of the answer, in seconds; 0 for none.
 	Aim float64
-	// Others is what another request to the service earns on average, in parts of what this
-	// one does.
+	// OthersWorth is what another request to the service earns on average, as a multiple of what this
+	// one earns.
 	Others float64
-	// Rate is how many prompts an endpoint of the service gets each second.
+	// PromptRate is the number of prompts that an endpoint of the service gets per second.
 	Rate float64
-	// Urgent says that endpoints read this prompt before others that are not: it waits
-	// for the part Ahead, 0 to 1, of what they have.
+	// Urgent says that endpoints read this prompt before those that are not urgent: it waits for the
+	// fraction AheadFraction, 0 to 1, of the prompts that an endpoint has.
 	Urgent bool
 	Ahead  float64
-	// Stream is how long a run goes on after its head, in seconds.
+	// StreamTime is the time that a run continues after the head of its answer, in seconds.
 	Stream float64
-	// Belonging is the chance, 0 to 1, that a prefix of which nobody was heard to hold
-	// it is held all the same where it belongs.
+	// HomeChance is the probability, 0 to 1, that the home of a prefix holds it though no holder is
+	// recorded.
 	Belonging float64
-	// Alone says that it does not matter which endpoints hold the prefix.
+	// IgnoreHolders disables the preference for endpoints that hold the prefix.
 	Alone bool
-	// Sample is how many endpoints are drawn that need not hold the prefix.
+	// SampleSize is the number of endpoints that are drawn at random in addition to holders and homes.
 	Sample int
-	// Once says that the request is lost if its attempt fails, so that it tests
-	// no endpoint.
+	// NoRetry says that the request is lost if its attempt fails, so that it goes to healthy endpoints
+	// only, as far as there are any.
 	Once bool
 	// Draw is a random number.
 	Draw uint64
-	// Passed is set by Pick: the best endpoint that holds the prefix, where another one
-	// loses less; nil otherwise.
+	// PassedOver is set by Pick: the best holder of the prefix if another endpoint has a smaller loss;
+	// nil otherwise.
 	Passed *Endpoint
 }
 
-// Reason says why an endpoint was picked.
+// Reason is why an endpoint was picked.
 type Reason string
 
-// The reasons.
+// The reasons: the endpoint is a recorded holder of the prefix; its home among all endpoints; its home
+// in this process's availability zone; the best of a random sample; or no endpoint is trusted.
 const (
 	ByAffinity Reason = "holdsPrefix"
 	ByHome     Reason = "prefixBelongs"
@@ -80,8 +81,8 @@
 	ByDespair  Reason = "noneTrusted"
 )
 
-// farZone is what another availability zone counts for requests without a prefix, in
-// shares of the slots: the way there and back takes a few hundredths of their aims.
+// crossZoneCost is the cost of another availability zone for requests without a prefix, in fractions of
+// the slots: the round trip takes a few hundredths of their aims.
 const farZone = 0.06
 
 // Pick returns an endpoint for a request, and why; nil if there is none.
@@ -107,7 +108,7 @@
 	}
 }
 
-// first returns the hash of the endpoint that One asks for; 0 for none.
+// firstTrusted returns the hash of the endpoint to which FirstOnly restricts the request; 0 for none.
 func (w *Want) first(list []*Endpoint, now time.Time) uint64 {
 	if !w.One {
 		return 0
@@ -120,12 +121,12 @@
 	return 0
 }
 
-// Single reports whether Pick took the one endpoint that One asks for.
+// PickedFirst reports whether FirstOnly restricted the last Pick to one endpoint; it is false where none
+// was trusted.
 func (w *Want) Single() bool { return w.one != 0 }
 
-// trusted appends the endpoints of a list that may serve a request and are trusted
-// with it, as far as there are any, and returns the test that they passed; nil for
-// none.
+// trusted appends to dst the endpoints of a list that may serve a request and pass the strictest test of
+// trust that any of them passes. It returns them with that test; nil if no test was passed.
 func trusted(dst, list []*Endpoint, now time.Time, w *Want) ([]*Endpoint, trustTest) {
 	tests := []trustTest{(*Endpoint).sound, (*Endpoint).open, nil}
 	if !w.Once {
@@ -142,19 +143,19 @@
 // trustTest reports whether an endpoint is trusted with a request.
 type trustTest func(p *Endpoint, now time.Time) bool
 
-// Any reports whether a service has an endpoint that may get new work.
+// Any reports whether a service has an endpoint that may serve a request now, trusted or not.
 func (b *Book) Any(now time.Time, w *Want) bool {
 	return slices.ContainsFunc(b.byService[w.Service], func(p *Endpoint) bool { return p.fits(now, w) })
 }
 
-// scanMost is how many endpoints of a service are looked at for one request. Where
-// there are more, they are taken from one part of the ring of their hashes: the same
-// part at every process for requests with the same affinity, any part for the others.
-// Looking at all 3,000 of a sweep took 367 us; of 64 and 256, the latter served better.
+// maxScan is how many endpoints of a service Pick considers for one request. Of a larger service, it
+// takes them from one arc of the ring of their hashes: the same arc in every process for requests with
+// the same affinity, a random one for others. Scanning all of 3,000 endpoints took 367 us; a scan of 256
+// served requests better than one of 64.
 const scanMost = 256
 
-// fitting appends the endpoints of a list that may serve a request and that pass a
-// test of trust; nil lets all pass.
+// fitting appends to dst the endpoints of a list that may serve a request now and pass a test of trust;
+// nil passes all.
 func fitting(dst, list []*Endpoint, now time.Time, w *Want, test trustTest) []*Endpoint {
 	from := 0
 	if len(list) > scanMost {
@@ -177,12 +178,12 @@
 	return (w.one == 0 || p.hash == w.one) && p.allowed(now, w) && p.ready(now) && !slices.Contains(w.Avoid, p.ID)
 }
 
-// allowed reports whether an endpoint takes new work and has a version that may serve.
+// allowed reports whether an endpoint may get new work and has a version and a zone that may serve the request.
 func (p *Endpoint) allowed(now time.Time, w *Want) bool {
 	return p.usable(now) && (w.Fit == nil || w.Fit(p.Version)) && (w.Zones == nil || w.Zones(p.Zone))
 }
 
-// position returns where on the ring of a service's endpoints a request looks.
+// ringStart returns the index in a service's ring of endpoints at which the scan for a request starts.
 func (w *Want) position(list []*Endpoint) int {
 	if w.Affinity == 0 {
 		return int(mixer.Mix(w.Draw) % uint64(len(list)))
@@ -194,12 +195,12 @@
 func (p *Endpoint) open(now time.Time) bool  { return p.Trust.open(now, p.Load.Sent) }
 func (p *Endpoint) sound(now time.Time) bool { return p.Trust.sound(now) }
 
-// share returns the load of an endpoint in shares of its slots.
+// utilization returns the runs of an endpoint in fractions of its slots.
 func (p *Endpoint) share(now time.Time) float64 {
 	return float64(p.Load.Runs(now)) / float64(max(p.Slots, 1))
 }
 
-// two returns the less loaded of two endpoints drawn at random.
+// pickOfTwo returns the less loaded of two endpoints drawn at random.
 func two(open []*Endpoint, now time.Time, w *Want) *Endpoint {
 	d := mixer.Mix(w.Draw)
 	a := open[d%uint64(len(open))]
@@ -211,9 +212,9 @@
 	return a
 }
 
-// cost says how bad an endpoint is for a request: its load with the request in shares of its
-// slots, as often as work takes longer there than usual, a second of expected wait counting as
-// much as all slots.
+// cost returns the cost of sending a request without a prefix to an endpoint: its load with the request
+// in fractions of its slots, times its pace, plus the expected wait, one second of which counts as much
+// as all slots.
 func (p *Endpoint) cost(now time.Time, zone string) float64 {
 	c := p.Pace.Times(now)*(p.share(now)+1/float64(max(p.Slots, 1))) + p.Load.Wait(now)
 	if p.Zone != zone {
@@ -222,5 +223,5 @@
 	return c
 }
 
-// Hash returns the same number for a text in every process.
+// Hash returns the hash of a string, the same in every process.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
--- a/pkg/pool/pick_test.go
+++ b/pkg/pool/pick_test.go
@@ -30,11 +30,11 @@
 	}
 	later := t0.Add(shutMost)
 	if got := picks(b, later); got["e1"] == 0 {
-		t.Errorf("picks after the rest: got %v, want some of e1", got)
+		t.Errorf("picks after the ejection: got %v, want some of e1", got)
 	}
 	b.Get("e1").Load.Sent = 1
 	if got := picks(b, later); got["e1"] != 0 {
-		t.Errorf("picks while it is tried: got %v, want none of e1", got)
+		t.Errorf("picks during its single attempt: got %v, want none of e1", got)
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// wanted is a prompt of which nine tenths are shared, which takes a second to read.
+// wanted is a prompt that takes a second to read, nine tenths of which are shared.
 func wanted(prefix string) *Want {
 	return &Want{Service: "s", Zone: "a", Affinity: Hash(prefix), Whole: 1, Rest: 0.1, Shared: 0.9, Left: 4, Aim: 4}
 }
@@ -100,7 +100,7 @@
 	}
 	holder.Load = Load{}
 	if p, _ := b.Pick(t0.Add(heldFor+time.Second), w); p == holder {
-		t.Errorf("after %v: got the holder, want it forgotten", heldFor)
+		t.Errorf("after %v: got the holder, want another", heldFor)
 	}
 	b.Forgets(w.Affinity, holder.Hash())
 	if p, _ := b.Pick(t0, w); p == holder {
@@ -108,8 +108,8 @@
 	}
 }
 
-// A holder in another availability zone serves a prompt that is long to read; one that is
-// read at once is read again nearby rather than sent there.
+// A holder in another availability zone serves a prompt that takes long to read; a short one is read again in
+// the own zone rather than sent there.
 func TestFarHolderForLongPrompts(t *testing.T) {
 	for _, c := range []struct {
 		name                string
@@ -132,7 +132,7 @@
 	}
 }
 
-// An urgent prompt is placed by the part of the work before it that it waits for.
+// The wait of an urgent prompt counts only the part of the earlier work that it waits for.
 func TestUrgentPromptsWaitForLess(t *testing.T) {
 	b := book(2)
 	w := wanted("prefix")
@@ -140,7 +140,7 @@
 	b.Holds(w.Affinity, b.Get("e0").Hash(), t0)
 	b.Get("e0").Load.Busy(t0, 2*time.Second)
 	if p, _ := b.Pick(t0, w); p.ID != "e1" {
-		t.Errorf("in turn: got %s, want e1", p.ID)
+		t.Errorf("not urgent: got %s, want e1", p.ID)
 	}
 	w.Urgent, w.Ahead = true, 0.1
 	if p, _ := b.Pick(t0, w); p.ID != "e0" {
@@ -151,14 +151,14 @@
 	}
 }
 
-// Where an endpoint gets many prompts, one that is long to read costs others more.
+// The higher the prompt rate of an endpoint, the more a long prompt costs other requests.
 func TestReadingDelaysOthers(t *testing.T) {
 	w := wanted("prefix")
 	p := book(1).Get("e0")
 	calm := w.loss(p, t0, false) - w.loss(p, t0, true)
 	w.Rate = 3
 	if busy := w.loss(p, t0, false) - w.loss(p, t0, true); busy <= calm {
-		t.Errorf("loss by reading all: got %v at 3 prompts a second, want more than %v at none", busy, calm)
+		t.Errorf("loss by reading the whole prompt: got %v at 3 prompts a second, want more than %v at none", busy, calm)
 	}
 }
 
@@ -169,7 +169,7 @@
 		}
 	}
 	if a, b := lateness(20, 4), lateness(30, 4); a <= 1 || b <= a || b > 1+beyond {
-		t.Errorf("hopelessly late: got %v and %v, want both over 1 and the second larger", a, b)
+		t.Errorf("beyond certain lateness: got %v and %v, want both over 1 and the second larger", a, b)
 	}
 	if got := lateness(1, -3); got > 1+beyond || got < 1 {
 		t.Errorf("no time left: got %v, want about 1", got)
@@ -188,8 +188,8 @@
 	}
 }
 
-// In a large fleet a part of the endpoints is looked at: the same for the same
-// prefix, all of them for all prefixes together, and any that is the only one left.
+// Of a large service, Pick scans a part of the endpoints. The part must be the same for the same prefix, all
+// prefixes together must use most endpoints, and an endpoint that is the only one to fit must be found.
 func TestLargeFleet(t *testing.T) {
 	const n = 2000
 	b := book(n)
@@ -238,8 +238,8 @@
 	}
 }
 
-// A request that goes to one endpoint goes to the next of them once the first rests, and to any where none
-// is trusted.
+// A request for one endpoint goes to the next one in order when the first is ejected, and to any when none is
+// trusted.
 func TestOneMovesOnFromWhatRests(t *testing.T) {
 	b, now := book(4), time.Now()
 	var met []string
@@ -254,6 +254,6 @@
 	}
 	w := Want{Service: "s", One: true}
 	if p, _ := b.Pick(now, &w); p == nil || w.Single() {
-		t.Errorf("all rest: got %v, single %v, want any of them", p, w.Single())
+		t.Errorf("all ejected: got %v, single %v, want any of them", p, w.Single())
 	}
 }
--- a/pkg/pool/ready.go
+++ b/pkg/pool/ready.go
@@ -5,14 +5,14 @@
 
 import "time"
 
-// ready reports whether this process may send a request to an endpoint now, as far as the
-// endpoint bounds what it gets.
+// ready reports whether this process may send a request to an endpoint now, by the endpoint's rest period,
+// warm-up and limit.
 func (p *Endpoint) ready(now time.Time) bool {
 	return p.said.rest.over(now) && p.warm(now) && p.within(now)
 }
 
-// Sends notes that this process sends a request to an endpoint that it picked. It reports whether
-// another process has granted that.
+// RecordSend records that this process sends a request to an endpoint that it picked. It reports whether
+// the request used up a grant of another process.
 func (p *Endpoint) Sends(now time.Time) (granted bool) {
 	p.Load.Sent++
 	p.said.rest.sends(now)
@@ -23,18 +23,18 @@
 	return granted
 }
 
-// Lack says why a request found no endpoint.
+// Unavailability is why a request found no endpoint.
 type Lack struct {
-	// Closed, Warming, Limited and Resting count the endpoints that would have served it but for
-	// their closed availability zone, for what they may get while they warm up, for the limit
-	// that they have named, or for the rest that they have asked for.
+	// Closed, Warming, Limited and Resting count the endpoints that would have served the request, by
+	// what kept them from it: a closed availability zone, the allowance during warm-up, an announced
+	// limit, or a requested rest period.
 	Closed, Warming, Limited, Resting int
-	// At is when one of those that warm up, are limited or rest may get a request again; zero
+	// RetryAt is when the first of the warming, limited or resting ones may get a request again; zero
 	// if there is none.
 	At time.Time
 }
 
-// Lack returns why no endpoint was found for a request.
+// Unavailability returns why no endpoint was found for a request.
 func (b *Book) Lack(now time.Time, w *Want) (l Lack) {
 	for _, p := range b.byService[w.Service] {
 		switch {
@@ -55,7 +55,7 @@
 	return l
 }
 
-// from notes when an endpoint may get a request again.
+// addRetryAt sets RetryAt to the time at which an endpoint may get a request again, if that is earlier.
 func (l *Lack) from(p *Endpoint, now time.Time) {
 	at := later(p.said.rest.until, p.roomAt(now))
 	if !p.warm(at) {
--- a/pkg/pool/rest.go
+++ b/pkg/pool/rest.go
@@ -5,24 +5,23 @@
 
 import "time"
 
-// rest is for how long an endpoint wants nothing from this process. The zero value is not at all.
+// rest is the rest period that an endpoint requested from this process. The zero value is none.
 type rest struct {
-	// until is when this process may send again; zero once an answer that came after the rest asks
-	// for none.
+	// until is the end of the rest period; zero once the answer to a later attempt requests none.
 	until time.Time
-	// askedAt is when the last answer that asked for rest came.
+	// requestedAt is when the last answer that requested a rest period came.
 	askedAt time.Time
 }
 
-// testedFor is how long after a rest the one request that finds out whether it is over stands alone:
-// a refusal takes a few milliseconds.
+// probeTimeout is how long the first request after a rest period remains the only one, as a probe; a
+// refusal takes a few milliseconds.
 const testedFor = 200 * time.Millisecond
 
-// note takes in until when an endpoint wants nothing, by an answer that came at now to an attempt that
-// was sent at sentAt; zero if that asks for no rest. It reports whether a rest has begun.
+// update applies the end of a rest period, zero for none, from an answer that came at now to an attempt that
+// was sent at sentAt. It reports whether a rest period has begun.
 func (r *rest) note(until, sentAt, now time.Time) (begun bool) {
 	if !now.Before(until) {
-		// An answer to an attempt from before the last refusal says nothing of the time after it.
+		// An answer to an attempt that was sent before the last refusal says nothing about the time after it.
 		if sentAt.After(r.askedAt) {
 			r.until = time.Time{}
 		}
@@ -33,21 +32,21 @@
 	return begun
 }
 
-// over reports whether this process may send a request now.
+// over reports whether no rest period is in force.
 func (r *rest) over(now time.Time) bool { return !now.Before(r.until) }
 
-// sends notes that this process sends a request: the first after a rest goes alone, as an endpoint that
-// still refuses would refuse all that came with it.
+// recordSend records that this process sends a request. The first one after a rest period goes alone: an
+// endpoint that still refuses would refuse any sent with it.
 func (r *rest) sends(now time.Time) {
 	if !r.until.IsZero() {
 		r.until = now.Add(testedFor)
 	}
 }
 
-// RestUntil returns until when the endpoint wants nothing from this process; zero if it does not say.
+// RestUntil returns the end of the rest period that the endpoint requested from this process; zero for none.
 func (p *Endpoint) RestUntil() time.Time { return p.said.rest.until }
 
-// Resting returns how many endpoints want nothing from this process now.
+// Resting returns the number of endpoints in a rest period.
 func (b *Book) Resting(now time.Time) (n int) {
 	for _, p := range b.byID {
 		if !p.said.rest.over(now) {
--- a/pkg/pool/rest_test.go
+++ b/pkg/pool/rest_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// restful is an endpoint that may ask for rest.
+// restful is an endpoint that may request rest periods.
 type restful struct {
 	b *Book
 	p *Endpoint
@@ -21,10 +21,10 @@
 	return &restful{b, b.Get("e0")}
 }
 
-// at returns a moment, in milliseconds.
+// at returns a time as milliseconds after t0.
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// sends sends what may be sent at some moments, and returns when it was, in milliseconds.
+// sends picks and sends at each of some times, and returns those at which a request was sent, in milliseconds.
 func (r *restful) sends(times ...int) (sent []int) {
 	for _, ms := range times {
 		if got, _ := r.b.Pick(at(ms), &Want{Service: "s"}); got != nil {
@@ -35,8 +35,8 @@
 	return sent
 }
 
-// An endpoint that asked for rest gets nothing until it is over, shorter rests and older answers
-// notwithstanding; then one request alone, until an answer shows that it takes requests again.
+// An endpoint that requested a rest period gets nothing until it is over, also if answers to earlier attempts
+// request a shorter one or none. Then it gets one request alone, until an answer shows that it accepts more.
 func TestRestIsKept(t *testing.T) {
 	r := newRestful()
 	for _, c := range []struct {
@@ -46,9 +46,9 @@
 		tried, sent           []int
 	}{
 		{"refused", 0, 0, 3000, true, []int{5}, nil},
-		{"refused, by an attempt from before", 0, 10, 1010, false, []int{1010}, nil},
-		{"answered, by an attempt from before", 0, 20, 0, false, []int{21, 2999, 3000, 3001}, []int{3000}},
-		{"refused once more", 3000, 3003, 6003, true, []int{3300, 6002, 6003, 6004}, []int{6003}},
+		{"refused, earlier attempt", 0, 10, 1010, false, []int{1010}, nil},
+		{"answered, earlier attempt", 0, 20, 0, false, []int{21, 2999, 3000, 3001}, []int{3000}},
+		{"refused again", 3000, 3003, 6003, true, []int{3300, 6002, 6003, 6004}, []int{6003}},
 		{"answered", 6003, 6010, 0, false, []int{6011, 6012}, []int{6011, 6012}},
 	} {
 		n := Notice{}
@@ -56,7 +56,7 @@
 			n.RestUntil = at(c.rest)
 		}
 		if got := r.p.Notes(n, at(c.sentAt), at(c.heardAt)).Rest; got != c.begun {
-			t.Errorf("%s: rest has begun: got %v, want %v", c.name, got, c.begun)
+			t.Errorf("%s: rest period has begun: got %v, want %v", c.name, got, c.begun)
 		}
 		if got := r.sends(c.tried...); !slices.Equal(got, c.sent) {
 			t.Errorf("%s: sent at: got %v, want %v", c.name, got, c.sent)
@@ -64,25 +64,25 @@
 	}
 }
 
-// A request that finds all endpoints resting is told when the first is over.
+// A request that finds all endpoints in rest periods gets the time at which the first one ends.
 func TestLackOfRested(t *testing.T) {
 	r := newRestful()
 	r.p.Notes(Notice{RestUntil: at(3000)}, at(0), at(0))
 	if l := r.b.Lack(at(1000), &Want{Service: "s"}); l.Resting != 1 || !l.At.Equal(at(3000)) {
-		t.Errorf("lack: got %+v, want one that rests until %v", l, at(3000))
+		t.Errorf("unavailability: got %+v, want one resting until %v", l, at(3000))
 	}
 }
 
-// A request that is not answered does not keep others away for long.
+// A probe that is not answered keeps other requests away only for probeTimeout.
 func TestRestEndsWithoutAnAnswer(t *testing.T) {
 	var r rest
 	r.note(t0.Add(time.Second), t0, t0)
 	end := t0.Add(time.Second)
 	r.sends(end)
 	if r.over(end.Add(testedFor - time.Millisecond)) {
-		t.Error("while the request is under way: got another one, want none")
+		t.Error("during the probe: got a request, want none")
 	}
 	if !r.over(end.Add(testedFor)) {
-		t.Error("later: got none, want another one")
+		t.Error("after probeTimeout: got no request, want one")
 	}
 }
--- a/pkg/pool/senders.go
+++ b/pkg/pool/senders.go
@@ -9,40 +9,39 @@
 	"github.com/traildrift/traildrift/pkg/mixer"
 )
 
-// Senders are the processes that share what an endpoint may get: while it warms up, or under a
-// limit that it has named. They need not hear one another: who may send to an endpoint, and how
-// often, follows from their hashes. The zero value lets this process send nothing to such an
-// endpoint.
+// Senders are the processes that share an endpoint's warm-up allowance or announced limit. They do not
+// coordinate: each computes from the hashes which of them may send to an endpoint, and how often. With the
+// zero value this process sends nothing to a warming endpoint, and only probes to a limited one.
 type Senders struct {
-	// Self is this process's hash, All those of every process, this one's too unless it is
-	// about to end.
+	// Self is the hash of this process; All holds those of all processes, without this one's if it
+	// is about to stop.
 	Self uint64
 	All  []uint64
-	// From is when this process may begin: an earlier life of it may have sent just before.
+	// NotBefore is when this process may start to send: an earlier incarnation of it may have sent just before.
 	From time.Time
 }
 
-// senders are the Senders of a book, with a number that changes with them.
+// senders are the Senders of a book, with a generation that changes with them.
 type senders struct {
 	Senders
 	generation uint64
 }
 
-// SetSenders takes over who shares the endpoints that warm up.
+// SetSenders replaces the processes that share the warm-up allowances and the limits.
 func (b *Book) SetSenders(s Senders) {
 	b.senders.Senders = s
 	b.senders.generation++
 }
 
-// place is where this process stands among the senders of an endpoint, found for a generation of
-// them.
+// cachedRank is this process's rank among the senders of an endpoint, computed for a generation of
+// senders.
 type place struct {
 	rank, n    int
 	generation uint64
 }
 
-// rank returns how many processes come before this one for the endpoint, of how many there are;
-// n is 0 if none are known.
+// rank returns how many processes come before this one for the endpoint, and the number of processes; n is 0
+// if none are known.
 func (p *Endpoint) rank() (rank, n int) {
 	if at := &p.place; at.generation != p.senders.generation {
 		at.generation = p.senders.generation
@@ -51,8 +50,8 @@
 	return p.place.rank, p.place.n
 }
 
-// rank returns how many processes come before this one for an endpoint by rendezvous hash, of
-// how many there are; n is 0 if none are known. This process counts even if it is not listed.
+// rank returns how many processes come before this one for an endpoint by rendezvous hash, and the number of
+// processes; n is 0 if none are known. This process counts even if it is not listed.
 func (s *Senders) rank(endpoint uint64) (rank, n int) {
 	if len(s.All) == 0 {
 		return 0, 0
@@ -71,6 +70,6 @@
 	return rank, n
 }
 
-// Weight orders processes, known by their hashes, for an endpoint: the one with the greatest comes
-// first (rendezvous hashing: Thaler and Ravishankar, 1998).
+// Weight is the rendezvous weight of a process for an endpoint, both identified by their hashes: the process
+// with the greatest comes first (Thaler and Ravishankar, 1998).
 func Weight(endpoint, process uint64) uint64 { return mixer.Mix(endpoint ^ process) }
--- a/pkg/pool/trust.go
+++ b/pkg/pool/trust.go
@@ -8,61 +8,61 @@
 	"time"
 )
 
-// Trust is whether an endpoint answers as it should, from the attempts of this
-// process and from what others tell of theirs.
+// Trust is a circuit breaker for an endpoint. It is fed by the attempts of this process and by failure
+// reports of peers. The zero value trusts the endpoint.
 type Trust struct {
-	// failing is the decayed share of attempts that failed, 0 to 1.
+	// failureRate is an EWMA of the attempts that failed, 0 to 1.
 	failing float64
-	// row counts the failures since the last success.
+	// failuresInRow counts the failures since the last success.
 	row int
-	// okAt is when an attempt was answered last.
+	// lastSuccess is when an attempt was last answered.
 	okAt time.Time
-	// shutUntil is when an endpoint that failed may be tried again, by one
+	// ejectedUntil is the end of the time in which a failing endpoint gets no attempts; after it, one
 	// attempt at a time.
 	shutUntil time.Time
-	// told holds who told of a failure last and when; each teller is there once.
+	// peerFailures holds the last failure report of each of up to maxPeerFailures peers.
 	told [toldKept]telling
 }
 
-// telling is a failure that another process told of.
+// peerFailure is a failure that another process, identified by its address, reported.
 type telling struct {
 	by netip.Addr
 	at time.Time
 }
 
 const (
-	// weight is how much one attempt counts in the share that failed.
+	// failureWeight is the weight of one attempt in the EWMA of failures.
 	weight = 0.15
-	// shutFirst is how long an endpoint rests after its first failures; it
-	// doubles with each further one up to shutMost.
+	// ejectBase is the base of the exponential backoff: n failures in a row eject an endpoint for
+	// 2^n times this long, at most for maxEject.
 	shutFirst = 400 * time.Millisecond
 	shutMost  = 6 * time.Second
-	// rowMost is how many failures in a row make an endpoint rest, and failMost
-	// the share that does.
+	// ejectAfterFailures is the number of failures in a row that ejects an endpoint, and ejectAboveRate
+	// the failure rate that does.
 	rowMost  = 2
 	failMost = 0.35
-	// soundMost is the share of failures from which on an endpoint gets no
-	// request that is lost with its attempt.
+	// maxHealthyRate is the failure rate from which on an endpoint gets no request that may not be
+	// retried.
 	soundMost = 0.2
-	// toldKept bounds the tellers that are remembered. toldMost is how many of
-	// them, all within toldFor, make an endpoint rest: one alone may have lost
-	// its own links.
+	// maxPeerFailures bounds the peers whose failure reports are stored. ejectAfterPeers is how many
+	// of them, all within peerFailureTTL, eject an endpoint: a single one may have lost its own
+	// links.
 	toldKept = 3
 	toldMost = 2
 	toldFor  = 1500 * time.Millisecond
-	// okHolds is how long an answer of its own outweighs what others tell.
+	// successTTL is how long a success of this process outweighs the failure reports of peers.
 	okHolds = 300 * time.Millisecond
 )
 
-// OK notes an attempt that was answered.
+// RecordSuccess records an attempt that was answered.
 func (t *Trust) OK(now time.Time) {
 	t.failing *= 1 - weight
 	t.row = 0
 	t.okAt = now
 }
 
-// Fail notes an attempt that failed. A dead endpoint, which did not even take a
-// connection, rests at once. It reports whether the endpoint rests from now on.
+// RecordFailure records an attempt that failed. A dead endpoint, which did not even accept a connection, is
+// ejected at once. It reports whether the endpoint was in use and is now ejected.
 func (t *Trust) Fail(now time.Time, dead bool) bool {
 	t.failing += (1 - t.failing) * weight
 	t.row++
@@ -74,10 +74,10 @@
 	return !rested
 }
 
-// Told notes that another process, known by its address, told of a failure. It
-// reports whether the endpoint rests because of that.
+// RecordPeerFailure records a failure that another process, identified by its address, reported. It reports
+// whether this ejected the endpoint.
 func (t *Trust) Told(now time.Time, by netip.Addr) bool {
-	// The teller's own place, else the one of the oldest telling.
+	// Reuse the slot of the reporting peer, else that of the oldest report.
 	place := &t.told[0]
 	for i := range t.told {
 		p := &t.told[i]
@@ -98,7 +98,7 @@
 	return true
 }
 
-// tellers returns how many others told of a failure lately.
+// reporters returns the number of peers that reported a failure within peerFailureTTL.
 func (t *Trust) tellers(now time.Time) (n int) {
 	for _, p := range t.told {
 		if !p.at.IsZero() && now.Sub(p.at) <= toldFor {
@@ -116,8 +116,8 @@
 	t.shutUntil = now.Add(rest)
 }
 
-// open reports whether the endpoint may be tried; one that rested gets one
-// attempt at a time until it answers.
+// mayTry reports whether the endpoint may get an attempt, given the number of attempts in flight; one that
+// was ejected gets one attempt at a time until it answers.
 func (t *Trust) open(now time.Time, sent int) bool {
 	if now.Before(t.shutUntil) {
 		return false
@@ -125,8 +125,8 @@
 	return t.row < rowMost && t.failing < failMost || sent == 0
 }
 
-// sound reports whether the endpoint may get a request that is lost if the attempt
-// fails: one without a failure since its last answer, its own or told.
+// healthy reports whether the endpoint may get a request that may not be retried: there is no failure since
+// its last success, neither of this process nor reported by a peer.
 func (t *Trust) sound(now time.Time) bool {
 	return !now.Before(t.shutUntil) && t.row == 0 && t.failing < soundMost && (t.tellers(now) == 0 || now.Sub(t.okAt) <= okHolds)
 }
--- a/pkg/pool/trust_test.go
+++ b/pkg/pool/trust_test.go
@@ -18,23 +18,23 @@
 	var trust Trust
 	for range 5 {
 		if trust.Told(t0, tellerA) {
-			t.Fatal("one teller, many times: the endpoint rests, want it open")
+			t.Fatal("one peer, many reports: ejected, want not ejected")
 		}
 	}
 	if !trust.open(t0, 0) {
-		t.Error("told by one: not open")
+		t.Error("reported by one peer: may not be tried, want it to be")
 	}
 	if late := t0.Add(toldFor + time.Millisecond); trust.Told(late, tellerB) {
-		t.Error("a second teller long after the first: the endpoint rests, want it open")
+		t.Error("second peer long after the first: ejected, want not ejected")
 	}
 	if !trust.Told(t0.Add(toldFor), tellerA) {
-		t.Error("two tellers at a time: the endpoint is open, want it to rest")
+		t.Error("two peers within peerFailureTTL: not ejected, want ejected")
 	}
 	if trust.open(t0.Add(toldFor), 0) {
-		t.Error("resting endpoint: open")
+		t.Error("ejected endpoint: may be tried, want it not to be")
 	}
 	if later := t0.Add(toldFor + shutMost); !trust.open(later, 0) || trust.open(later, 1) {
-		t.Error("after the rest: want one attempt at a time")
+		t.Error("after the ejection: want one attempt at a time")
 	}
 }
 
@@ -43,7 +43,7 @@
 	trust.OK(t0)
 	trust.Told(t0, tellerA)
 	if trust.Told(t0.Add(okHolds), tellerB) {
-		t.Error("answered lately: the endpoint rests, want it open")
+		t.Error("recent success: ejected, want not ejected")
 	}
 }
 
@@ -58,15 +58,15 @@
 		}
 	}
 	if got := picks(b, t0); len(got) != 3 {
-		t.Errorf("picks for requests that may be repeated: got %v, want all three", got)
+		t.Errorf("picks for requests that may be retried: got %v, want all three", got)
 	}
 	b.Get("e2").Trust.Fail(t0, false)
 	if p, _ := b.Pick(t0, &Want{Service: "s", Once: true}); p == nil {
-		t.Error("none is sound: got none, want one that is open")
+		t.Error("none is healthy: got none, want one that may be tried")
 	}
 	b.Get("e0").Trust.OK(t0)
 	if p, _ := b.Pick(t0, &Want{Service: "s", Once: true, Draw: 3}); p.ID != "e0" {
-		t.Errorf("after an answer: got %s, want e0", p.ID)
+		t.Errorf("after a success: got %s, want e0", p.ID)
 	}
 }
 
@@ -78,6 +78,6 @@
 		}
 	}
 	if !trust.Fail(t0.Add(shutMost+time.Second), true) {
-		t.Error("dead after its rest: got false, want it to rest anew")
+		t.Error("dead after its ejection: got false, want it ejected again")
 	}
 }
--- a/pkg/pool/warm.go
+++ b/pkg/pool/warm.go
@@ -5,20 +5,20 @@
 
 import "time"
 
-// Warmup is how the endpoints of a service are spared after a start. The zero value spares
-// none.
+// Warmup limits the requests to endpoints of a service that have just started. The zero value sets no
+// limit.
 type Warmup struct {
-	// Allowance is how many requests an endpoint that warms up gets in any one second, by
-	// all processes together; 0 for no bound.
+	// Allowance is how many requests a warming endpoint gets in any one second, from all processes
+	// together; 0 for no limit.
 	Allowance int
-	// Lasts is how long it warms up where it does not tell.
+	// Duration is the length of the warm-up of endpoints that do not report its end.
 	Lasts time.Duration
 }
 
-// SetWarmup takes over how endpoints of a service are spared.
+// SetWarmup replaces the warm-up limits of a service.
 func (b *Book) SetWarmup(service string, w Warmup) { *b.warmup(service) = w }
 
-// warmup returns how endpoints of a service are spared.
+// warmup returns the warm-up limits of a service.
 func (b *Book) warmup(service string) *Warmup {
 	w, ok := b.warmups[service]
 	if !ok {
@@ -28,21 +28,20 @@
 	return w
 }
 
-// warming is what is kept of an endpoint that warms up.
+// warming is the warm-up state of an endpoint.
 type warming struct {
-	// heardAt is when the endpoint was first heard of.
+	// firstSeenAt is when the endpoint's first entry was received.
 	heardAt time.Time
-	// nextAt is when this process may send to it next.
+	// nextAt is when this process may send the next request to it.
 	nextAt time.Time
-	// perSecond is this process's share, found for a generation of the senders and an
-	// allowance.
+	// perSecond is this process's quota, computed for a generation of the senders and an allowance.
 	perSecond  int
 	generation uint64
 	allowance  int
 }
 
-// spacing is what lies between the requests of a process that may send one a second: a
-// little more than a second, so that no second holds two of them.
+// spacing is the time between the requests of a process with a quota of one per second: a little more
+// than a second, so that no second holds two of them.
 const spacing = 1050 * time.Millisecond
 
 // Warming reports whether an endpoint is warming up.
@@ -55,7 +54,7 @@
 		until = p.heardAt.Add(p.warmup.Lasts)
 	}
 	if !p.area.openedAt.IsZero() && p.Revision < p.area.revision {
-		// What it told is from before its zone was taken back.
+		// The entry is from before its zone was reopened.
 		until = later(until, p.area.openedAt.Add(p.warmup.Lasts))
 	}
 	return now.Before(until)
@@ -68,14 +67,12 @@
 	return a
 }
 
-// warm reports whether this process may send a request to an endpoint now, as far as it may
-// be warming up.
+// warm reports whether the warm-up allowance lets this process send a request to an endpoint now.
 func (p *Endpoint) warm(now time.Time) bool {
 	return !p.Warming(now) || p.quota() > 0 && !now.Before(p.nextAt) && !now.Before(p.senders.From)
 }
 
-// quota returns how many requests a second this process may send to an endpoint that warms
-// up.
+// quota returns how many requests per second this process may send to a warming endpoint.
 func (p *Endpoint) quota() int {
 	if p.generation != p.senders.generation || p.allowance != p.warmup.Allowance {
 		p.generation, p.allowance = p.senders.generation, p.warmup.Allowance
@@ -84,10 +81,11 @@
 	return p.perSecond
 }
 
-// quota returns how many of an allowance of requests a second to an endpoint are this
-// process's: the processes are ordered by rendezvous hash, the first ones get one each, and
-// where there are fewer, what is left goes around. With the same list everywhere the shares
-// add up to the allowance; with other lists a process may be a few ranks too far ahead.
+// quota returns this process's share of an allowance of requests per second to an endpoint. The processes
+// are ordered by rendezvous hash: the first ones get one request each, and if there are fewer processes
+// than requests, the remaining requests are distributed in further rounds. With the same list in every
+// process the shares add up to the allowance; with differing lists a process may rank itself a few places
+// too high.
 func (s *Senders) quota(endpoint uint64, allowance int) int {
 	rank, n := s.rank(endpoint)
 	if n == 0 || rank >= allowance {
@@ -101,7 +99,7 @@
 	return share
 }
 
-// Warming returns how many endpoints are warming up.
+// Warming returns the number of endpoints that are warming up.
 func (b *Book) Warming(now time.Time) (n int) {
 	for _, p := range b.byID {
 		if p.Warming(now) {
--- a/pkg/pool/warm_test.go
+++ b/pkg/pool/warm_test.go
@@ -12,14 +12,14 @@
 	"github.com/traildrift/traildrift/pkg/mixer"
 )
 
-// The users' endpoints bear 14 requests a second while they warm up, which the processes
-// share; 27 in a second are one more than the operator allows: 1.5 times 14, and 5.
+// Endpoints bear 14 requests per second while they warm up, from all processes together. The operator allows
+// 1.5 times 14, and 5; 27 in a second are one more.
 const (
 	warmBears  = 14
 	warmBroken = 27
 )
 
-// hashes returns what n processes are known by.
+// hashes returns the hashes of n processes.
 func hashes(n int) (all []uint64) {
 	for i := range n {
 		all = append(all, mixer.Mix(uint64(i)))
@@ -54,15 +54,15 @@
 	}
 	b.SetSenders(Senders{Self: 1, All: []uint64{1}, From: t0.Add(time.Second)})
 	if got := b.Lack(t0, &Want{Service: "s"}); got.Warming != 1 || !got.At.Equal(t0.Add(time.Second)) {
-		t.Errorf("lack: got %+v, want one that warms up, at the time from which this process may send", got)
+		t.Errorf("unavailability: got %+v, want one warming, until this process may send", got)
 	}
 	if p, _ := b.Pick(t0.Add(time.Second), &Want{Service: "s"}); p == nil {
 		t.Error("picked once the fleet is known: got none, want e0")
 	}
 }
 
-// An endpoint that does not tell whether it is warm counts as cold from when it was first
-// heard of; one that turns cold while it is known is spared from its word on.
+// An endpoint that does not report its warm-up counts as cold from its first entry on; a known one that turns
+// cold counts as cold from the entry that reports it.
 func TestWarmingByWordOrByDefault(t *testing.T) {
 	b := NewBook()
 	b.SetWarmup("s", Warmup{Allowance: warmBears, Lasts: 3 * time.Second})
@@ -71,20 +71,20 @@
 	b.Put(e)
 	p := b.Get("e0")
 	if !p.Warming(t0.Add(2*time.Second)) || p.Warming(t0.Add(3*time.Second)) {
-		t.Error("an endpoint that tells nothing: want warming up for 3 s")
+		t.Error("endpoint that reports nothing: want warming up for 3 s")
 	}
 	e.Revision, e.HeardAt, e.WarmTold, e.WarmAt = 2, t0.Add(10*time.Second), true, t0.Add(12*time.Second)
 	b.Put(e)
 	if !p.Warming(t0.Add(11*time.Second)) || p.Warming(t0.Add(12*time.Second)) {
-		t.Error("an endpoint that turned cold: want warming up for as long as it tells")
+		t.Error("endpoint that turned cold: want warming up for as long as it reports")
 	}
 	b.SetWarmup("s", Warmup{})
 	if p.Warming(t0.Add(11 * time.Second)) {
-		t.Error("a service without a bound: got warming up, want warm")
+		t.Error("service without an allowance: got warming up, want warm")
 	}
 }
 
-// greedy is a process that sends to endpoints that warm up whenever it may.
+// greedy is a process that sends to warming endpoints whenever it may.
 type greedy struct {
 	book *Book
 	ends []*Endpoint
@@ -103,11 +103,10 @@
 	return g
 }
 
-// No second holds more requests to an endpoint that warms up than the operator allows, from
-// all processes together, though they never hear of one another and each sends as often as
-// it may, under a burst that all of them see: with lists that lack a fifth of the processes
-// or name as many that are gone, and while a tenth of the processes is killed and back with
-// no memory of what it sent 0.3 s before.
+// Guards against an endpoint that gets more requests while it warms up than the operator allows in a second.
+// All processes send as often as they may, in a burst and without coordination, with lists that lack a fifth
+// of the processes or name as many that are gone. A tenth of the processes is killed and returns 0.3 s later
+// without a record of what it sent.
 func TestWarmingEndpointIsSparedByAll(t *testing.T) {
 	const length, tick = 3 * time.Second, 10 * time.Millisecond
 	for _, n := range []int{3, 29, 103, 300} {
@@ -135,10 +134,10 @@
 	}
 }
 
-// warmEndpoints is how many endpoints warm up at once in a burst.
+// warmEndpoints is the number of endpoints that warm up at once in a burst.
 const warmEndpoints = 6
 
-// burst is a fleet of greedy processes and what their endpoints get.
+// burst is a fleet of greedy processes and the requests that their endpoints get.
 type burst struct {
 	rnd   *rand.Rand
 	all   []uint64
@@ -146,12 +145,12 @@
 	sent  [][]time.Time
 }
 
-// process starts a process that may send from a time on.
+// process starts process i, which may send from a time on.
 func (f *burst) process(i int, from time.Time) *greedy {
 	return newGreedy(f.all[i], stale(f.rnd, f.all), warmEndpoints, from)
 }
 
-// kill kills a tenth of the processes, which are back 0.3 s later.
+// kill restarts a tenth of the processes, which return 0.3 s later.
 func (f *burst) kill(now time.Time) {
 	for i := range f.fleet {
 		if f.rnd.IntN(10) == 0 {
@@ -160,7 +159,7 @@
 	}
 }
 
-// send lets each process send all that it may.
+// send makes each process send all that it may.
 func (f *burst) send(now time.Time) {
 	for _, i := range f.rnd.Perm(len(f.fleet)) {
 		for j, p := range f.fleet[i].ends {
@@ -172,7 +171,7 @@
 	}
 }
 
-// mostInASecond returns the most of some rising times that lie within a second.
+// mostInASecond returns the most of some ascending times that lie within a second.
 func mostInASecond(times []time.Time) (most int) {
 	first := 0
 	for i, at := range times {
@@ -184,8 +183,7 @@
 	return most
 }
 
-// stale returns a list of processes that lacks a fifth of them, or names as many that are
-// gone.
+// stale returns a list of processes that lacks a fifth of them, or names as many that are gone.
 func stale(rnd *rand.Rand, all []uint64) (list []uint64) {
 	lacks := rnd.IntN(2) == 0
 	for _, h := range all {
--- a/pkg/pool/zone.go
+++ b/pkg/pool/zone.go
@@ -5,14 +5,13 @@
 
 import "time"
 
-// zone is the state of an availability zone, which all endpoints there share. The zero
-// value is open.
+// zone is the state of an availability zone, which all its endpoints share. The zero value is open.
 type zone struct {
-	// closed says that nothing more is sent there.
+	// closed is set while no requests are sent to the zone.
 	closed bool
 	// revision is that of the last order about the zone; it only grows.
 	revision int64
-	// openedAt is when the zone was taken back; zero if it never was closed.
+	// openedAt is when the zone was reopened; zero if it was never closed.
 	openedAt time.Time
 }
 
@@ -26,9 +25,9 @@
 	return z
 }
 
-// CloseZone notes an order to send nothing more to an availability zone, which may be one
-// that nobody has. It reports whether that changed something: false for an order that is
-// older than what is known.
+// CloseZone applies an order to stop sending requests to an availability zone, which may have no
+// endpoints. It reports whether the zone was closed by it: false for one that is closed already, and for
+// an order that is older than the last one applied.
 func (b *Book) CloseZone(name string, revision int64) bool {
 	z := b.zone(name)
 	if revision < z.revision || z.closed {
@@ -39,8 +38,8 @@
 	return true
 }
 
-// OpenZone notes that an availability zone was taken back. Its endpoints are taken to warm
-// up from now on, until they tell otherwise.
+// OpenZone applies an order to send requests to an availability zone again. Its endpoints count as warming
+// up from now on, until a later entry of theirs reports otherwise. It reports whether the zone was reopened.
 func (b *Book) OpenZone(name string, revision int64, now time.Time) bool {
 	z := b.zone(name)
 	if revision < z.revision || !z.closed {
@@ -50,7 +49,7 @@
 	return true
 }
 
-// ClosedZones returns how many availability zones are closed.
+// ClosedZones returns the number of closed availability zones.
 func (b *Book) ClosedZones() (n int) {
 	for _, z := range b.zones {
 		if z.closed {
@@ -60,7 +59,7 @@
 	return n
 }
 
-// InZone returns how many endpoints an availability zone has.
+// InZone returns the number of endpoints in an availability zone.
 func (b *Book) InZone(name string) (n int) {
 	for _, p := range b.byID {
 		if p.Zone == name {
--- a/pkg/pool/zone_test.go
+++ b/pkg/pool/zone_test.go
@@ -22,7 +22,7 @@
 	return b
 }
 
-// pickedIn returns the availability zones that some requests of a kind go to.
+// pickedIn returns the availability zones to which 64 draws of a request go.
 func pickedIn(b *Book, now time.Time, w *Want) map[string]bool {
 	got := make(map[string]bool)
 	for d := range uint64(64) {
@@ -52,7 +52,7 @@
 		late.Zone = "a"
 		b.Put(late)
 		if got := pickedIn(b, t0, w); got["a"] {
-			t.Errorf("request %d: an endpoint that was listed later in the closed zone was picked", i)
+			t.Errorf("request %d: an endpoint that was listed after its zone was closed was picked", i)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		t.Fatalf("picked: got %s, want none", p.ID)
 	}
 	if got := b.Lack(t0, w); got.Closed != 4 || got.Warming != 0 {
-		t.Errorf("lack: got %+v, want 4 closed", got)
+		t.Errorf("unavailability: got %+v, want 4 closed", got)
 	}
 }
 
@@ -86,13 +86,13 @@
 			t.Errorf("%s at revision %d: closed: got %v, want %v", c.do, c.at, got, c.closed)
 		}
 	}
-	if !b.CloseZone("nobody has it", 10) || b.ClosedZones() != 2 {
-		t.Error("an order for a zone without endpoints was not kept")
+	if !b.CloseZone("without endpoints", 10) || b.ClosedZones() != 2 {
+		t.Error("order for a zone without endpoints: not stored")
 	}
 }
 
-// The endpoints of a zone that was taken back may have turned cold shortly before, and tell
-// it up to a heartbeat later: they warm up until they tell otherwise.
+// The endpoints of a reopened zone may have turned cold shortly before and report it up to a heartbeat later,
+// so that they count as warming up until they report otherwise.
 func TestOpenedZoneWarmsUp(t *testing.T) {
 	b := inZones("a")
 	b.SetWarmup("s", Warmup{Allowance: 14, Lasts: 3 * time.Second})
@@ -106,11 +106,11 @@
 	e.Revision, e.WarmTold, e.WarmAt = 4, true, t0
 	b.Put(e)
 	if !p.Warming(t0) {
-		t.Error("an entry from before the zone was opened: got warm, want warming up")
+		t.Error("entry from before the zone was reopened: got warm, want warming up")
 	}
 	e.Revision = 6
 	b.Put(e)
 	if p.Warming(t0) {
-		t.Error("an entry from after the zone was opened that says warm: got warming up, want warm")
+		t.Error("entry from after the zone was reopened that reports warm: got warming up, want warm")
 	}
 }
