--- a/pkg/pool/book.go
+++ b/pkg/pool/book.go
@@ -46,18 +46,18 @@
 	hash  uint64
 	warming
 	// announced is what the endpoint announced about itself; cachedRank is this process's rank among its senders.
-	said  said
-	place place
+	announced  announced
+	cachedRank cachedRank
 	// zoneState, warmup and senders are shared with other endpoints of the book.
-	area    *zone
-	warmup  *Warmup
-	senders *senders
+	zoneState *zone
+	warmup    *Warmup
+	senders   *senders
 	// leaving is set once the endpoint was listed as leaving, announced it, or was removed while the list
 	// was readable; it is never reset within an incarnation.
 	leaving bool
 	// graceUntil is when an endpoint that was removed during an outage of the list is dropped; zero
 	// for a listed one.
-	lapsedUntil time.Time
+	graceUntil time.Time
 }
 
 // Book is the table of the endpoints of all services. Use NewBook.
@@ -67,7 +67,7 @@
 	// byService holds the endpoints of each service in the order of their hashes, which is the same
 	// in every process.
 	byService map[string][]*Endpoint
-	held      held
+	prefixes  prefixTable
 	// zones holds the state of the known availability zones, warmups the warm-up limits of each service,
 	// and senders the processes that share those limits.
 	zones   map[string]*zone
@@ -75,30 +75,30 @@
 	senders *senders
 	// removed maps removed endpoints to the revision of their removal, so that an older entry that
 	// arrives late does not list them again.
-	gone map[string]int64
+	removed map[string]int64
 	// unlisted holds what endpoints that are no longer listed announced. The list may lag by any time
 	// and list them again in their state from before the announcement.
-	said map[string]saidBy
+	unlisted map[string]pastAnnounced
 	// pendingNotices holds notices that peers relayed for incarnations that are not listed here yet, by
 	// the incarnation's hash.
-	early map[uint64]Notice
+	pendingNotices map[uint64]Notice
 }
 
 // NewBook returns an empty book.
 func NewBook() *Book {
 	return &Book{
-		byID: make(map[string]*Endpoint), byHash: make(map[uint64]*Endpoint), byService: make(map[string][]*Endpoint), gone: make(map[string]int64), said: make(map[string]saidBy), early: make(map[uint64]Notice),
+		byID: make(map[string]*Endpoint), byHash: make(map[uint64]*Endpoint), byService: make(map[string][]*Endpoint), removed: make(map[string]int64), unlisted: make(map[string]pastAnnounced), pendingNotices: make(map[uint64]Notice),
 		zones: make(map[string]*zone), warmups: make(map[string]*Warmup), senders: new(senders),
 	}
 }
 
 // maxUnlisted bounds each of the maps of endpoints that are not listed.
-const goneMost = 4096
+const maxUnlisted = 4096
 
 // Put applies a listed entry. It reports whether the endpoint is new, in use again, or changed to
 // leaving or to another incarnation; false for an entry that is older than the stored one.
 func (b *Book) Put(e Entry) bool {
-	if e.Revision < b.gone[e.ID] {
+	if e.Revision < b.removed[e.ID] {
 		return false
 	}
 	p, ok := b.byID[e.ID]
@@ -109,34 +109,34 @@
 	if e.Revision < p.Revision {
 		return false
 	}
-	changed := !p.lapsedUntil.IsZero() || e.Leaving && !p.leaving
+	changed := !p.graceUntil.IsZero() || e.Leaving && !p.leaving
 	if e.StartedAt.IsZero() {
 		// Processes of an earlier release send entries without a start time.
 		e.StartedAt = p.StartedAt
 	}
 	if !p.StartedAt.IsZero() && !e.StartedAt.Equal(p.StartedAt) {
 		// Announcements and pace of an earlier incarnation do not apply to this one.
-		changed, p.leaving, p.said, p.Pace = true, false, said{}, Pace{}
+		changed, p.leaving, p.announced, p.Pace = true, false, announced{}, Pace{}
 	}
 	p.Entry = e
 	p.leaving = p.leaving || e.Leaving
-	p.lapsedUntil = time.Time{}
+	p.graceUntil = time.Time{}
 	return changed
 }
 
 // add inserts the entry of an endpoint that is not in the book.
 func (b *Book) add(e Entry) {
-	p := &Endpoint{Entry: e, area: b.zone(e.Zone), warmup: b.warmup(e.Service), senders: b.senders}
-	p.heardAt = e.ReceivedAt
-	if s, ok := b.said[e.ID]; ok && (e.StartedAt.IsZero() || s.born.Equal(e.StartedAt)) {
-		p.said = s.said
+	p := &Endpoint{Entry: e, zoneState: b.zone(e.Zone), warmup: b.warmup(e.Service), senders: b.senders}
+	p.firstSeenAt = e.ReceivedAt
+	if s, ok := b.unlisted[e.ID]; ok && (e.StartedAt.IsZero() || s.startedAt.Equal(e.StartedAt)) {
+		p.announced = s.announced
 	}
-	p.leaving = e.Leaving || p.said.leaving
+	p.leaving = e.Leaving || p.announced.leaving
 	b.byID[e.ID] = p
 	b.insert(p)
-	if n, ok := b.early[p.Incarnation()]; ok {
+	if n, ok := b.pendingNotices[p.Incarnation()]; ok {
 		p.RecordPeerNotice(n, e.ReceivedAt)
-		delete(b.early, p.Incarnation())
+		delete(b.pendingNotices, p.Incarnation())
 	}
 }
 
@@ -151,14 +151,14 @@
 // Remove removes an endpoint, unless the book has a newer revision of it. If graceUntil is later than
 // now, as after an outage of the list, an endpoint that is not leaving is kept until then, as it may be
 // listed again.
-func (b *Book) Remove(id string, revision int64, now, lapsesAt time.Time) {
+func (b *Book) Remove(id string, revision int64, now, graceUntil time.Time) {
 	p, ok := b.byID[id]
 	if !ok || revision < p.Revision {
 		return
 	}
-	if !p.leaving && now.Before(lapsesAt) {
-		if p.lapsedUntil.IsZero() {
-			p.lapsedUntil = lapsesAt
+	if !p.leaving && now.Before(graceUntil) {
+		if p.graceUntil.IsZero() {
+			p.graceUntil = graceUntil
 		}
 		return
 	}
@@ -166,9 +166,9 @@
 }
 
 func (b *Book) drop(p *Endpoint, revision int64) {
-	remember(b.gone, p.ID, revision)
-	if p.said.anything() {
-		remember(b.said, p.ID, saidBy{p.StartedAt, p.said})
+	putBounded(b.removed, p.ID, revision)
+	if p.announced.isSet() {
+		putBounded(b.unlisted, p.ID, pastAnnounced{p.StartedAt, p.announced})
 	}
 	delete(b.byID, p.ID)
 	delete(b.byHash, p.hash)
@@ -176,8 +176,8 @@
 }
 
 // putBounded stores a value for an endpoint that is not listed; a full map is cleared first.
-func remember[K comparable, T any](m map[K]T, id K, v T) {
-	if len(m) >= goneMost {
+func putBounded[K comparable, T any](m map[K]T, id K, v T) {
+	if len(m) >= maxUnlisted {
 		clear(m)
 	}
 	m[id] = v
@@ -188,7 +188,7 @@
 func (b *Book) Expire(now time.Time) []string {
 	var ids []string
 	for id, p := range b.byID {
-		if !p.lapsedUntil.IsZero() && !now.Before(p.lapsedUntil) {
+		if !p.graceUntil.IsZero() && !now.Before(p.graceUntil) {
 			ids = append(ids, id)
 			b.drop(p, p.Revision+1)
 		}
@@ -246,9 +246,9 @@
 func (p *Endpoint) IsLeaving() bool { return p.leaving }
 
 // usable reports whether the endpoint may get new work: its zone is open, and it is listed.
-func (p *Endpoint) usable(now time.Time) bool { return !p.area.closed && p.listed(now) }
+func (p *Endpoint) usable(now time.Time) bool { return !p.zoneState.closed && p.listed(now) }
 
 // listed reports whether the endpoint is listed or within its grace period, and not leaving.
 func (p *Endpoint) listed(now time.Time) bool {
-	return !p.leaving && (p.lapsedUntil.IsZero() || now.Before(p.lapsedUntil))
+	return !p.leaving && (p.graceUntil.IsZero() || now.Before(p.graceUntil))
 }
--- a/pkg/pool/limit_test.go
+++ b/pkg/pool/limit_test.go
@@ -133,7 +133,7 @@
 // in which any number of processes may probe.
 func TestLimitWithoutAListOfProcesses(t *testing.T) {
 	p := limitedProcess(1, nil, 2.5).Get("e0")
-	if p.ready(t0.Add(doubtAfter)) {
+	if p.ready(t0.Add(probeAfter)) {
 		t.Error("before the probe is due: got ready, want not ready")
 	}
 	if !p.ready(p.limitedUntil()) {
--- a/pkg/pool/load.go
+++ b/pkg/pool/load.go
@@ -15,23 +15,23 @@
 	busyUntil time.Time
 	// reportedRuns is the number of runs that the endpoint last reported, at reportedAt;
 	// inFlightAtReport is InFlight at that time.
-	reported   int
-	sentThen   int
-	reportedAt time.Time
+	reportedRuns     int
+	inFlightAtReport int
+	reportedAt       time.Time
 }
 
 // loadReportTTL is how long a report takes precedence over the count of attempts in flight. A busy
 // endpoint answers several times per second, and a run takes about a second.
-const reportHolds = 2 * time.Second
+const loadReportTTL = 2 * time.Second
 
 // RecordReport stores a load report of the endpoint: its runs in progress and waiting.
 func (l *Load) RecordReport(now time.Time, running, waiting int) {
-	l.reported, l.sentThen, l.reportedAt = running+waiting, l.InFlight, now
+	l.reportedRuns, l.inFlightAtReport, l.reportedAt = running+waiting, l.InFlight, now
 }
 
 // maxBusy bounds how far ahead busyUntil may lie. Reported reading times are estimates, and without
 // the bound, small overestimates would add up. Callers with the longest prompts wait for 3 to 4 s.
-const busyMost = 4 * time.Second
+const maxBusy = 4 * time.Second
 
 // AddPrompt adds a prompt that takes d to read, after those that the endpoint already has. It returns
 // when the prompt is expected to be read.
@@ -40,12 +40,12 @@
 		l.busyUntil = now
 	}
 	l.busyUntil = l.busyUntil.Add(d)
-	l.bound(now)
+	l.capBusy(now)
 	return l.busyUntil
 }
 
-func (l *Load) bound(now time.Time) {
-	if most := now.Add(busyMost); l.busyUntil.After(most) {
+func (l *Load) capBusy(now time.Time) {
+	if most := now.Add(maxBusy); l.busyUntil.After(most) {
 		l.busyUntil = most
 	}
 }
@@ -54,7 +54,7 @@
 // shifts the prompts behind it by the difference.
 func (l *Load) FinishPrompt(now, then time.Time) {
 	l.busyUntil = l.busyUntil.Add(now.Sub(then))
-	l.bound(now)
+	l.capBusy(now)
 }
 
 // CancelPrompt removes a prompt of reading time d, which will not be read.
@@ -67,8 +67,8 @@
 
 // Runs estimates the number of runs that the endpoint has, in progress and waiting.
 func (l *Load) Runs(now time.Time) int {
-	if l.reportedAt.IsZero() || now.Sub(l.reportedAt) > reportHolds {
+	if l.reportedAt.IsZero() || now.Sub(l.reportedAt) > loadReportTTL {
 		return l.InFlight
 	}
-	return max(l.InFlight, l.reported+l.InFlight-l.sentThen)
+	return max(l.InFlight, l.reportedRuns+l.InFlight-l.inFlightAtReport)
 }
--- a/pkg/pool/load_test.go
+++ b/pkg/pool/load_test.go
@@ -22,9 +22,9 @@
 	for range 100 {
 		l.AddPrompt(t0, 300*time.Millisecond)
 	}
-	waits(t, "wait after 30 s of prompts", &l, t0, busyMost.Seconds())
+	waits(t, "wait after 30 s of prompts", &l, t0, maxBusy.Seconds())
 	l.FinishPrompt(t0, t0.Add(-time.Minute))
-	waits(t, "wait after a head that came a minute late", &l, t0, busyMost.Seconds())
+	waits(t, "wait after a head that came a minute late", &l, t0, maxBusy.Seconds())
 }
 
 func TestHeadShowsWhatIsDone(t *testing.T) {
--- a/pkg/pool/loss.go
+++ b/pkg/pool/loss.go
@@ -15,17 +15,17 @@
 	lateLoss = 0.8
 	// rereadLoss is the loss of reading the whole prompt again though another endpoint holds its
 	// prefix: 4 to 5 % by the prices and credits of each site.
-	againLoss = 0.045
+	rereadLoss = 0.045
 	// crossZoneLoss is the loss of sending a prompt to another availability zone: 0.4 to 5 % by the
 	// prices and credits of the sites; this is their geometric mean.
-	farLoss = 0.015
+	crossZoneLoss = 0.015
 	// offHomeLoss is the loss of reading the whole prompt elsewhere than at its home: processes that
 	// start later know of no holder and look for the prefix at the home. In a load test that ends
 	// with a restart of all processes, it lowered the loss by rereading from 0.0081 to 0.0065.
-	strayLoss = 0.03
+	offHomeLoss = 0.03
 	// saturationLoss is the loss at an endpoint whose slots are all taken, apart from the wait: runs
 	// slow one another down by up to a third, and peers do not report all that they send.
-	crowdLoss = 0.05
+	saturationLoss = 0.05
 )
 
 // Wait returns how long the request is expected to wait at an endpoint until its prompt is read, in
@@ -42,15 +42,15 @@
 // loss returns the expected loss of the request at an endpoint; holds says whether the endpoint holds
 // its prefix.
 func (w *Want) loss(p *Endpoint, now time.Time, holds bool) float64 {
-	read, again := w.FullRead, againLoss*w.SharedFraction
+	read, again := w.FullRead, rereadLoss*w.SharedFraction
 	if holds {
 		read, again = w.UnsharedRead, 0
 	}
 	read *= p.Pace.Factor(now)
 	wait := w.Wait(p, now)
-	loss := lateLoss*(lateness(wait+read, w.TimeLeft)+w.delay(read, wait)) + crowdLoss*p.share(now) + again
+	loss := lateLoss*(lateness(wait+read, w.TimeLeft)+w.delayToOthers(read, wait)) + saturationLoss*p.utilization(now) + again
 	if p.Zone != w.Zone {
-		loss += farLoss
+		loss += crossZoneLoss
 	}
 	return loss
 }
@@ -58,13 +58,13 @@
 // OthersLoss returns what other requests lose by a prompt that takes read seconds to read after wait
 // seconds, in fractions of what this request earns.
 func (w *Want) OthersLoss(read, wait float64) float64 {
-	return lateLoss * w.OthersWorth * w.delay(read, wait)
+	return lateLoss * w.OthersWorth * w.delayToOthers(read, wait)
 }
 
 // delayToOthers returns the added probability of lateness, summed over the other requests, that a prompt
 // causes which takes read seconds to read after wait seconds. It delays those that arrive while it waits
 // or is read, on average by half of its reading time. Their aims are assumed to be like this request's.
-func (w *Want) delay(read, wait float64) float64 {
+func (w *Want) delayToOthers(read, wait float64) float64 {
 	if w.Aim <= 0 {
 		return 0
 	}
@@ -76,50 +76,50 @@
 // certainty the value grows by up to lateTail, so that the least late of several late endpoints is
 // preferred.
 func lateness(head, left float64) float64 {
-	x := head / (2 * max(left, leftLeast))
+	x := head / (2 * max(left, minTimeLeft))
 	if x <= 1 {
 		return x
 	}
-	return 1 + beyond*(1-1/x)
+	return 1 + lateTail*(1-1/x)
 }
 
 const (
 	// minTimeLeft keeps the quotient finite where no time is left, in seconds.
-	leftLeast = 0.01
+	minTimeLeft = 0.01
 	// lateTail bounds how far lateness grows above 1.
-	beyond = 0.1
+	lateTail = 0.1
 )
 
 // candidate is the endpoint with the least loss found so far.
-type chosen struct {
+type candidate struct {
 	p    *Endpoint
 	why  Reason
 	loss float64
 }
 
 // consider replaces the candidate if an endpoint has a smaller loss.
-func (c *chosen) offer(p *Endpoint, why Reason, loss float64) {
+func (c *candidate) consider(p *Endpoint, why Reason, loss float64) {
 	if c.p == nil || loss < c.loss {
-		*c = chosen{p, why, loss}
+		*c = candidate{p, why, loss}
 	}
 }
 
 // pickForPrefix returns the endpoint at which a request with a prefix loses least: one of the prefix's
 // holders, its homes, or a random sample. It does not search all endpoints, as every process has about
 // the same data and all would send to the same best one.
-func (b *Book) place(open []*Endpoint, now time.Time, w *Want, trust trustTest) (*Endpoint, Reason) {
-	var best chosen
+func (b *Book) pickForPrefix(open []*Endpoint, now time.Time, w *Want, trust trustTest) (*Endpoint, Reason) {
+	var best candidate
 	near, all := home(open, w)
-	best.offer(all, ByHome, w.HomeChance*w.loss(all, now, true)+(1-w.HomeChance)*w.loss(all, now, false))
-	stray := strayLoss * w.SharedFraction
+	best.consider(all, ByHome, w.HomeChance*w.loss(all, now, true)+(1-w.HomeChance)*w.loss(all, now, false))
+	stray := offHomeLoss * w.SharedFraction
 	if near != nil {
-		best.offer(near, ByZone, w.loss(near, now, false)+stray)
+		best.consider(near, ByZone, w.loss(near, now, false)+stray)
 	}
 	draw := w.Draw
-	for range max(w.SampleSize, sampleLeast) {
+	for range max(w.SampleSize, minSample) {
 		draw = mixer.Mix(draw)
 		p := open[draw%uint64(len(open))]
-		best.offer(p, ByLoad, w.loss(p, now, false)+stray)
+		best.consider(p, ByLoad, w.loss(p, now, false)+stray)
 	}
 	holder := b.holder(now, w, trust)
 	if holder.p != nil && holder.loss <= best.loss {
@@ -131,18 +131,18 @@
 
 // holder returns the endpoint with the least loss among the recorded holders of the request's prefix that
 // may serve it.
-func (b *Book) holder(now time.Time, w *Want, trust trustTest) (best chosen) {
-	in := b.held.of(w.Affinity)
+func (b *Book) holder(now time.Time, w *Want, trust trustTest) (best candidate) {
+	in := b.prefixes.lookup(w.Affinity)
 	if in == nil || w.IgnoreHolders {
 		return best
 	}
 	for _, h := range in {
 		p := b.byHash[h.endpoint]
-		if p == nil || now.Sub(h.at) > heldFor || p.Service != w.Service || !p.fits(now, w) {
+		if p == nil || now.Sub(h.at) > prefixTTL || p.Service != w.Service || !p.fits(now, w) {
 			continue
 		}
 		if trust == nil || trust(p, now) {
-			best.offer(p, ByAffinity, w.loss(p, now, true))
+			best.consider(p, ByAffinity, w.loss(p, now, true))
 		}
 	}
 	return best
@@ -150,7 +150,7 @@
 
 // minSample is the least number of endpoints that are drawn: the better of two is much better than one
 // (Mitzenmacher, 2001).
-const sampleLeast = 2
+const minSample = 2
 
 // home returns the homes of a prefix by rendezvous hash (Thaler and Ravishankar, 1998): one among all
 // endpoints, and one among those of the request's availability zone, nil if there are none. Every process
--- a/pkg/pool/notice.go
+++ b/pkg/pool/notice.go
@@ -20,7 +20,7 @@
 }
 
 // announced is the stored announcements of an endpoint. The zero value is none.
-type said struct {
+type announced struct {
 	// leaving is set once the endpoint announced that it accepts no new work; it is never reset.
 	leaving bool
 	limit   limit
@@ -28,20 +28,20 @@
 }
 
 // isSet reports whether there is an announcement that may still hold.
-func (s *said) anything() bool { return s.leaving || s.limit.named || !s.rest.until.IsZero() }
+func (s *announced) isSet() bool { return s.leaving || s.limit.active || !s.rest.until.IsZero() }
 
 // pastAnnounced is what one incarnation of an endpoint announced.
-type saidBy struct {
-	born time.Time
-	said
+type pastAnnounced struct {
+	startedAt time.Time
+	announced
 }
 
 // setLeaving stores the endpoint's announcement that it is leaving, whatever the list has.
-func (p *Endpoint) saysLeaving() { p.leaving, p.said.leaving = true, true }
+func (p *Endpoint) setLeaving() { p.leaving, p.announced.leaving = true, true }
 
 // RecordLeaving stores that an endpoint which is no longer listed announced that it is leaving.
 func (b *Book) RecordLeaving(e Entry) {
-	remember(b.said, e.ID, saidBy{e.StartedAt, said{leaving: true}})
+	putBounded(b.unlisted, e.ID, pastAnnounced{e.StartedAt, announced{leaving: true}})
 }
 
 // Changes names the stored announcements of an endpoint that a notice changed.
@@ -49,21 +49,21 @@
 
 // RecordNotice applies a notice from an answer that came at now, to an attempt that was sent at sentAt.
 func (p *Endpoint) RecordNotice(n Notice, sentAt, now time.Time) (c Changes) {
-	if n.Limit == Unlimited && !sentAt.After(p.said.limit.saidAt) {
+	if n.Limit == Unlimited && !sentAt.After(p.announced.limit.confirmedAt) {
 		// An answer to an attempt that was sent before the limit was last stated may be older than the limit.
 		n.Limit = LimitUnspecified
 	}
 	c = p.RecordPeerNotice(n, now)
-	c.Rest = p.said.rest.note(n.RestUntil, sentAt, now)
+	c.Rest = p.announced.rest.update(n.RestUntil, sentAt, now)
 	return c
 }
 
 // RecordPeerNotice applies a notice that a peer relayed and that is newer than what the peer knew. It
 // ignores the rest period, which holds for the peer alone.
 func (p *Endpoint) RecordPeerNotice(n Notice, now time.Time) (c Changes) {
-	c.Limit = p.said.limit.take(n, now)
+	c.Limit = p.announced.limit.apply(n, now)
 	if c.Leaving = n.Leaving && !p.leaving; n.Leaving {
-		p.saysLeaving()
+		p.setLeaving()
 	}
 	return c
 }
@@ -75,7 +75,7 @@
 	p = b.ByHash(endpoint)
 	switch {
 	case p == nil:
-		remember(b.early, life, n)
+		putBounded(b.pendingNotices, life, n)
 		return nil, c
 	case p.Incarnation() != life:
 		return nil, c
@@ -86,11 +86,11 @@
 
 // Notice returns the stored announcements that are meant for all processes; the rest period is not.
 func (p *Endpoint) Notice() Notice {
-	n := Notice{Leaving: p.said.leaving}
+	n := Notice{Leaving: p.announced.leaving}
 	switch {
-	case p.said.limit.named:
-		n.Limit, n.PerSecond = Limited, p.said.limit.perSecond
-	case !p.said.limit.endedAt.IsZero():
+	case p.announced.limit.active:
+		n.Limit, n.PerSecond = Limited, p.announced.limit.perSecond
+	case !p.announced.limit.endedAt.IsZero():
 		n.Limit = Unlimited
 	}
 	return n
@@ -99,7 +99,7 @@
 // WithNotices returns the endpoints that have a limit or announced that they are leaving.
 func (b *Book) WithNotices() (list []*Endpoint) {
 	for _, p := range b.byID {
-		if p.said.limit.named || p.said.leaving {
+		if p.announced.limit.active || p.announced.leaving {
 			list = append(list, p)
 		}
 	}
--- a/pkg/pool/pace.go
+++ b/pkg/pool/pace.go
@@ -14,29 +14,29 @@
 type Pace struct {
 	// factors is a ring of the last reported factors, n the number of reports, and reportedAt the
 	// time of the last one.
-	told [paceKept]float64
-	n    int
-	at   time.Time
+	factors    [paceSamples]float64
+	n          int
+	reportedAt time.Time
 }
 
 const (
 	// paceSamples is the number of reports over which the median is taken.
-	paceKept = 5
+	paceSamples = 5
 	// paceTTL is how long the last report is taken as the current factor: the load of other processes on
 	// the VM changes several times per second.
-	paceHolds = 400 * time.Millisecond
+	paceTTL = 400 * time.Millisecond
 	// minPace and maxPace bound the reported factor.
-	paceLeast, paceMost = 0.1, 10
+	minPace, maxPace = 0.1, 10
 )
 
 // RecordReport stores a reported factor; it ignores one that is not positive.
-func (p *Pace) RecordReport(now time.Time, times float64) {
-	if !(times > 0) {
+func (p *Pace) RecordReport(now time.Time, factor float64) {
+	if !(factor > 0) {
 		return
 	}
-	p.told[p.n%paceKept] = min(max(times, paceLeast), paceMost)
+	p.factors[p.n%paceSamples] = min(max(factor, minPace), maxPace)
 	p.n++
-	p.at = now
+	p.reportedAt = now
 }
 
 // Factor returns the expected factor: the last reported one within paceTTL, else the median of the last
@@ -45,11 +45,11 @@
 	switch {
 	case p.n == 0:
 		return 1
-	case now.Sub(p.at) <= paceHolds:
-		return p.told[(p.n-1)%paceKept]
+	case now.Sub(p.reportedAt) <= paceTTL:
+		return p.factors[(p.n-1)%paceSamples]
 	}
-	list := p.told
-	known := list[:min(p.n, paceKept)]
+	list := p.factors
+	known := list[:min(p.n, paceSamples)]
 	slices.Sort(known)
 	return known[(len(known)-1)/2]
 }
--- a/pkg/pool/pace_test.go
+++ b/pkg/pool/pace_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestPace(t *testing.T) {
-	const later = paceHolds + time.Millisecond
+	const later = paceTTL + time.Millisecond
 	for _, c := range []struct {
 		name      string
 		told      []float64
@@ -23,7 +23,7 @@
 		{"slow at first", []float64{3, 1.2}, 1.2, 1.2},
 		{"has become slow", []float64{0.5, 0.5, 2, 2, 2, 2}, 2, 2},
 		{"invalid reports", []float64{1.2, 0, -4}, 1.2, 1.2},
-		{"beyond the bounds", []float64{1e9}, paceMost, paceMost},
+		{"beyond the bounds", []float64{1e9}, maxPace, maxPace},
 	} {
 		var p Pace
 		for _, v := range c.told {
--- a/pkg/pool/pick.go
+++ b/pkg/pool/pick.go
@@ -25,7 +25,7 @@
 	// serve it and is trusted.
 	FirstOnly bool
 	// firstHash is the hash of that endpoint; 0 for no restriction.
-	one uint64
+	firstHash uint64
 	// Zone is the availability zone of this process.
 	Zone string
 	// Avoid holds the IDs of endpoints that are not to be picked, such as those already tried.
@@ -83,38 +83,38 @@
 
 // crossZoneCost is the cost of another availability zone for requests without a prefix, in fractions of
 // the slots: the round trip takes a few hundredths of their aims.
-const farZone = 0.06
+const crossZoneCost = 0.06
 
 // Pick returns an endpoint for a request, and why; nil if there is none.
 func (b *Book) Pick(now time.Time, w *Want) (*Endpoint, Reason) {
 	w.PassedOver = nil
-	var buf [scanMost]*Endpoint
+	var buf [maxScan]*Endpoint
 	list := b.byService[w.Service]
-	w.one = w.first(list, now)
+	w.firstHash = w.firstTrusted(list, now)
 	open, trust := trusted(buf[:0], list, now, w)
-	if w.one > 0 && trust == nil {
-		w.one = 0
+	if w.firstHash > 0 && trust == nil {
+		w.firstHash = 0
 		open, trust = trusted(buf[:0], list, now, w)
 	}
 	switch {
 	case len(open) == 0:
 		return nil, ""
 	case trust == nil:
-		return two(open, now, w), ByNoneTrusted
+		return pickOfTwo(open, now, w), ByNoneTrusted
 	case w.Affinity == 0:
-		return two(open, now, w), ByLoad
+		return pickOfTwo(open, now, w), ByLoad
 	default:
-		return b.place(open, now, w, trust)
+		return b.pickForPrefix(open, now, w, trust)
 	}
 }
 
 // firstTrusted returns the hash of the endpoint to which FirstOnly restricts the request; 0 for none.
-func (w *Want) first(list []*Endpoint, now time.Time) uint64 {
+func (w *Want) firstTrusted(list []*Endpoint, now time.Time) uint64 {
 	if !w.FirstOnly {
 		return 0
 	}
 	for _, p := range list {
-		if p.allowed(now, w) && p.ready(now) && p.open(now) {
+		if p.allowed(now, w) && p.ready(now) && p.mayTry(now) {
 			return p.hash
 		}
 	}
@@ -123,12 +123,12 @@
 
 // PickedFirst reports whether FirstOnly restricted the last Pick to one endpoint; it is false where none
 // was trusted.
-func (w *Want) PickedFirst() bool { return w.one != 0 }
+func (w *Want) PickedFirst() bool { return w.firstHash != 0 }
 
 // trusted appends to dst the endpoints of a list that may serve a request and pass the strictest test of
 // trust that any of them passes. It returns them with that test; nil if no test was passed.
 func trusted(dst, list []*Endpoint, now time.Time, w *Want) ([]*Endpoint, trustTest) {
-	tests := []trustTest{(*Endpoint).sound, (*Endpoint).open, nil}
+	tests := []trustTest{(*Endpoint).healthy, (*Endpoint).mayTry, nil}
 	if !w.NoRetry {
 		tests = tests[1:]
 	}
@@ -152,18 +152,18 @@
 // takes them from one arc of the ring of their hashes: the same arc in every process for requests with
 // the same affinity, a random one for others. Scanning all of 3,000 endpoints took 367 us; a scan of 256
 // served requests better than one of 64.
-const scanMost = 256
+const maxScan = 256
 
 // fitting appends to dst the endpoints of a list that may serve a request now and pass a test of trust;
 // nil passes all.
 func fitting(dst, list []*Endpoint, now time.Time, w *Want, test trustTest) []*Endpoint {
 	from := 0
-	if len(list) > scanMost {
-		from = w.position(list)
+	if len(list) > maxScan {
+		from = w.ringStart(list)
 	}
 	for i := range list {
 		p := list[(from+i)%len(list)]
-		if len(dst) >= scanMost {
+		if len(dst) >= maxScan {
 			break
 		}
 		if p.fits(now, w) && (test == nil || test(p, now)) {
@@ -175,7 +175,7 @@
 
 // fits reports whether an endpoint may serve a request now, trusted or not.
 func (p *Endpoint) fits(now time.Time, w *Want) bool {
-	return (w.one == 0 || p.hash == w.one) && p.allowed(now, w) && p.ready(now) && !slices.Contains(w.Avoid, p.ID)
+	return (w.firstHash == 0 || p.hash == w.firstHash) && p.allowed(now, w) && p.ready(now) && !slices.Contains(w.Avoid, p.ID)
 }
 
 // allowed reports whether an endpoint may get new work and has a version and a zone that may serve the request.
@@ -184,7 +184,7 @@
 }
 
 // ringStart returns the index in a service's ring of endpoints at which the scan for a request starts.
-func (w *Want) position(list []*Endpoint) int {
+func (w *Want) ringStart(list []*Endpoint) int {
 	if w.Affinity == 0 {
 		return int(mixer.Mix(w.Draw) % uint64(len(list)))
 	}
@@ -192,16 +192,16 @@
 	return i
 }
 
-func (p *Endpoint) open(now time.Time) bool  { return p.Trust.open(now, p.Load.InFlight) }
-func (p *Endpoint) sound(now time.Time) bool { return p.Trust.sound(now) }
+func (p *Endpoint) mayTry(now time.Time) bool  { return p.Trust.mayTry(now, p.Load.InFlight) }
+func (p *Endpoint) healthy(now time.Time) bool { return p.Trust.healthy(now) }
 
 // utilization returns the runs of an endpoint in fractions of its slots.
-func (p *Endpoint) share(now time.Time) float64 {
+func (p *Endpoint) utilization(now time.Time) float64 {
 	return float64(p.Load.Runs(now)) / float64(max(p.Slots, 1))
 }
 
 // pickOfTwo returns the less loaded of two endpoints drawn at random.
-func two(open []*Endpoint, now time.Time, w *Want) *Endpoint {
+func pickOfTwo(open []*Endpoint, now time.Time, w *Want) *Endpoint {
 	d := mixer.Mix(w.Draw)
 	a := open[d%uint64(len(open))]
 	d = mixer.Mix(d)
@@ -216,9 +216,9 @@
 // in fractions of its slots, times its pace, plus the expected wait, one second of which counts as much
 // as all slots.
 func (p *Endpoint) cost(now time.Time, zone string) float64 {
-	c := p.Pace.Factor(now)*(p.share(now)+1/float64(max(p.Slots, 1))) + p.Load.Wait(now)
+	c := p.Pace.Factor(now)*(p.utilization(now)+1/float64(max(p.Slots, 1))) + p.Load.Wait(now)
 	if p.Zone != zone {
-		c += farZone
+		c += crossZoneCost
 	}
 	return c
 }
--- a/pkg/pool/pick_test.go
+++ b/pkg/pool/pick_test.go
@@ -22,13 +22,13 @@
 
 func TestFailingEndpointRests(t *testing.T) {
 	b := book(3)
-	for range rowMost {
+	for range ejectAfterFailures {
 		b.Get("e1").Trust.RecordFailure(t0, false)
 	}
 	if got := picks(b, t0); got["e1"] != 0 || len(got) != 2 {
 		t.Errorf("picks: got %v, want none of e1", got)
 	}
-	later := t0.Add(shutMost)
+	later := t0.Add(maxEject)
 	if got := picks(b, later); got["e1"] == 0 {
 		t.Errorf("picks after the ejection: got %v, want some of e1", got)
 	}
@@ -99,8 +99,8 @@
 		t.Errorf("busy holder: got %s and %v passed over, want another and the holder", p.ID, w.PassedOver)
 	}
 	holder.Load = Load{}
-	if p, _ := b.Pick(t0.Add(heldFor+time.Second), w); p == holder {
-		t.Errorf("after %v: got the holder, want another", heldFor)
+	if p, _ := b.Pick(t0.Add(prefixTTL+time.Second), w); p == holder {
+		t.Errorf("after %v: got the holder, want another", prefixTTL)
 	}
 	b.ForgetHolder(w.Affinity, holder.Hash())
 	if p, _ := b.Pick(t0, w); p == holder {
@@ -168,10 +168,10 @@
 			t.Errorf("head of %v s with %v s left: got %v, want %v", c.head, c.left, got, c.want)
 		}
 	}
-	if a, b := lateness(20, 4), lateness(30, 4); a <= 1 || b <= a || b > 1+beyond {
+	if a, b := lateness(20, 4), lateness(30, 4); a <= 1 || b <= a || b > 1+lateTail {
 		t.Errorf("beyond certain lateness: got %v and %v, want both over 1 and the second larger", a, b)
 	}
-	if got := lateness(1, -3); got > 1+beyond || got < 1 {
+	if got := lateness(1, -3); got > 1+lateTail || got < 1 {
 		t.Errorf("no time left: got %v, want about 1", got)
 	}
 }
@@ -183,7 +183,7 @@
 	if got["e1"] <= got["e0"] {
 		t.Errorf("picks: got %v, want more of e1", got)
 	}
-	if got := picks(b, t0.Add(reportHolds+time.Second)); got["e0"] < 50 {
+	if got := picks(b, t0.Add(loadReportTTL+time.Second)); got["e0"] < 50 {
 		t.Errorf("picks after the report is old: got %v, want about half of e0", got)
 	}
 }
--- a/pkg/pool/ready.go
+++ b/pkg/pool/ready.go
@@ -8,15 +8,15 @@
 // ready reports whether this process may send a request to an endpoint now, by the endpoint's rest period,
 // warm-up and limit.
 func (p *Endpoint) ready(now time.Time) bool {
-	return p.said.rest.over(now) && p.warm(now) && p.within(now)
+	return p.announced.rest.over(now) && p.warm(now) && p.withinLimit(now)
 }
 
 // RecordSend records that this process sends a request to an endpoint that it picked. It reports whether
 // the request used up a grant of another process.
 func (p *Endpoint) RecordSend(now time.Time) (granted bool) {
 	p.Load.InFlight++
-	p.said.rest.sends(now)
-	granted = p.said.limit.sends(!now.Before(p.limitedUntil()), now)
+	p.announced.rest.recordSend(now)
+	granted = p.announced.limit.recordSend(!now.Before(p.limitedUntil()), now)
 	if p.Warming(now) {
 		p.nextAt = now.Add(spacing / time.Duration(max(p.quota(), 1)))
 	}
@@ -39,25 +39,25 @@
 	for _, p := range b.byService[w.Service] {
 		switch {
 		case !p.listed(now) || w.Fit != nil && !w.Fit(p.Version):
-		case p.area.closed:
+		case p.zoneState.closed:
 			l.Closed++
-		case !p.said.rest.over(now):
+		case !p.announced.rest.over(now):
 			l.Resting++
-			l.from(p, now)
+			l.addRetryAt(p, now)
 		case !p.warm(now):
 			l.Warming++
-			l.from(p, now)
-		case !p.within(now):
+			l.addRetryAt(p, now)
+		case !p.withinLimit(now):
 			l.Limited++
-			l.from(p, now)
+			l.addRetryAt(p, now)
 		}
 	}
 	return l
 }
 
 // addRetryAt sets RetryAt to the time at which an endpoint may get a request again, if that is earlier.
-func (l *Unavailability) from(p *Endpoint, now time.Time) {
-	at := later(p.said.rest.until, p.roomAt(now))
+func (l *Unavailability) addRetryAt(p *Endpoint, now time.Time) {
+	at := later(p.announced.rest.until, p.capacityAt(now))
 	if !p.warm(at) {
 		if p.quota() == 0 {
 			return
--- a/pkg/pool/rest_test.go
+++ b/pkg/pool/rest_test.go
@@ -76,13 +76,13 @@
 // A probe that is not answered keeps other requests away only for probeTimeout.
 func TestRestEndsWithoutAnAnswer(t *testing.T) {
 	var r rest
-	r.note(t0.Add(time.Second), t0, t0)
+	r.update(t0.Add(time.Second), t0, t0)
 	end := t0.Add(time.Second)
-	r.sends(end)
-	if r.over(end.Add(testedFor - time.Millisecond)) {
+	r.recordSend(end)
+	if r.over(end.Add(probeTimeout - time.Millisecond)) {
 		t.Error("during the probe: got a request, want none")
 	}
-	if !r.over(end.Add(testedFor)) {
+	if !r.over(end.Add(probeTimeout)) {
 		t.Error("after probeTimeout: got no request, want one")
 	}
 }
--- a/pkg/pool/senders.go
+++ b/pkg/pool/senders.go
@@ -35,7 +35,7 @@
 
 // cachedRank is this process's rank among the senders of an endpoint, computed for a generation of
 // senders.
-type place struct {
+type cachedRank struct {
 	rank, n    int
 	generation uint64
 }
@@ -43,11 +43,11 @@
 // rank returns how many processes come before this one for the endpoint, and the number of processes; n is 0
 // if none are known.
 func (p *Endpoint) rank() (rank, n int) {
-	if at := &p.place; at.generation != p.senders.generation {
+	if at := &p.cachedRank; at.generation != p.senders.generation {
 		at.generation = p.senders.generation
 		at.rank, at.n = p.senders.rank(p.hash)
 	}
-	return p.place.rank, p.place.n
+	return p.cachedRank.rank, p.cachedRank.n
 }
 
 // rank returns how many processes come before this one for an endpoint by rendezvous hash, and the number of
--- a/pkg/pool/trust_test.go
+++ b/pkg/pool/trust_test.go
@@ -21,19 +21,19 @@
 			t.Fatal("one peer, many reports: ejected, want not ejected")
 		}
 	}
-	if !trust.open(t0, 0) {
+	if !trust.mayTry(t0, 0) {
 		t.Error("reported by one peer: may not be tried, want it to be")
 	}
-	if late := t0.Add(toldFor + time.Millisecond); trust.RecordPeerFailure(late, tellerB) {
+	if late := t0.Add(peerFailureTTL + time.Millisecond); trust.RecordPeerFailure(late, tellerB) {
 		t.Error("second peer long after the first: ejected, want not ejected")
 	}
-	if !trust.RecordPeerFailure(t0.Add(toldFor), tellerA) {
+	if !trust.RecordPeerFailure(t0.Add(peerFailureTTL), tellerA) {
 		t.Error("two peers within peerFailureTTL: not ejected, want ejected")
 	}
-	if trust.open(t0.Add(toldFor), 0) {
+	if trust.mayTry(t0.Add(peerFailureTTL), 0) {
 		t.Error("ejected endpoint: may be tried, want it not to be")
 	}
-	if later := t0.Add(toldFor + shutMost); !trust.open(later, 0) || trust.open(later, 1) {
+	if later := t0.Add(peerFailureTTL + maxEject); !trust.mayTry(later, 0) || trust.mayTry(later, 1) {
 		t.Error("after the ejection: want one attempt at a time")
 	}
 }
@@ -42,7 +42,7 @@
 	var trust Trust
 	trust.RecordSuccess(t0)
 	trust.RecordPeerFailure(t0, tellerA)
-	if trust.RecordPeerFailure(t0.Add(okHolds), tellerB) {
+	if trust.RecordPeerFailure(t0.Add(successTTL), tellerB) {
 		t.Error("recent success: ejected, want not ejected")
 	}
 }
@@ -77,7 +77,7 @@
 			t.Errorf("failure %d: got %v, want %v", i+1, got, want)
 		}
 	}
-	if !trust.RecordFailure(t0.Add(shutMost+time.Second), true) {
+	if !trust.RecordFailure(t0.Add(maxEject+time.Second), true) {
 		t.Error("dead after its ejection: got false, want it ejected again")
 	}
 }
--- a/pkg/pool/warm.go
+++ b/pkg/pool/warm.go
@@ -31,7 +31,7 @@
 // warming is the warm-up state of an endpoint.
 type warming struct {
 	// firstSeenAt is when the endpoint's first entry was received.
-	heardAt time.Time
+	firstSeenAt time.Time
 	// nextAt is when this process may send the next request to it.
 	nextAt time.Time
 	// perSecond is this process's quota, computed for a generation of the senders and an allowance.
@@ -51,11 +51,11 @@
 	}
 	until := p.WarmAt
 	if !p.WarmReported {
-		until = p.heardAt.Add(p.warmup.Duration)
+		until = p.firstSeenAt.Add(p.warmup.Duration)
 	}
-	if !p.area.openedAt.IsZero() && p.Revision < p.area.revision {
+	if !p.zoneState.openedAt.IsZero() && p.Revision < p.zoneState.revision {
 		// The entry is from before its zone was reopened.
-		until = later(until, p.area.openedAt.Add(p.warmup.Duration))
+		until = later(until, p.zoneState.openedAt.Add(p.warmup.Duration))
 	}
 	return now.Before(until)
 }
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -18,9 +18,9 @@
 
 # name: (file, old text, new text, package, tests)
 MUTANTS = {
-    "closedZoneUsed": ("pkg/pool/book.go", "return !p.area.closed && p.listed(now)", "return p.listed(now)", "./pkg/pool", "TestClosedZoneGetsNothing|TestAllZonesClosed"),
+    "closedZoneUsed": ("pkg/pool/book.go", "return !p.zoneState.closed && p.listed(now)", "return p.listed(now)", "./pkg/pool", "TestClosedZoneGetsNothing|TestAllZonesClosed"),
     "oldOrderOfAZone": ("pkg/pool/zone.go", "if revision < z.revision || !z.closed {", "if !z.closed {", "./pkg/pool", "TestOrdersOfZonesInAnyOrder"),
-    "openedZoneIsWarm": ("pkg/pool/warm.go", "until = later(until, p.area.openedAt.Add(p.warmup.Duration))", "until = later(until, p.area.openedAt)", "./pkg/pool", "TestOpenedZoneWarmsUp"),
+    "openedZoneIsWarm": ("pkg/pool/warm.go", "until = later(until, p.zoneState.openedAt.Add(p.warmup.Duration))", "until = later(until, p.zoneState.openedAt)", "./pkg/pool", "TestOpenedZoneWarmsUp"),
     "warmingNotShared": ("pkg/pool/warm.go", "if rank >= allowance {", "if false {", "./pkg/pool", "TestSharesAddUpToTheAllowance|TestWarmingEndpointIsSparedByAll"),
     "warmingNotPaced": ("pkg/pool/warm.go", "!now.Before(p.nextAt) && ", "", "./pkg/pool", "TestWarmingEndpointIsSparedByAll"),
     "earlierLifeForgotten": ("pkg/pool/warm.go", " && !now.Before(p.senders.NotBefore)", "", "./pkg/pool", "TestUnknownFleetSendsNothingToAWarmingEndpoint"),
