--- a/pkg/pool/book_test.go
+++ b/pkg/pool/book_test.go
@@ -25,7 +25,7 @@
 	return got
 }
 
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsNeverReset(t *testing.T) {
 	b := NewBook()
 	b.Put(entry("x", 1))
 	leaving := entry("x", 5)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestGoneIsNotBroughtBackByOlderWord(t *testing.T) {
+func TestRemovedIsNotListedByOlderEntry(t *testing.T) {
 	b := NewBook()
 	b.Put(entry("x", 1))
 	b.Remove("x", 4, t0, time.Time{})
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestLapsedInAnOutage(t *testing.T) {
+func TestRemovalInOutageHasGracePeriod(t *testing.T) {
 	b := NewBook()
 	b.Put(entry("x", 1))
 	b.Put(entry("y", 1))
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestRemovedInCalmTimesIsGoneAtOnce(t *testing.T) {
+func TestRemovalWithoutOutageIsImmediate(t *testing.T) {
 	b := NewBook()
 	b.Put(entry("x", 1))
 	b.Remove("x", 9, t0, time.Time{})
--- a/pkg/pool/limit_test.go
+++ b/pkg/pool/limit_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, c := range []struct {
 		name    string
-		word    LimitStatus
+		status  LimitStatus
 		sentAt  time.Time
 		changed bool
 	}{
@@ -30,7 +30,7 @@
 		{"sent after the statement", Unlimited, at.Add(2 * time.Second), true},
 		{"again", Unlimited, at.Add(2 * time.Second), false},
 	} {
-		if got := p.RecordNotice(Notice{Limit: c.word}, c.sentAt, at.Add(3*time.Second)).Limit; got != c.changed {
+		if got := p.RecordNotice(Notice{Limit: c.status}, c.sentAt, at.Add(3*time.Second)).Limit; got != c.changed {
 			t.Errorf("%s: changed: got %v, want %v", c.name, got, c.changed)
 		}
 	}
@@ -105,7 +105,7 @@
 
 // Guards against a limit that is exceeded, or left largely unused, as processes share it without
 // coordination: each sends whenever it may, also with lists that lack a fifth of the processes.
-func TestLimitIsSharedWithoutAWord(t *testing.T) {
+func TestLimitIsSharedWithoutCoordination(t *testing.T) {
 	const lasts = 40 * time.Second
 	all := func(int, int) bool { return false }
 	fifth := func(self, other int) bool { return mixer.Mix(uint64(self*1000+other))%5 == 0 }
@@ -151,7 +151,7 @@
 }
 
 // A request that finds all endpoints limited gets the time at which the first has room.
-func TestLackOfLimited(t *testing.T) {
+func TestUnavailableByLimit(t *testing.T) {
 	b := limitedProcess(1, []uint64{1}, 2)
 	p := b.Get("e0")
 	p.RecordSend(t0)
@@ -169,7 +169,7 @@
 }
 
 // A limit belongs to the incarnation that stated it: an endpoint that restarts under its ID has none.
-func TestLimitIsOfOneLife(t *testing.T) {
+func TestLimitEndsWithIncarnation(t *testing.T) {
 	b := NewBook()
 	e := entry("e0", 1)
 	e.StartedAt = t0
@@ -191,7 +191,7 @@
 
 // At a process without a share, a request gets the time at which another process may have room, not the
 // later one at which this process may probe.
-func TestLackWithoutAShare(t *testing.T) {
+func TestUnavailableWithoutShare(t *testing.T) {
 	var knows []uint64
 	for i := range uint64(40) {
 		knows = append(knows, mixer.Mix(i+1))
@@ -209,43 +209,43 @@
 
 // A request that a process grants to another is deducted from its own share; the other one uses it once, and
 // before the grant expires.
-func TestGrantIsSpent(t *testing.T) {
+func TestGrantIsUsedOnce(t *testing.T) {
 	const perSecond = 2.5
-	giver, taker := limitedProcess(1, []uint64{1, 2}, perSecond).Get("e0"), limitedProcess(2, []uint64{1, 2}, perSecond).Get("e0")
+	lender, borrower := limitedProcess(1, []uint64{1, 2}, perSecond).Get("e0"), limitedProcess(2, []uint64{1, 2}, perSecond).Get("e0")
 	now := t0.Add(time.Minute)
-	taker.RecordSend(now)
-	if taker.ready(now) {
+	borrower.RecordSend(now)
+	if borrower.ready(now) {
 		t.Error("borrower after its own request: got ready, want not ready")
 	}
-	granted, at := giver.Grant(now)
+	granted, at := lender.Grant(now)
 	if want := now.Add(800 * time.Millisecond); !granted || !at.Equal(want) {
 		t.Errorf("grant: got %v, the next at %v, want one and the next at %v", granted, at, want)
 	}
-	if giver.ready(now) {
+	if lender.ready(now) {
 		t.Error("lender after its grant: got ready, want not ready")
 	}
-	if again, _ := giver.Grant(now); again {
+	if again, _ := lender.Grant(now); again {
 		t.Error("second grant: got one, want none")
 	}
-	taker.RecordGrant(now.Add(50 * time.Millisecond))
-	if taker.ready(now.Add(50 * time.Millisecond)) {
+	borrower.RecordGrant(now.Add(50 * time.Millisecond))
+	if borrower.ready(now.Add(50 * time.Millisecond)) {
 		t.Error("borrower after the grant expired: got ready, want not ready")
 	}
-	if !taker.ready(now) {
+	if !borrower.ready(now) {
 		t.Error("borrower with a grant: got not ready, want ready")
 	}
-	taker.RecordSend(now)
-	if taker.ready(now) {
+	borrower.RecordSend(now)
+	if borrower.ready(now) {
 		t.Error("borrower after the granted request: got ready, want not ready")
 	}
-	if own := now.Add(800 * time.Millisecond); !taker.ready(own) {
+	if own := now.Add(800 * time.Millisecond); !borrower.ready(own) {
 		t.Error("borrower once its own share is due: got not ready, want ready")
 	}
 }
 
 // The shares of all processes interleave evenly from the moment at which a limit is stated, however recently
 // each sent before. Otherwise the capacity of the first seconds is lost, or several processes send at once.
-func TestSharesFollowOneAnother(t *testing.T) {
+func TestSharesInterleave(t *testing.T) {
 	const perSecond, processes = 2.0, 4
 	f := limitedFleetOf(processes, perSecond, func(int, int) bool { return false })
 	f.send(t0, t0.Add(4*time.Second))
--- a/pkg/pool/load.go
+++ b/pkg/pool/load.go
@@ -45,15 +45,15 @@
 }
 
 func (l *Load) capBusy(now time.Time) {
-	if most := now.Add(maxBusy); l.busyUntil.After(most) {
-		l.busyUntil = most
+	if latest := now.Add(maxBusy); l.busyUntil.After(latest) {
+		l.busyUntil = latest
 	}
 }
 
 // FinishPrompt records that a prompt whose reading was expected to be done at then was read at now, and
 // shifts the prompts behind it by the difference.
-func (l *Load) FinishPrompt(now, then time.Time) {
-	l.busyUntil = l.busyUntil.Add(now.Sub(then))
+func (l *Load) FinishPrompt(now, expected time.Time) {
+	l.busyUntil = l.busyUntil.Add(now.Sub(expected))
 	l.capBusy(now)
 }
 
--- a/pkg/pool/loss.go
+++ b/pkg/pool/loss.go
@@ -42,13 +42,13 @@
 // loss returns the expected loss of the request at an endpoint; holds says whether the endpoint holds
 // its prefix.
 func (w *Want) loss(p *Endpoint, now time.Time, holds bool) float64 {
-	read, again := w.FullRead, rereadLoss*w.SharedFraction
+	read, reread := w.FullRead, rereadLoss*w.SharedFraction
 	if holds {
-		read, again = w.UnsharedRead, 0
+		read, reread = w.UnsharedRead, 0
 	}
 	read *= p.Pace.Factor(now)
 	wait := w.Wait(p, now)
-	loss := lateLoss*(lateness(wait+read, w.TimeLeft)+w.delayToOthers(read, wait)) + saturationLoss*p.utilization(now) + again
+	loss := lateLoss*(lateness(wait+read, w.TimeLeft)+w.delayToOthers(read, wait)) + saturationLoss*p.utilization(now) + reread
 	if p.Zone != w.Zone {
 		loss += crossZoneLoss
 	}
@@ -107,19 +107,19 @@
 // pickForPrefix returns the endpoint at which a request with a prefix loses least: one of the prefix's
 // holders, its homes, or a random sample. It does not search all endpoints, as every process has about
 // the same data and all would send to the same best one.
-func (b *Book) pickForPrefix(open []*Endpoint, now time.Time, w *Want, trust trustTest) (*Endpoint, Reason) {
+func (b *Book) pickForPrefix(eligible []*Endpoint, now time.Time, w *Want, trust trustTest) (*Endpoint, Reason) {
 	var best candidate
-	near, all := home(open, w)
+	near, all := home(eligible, w)
 	best.consider(all, ByHome, w.HomeChance*w.loss(all, now, true)+(1-w.HomeChance)*w.loss(all, now, false))
-	stray := offHomeLoss * w.SharedFraction
+	offHome := offHomeLoss * w.SharedFraction
 	if near != nil {
-		best.consider(near, ByZone, w.loss(near, now, false)+stray)
+		best.consider(near, ByZone, w.loss(near, now, false)+offHome)
 	}
 	draw := w.Draw
 	for range max(w.SampleSize, minSample) {
 		draw = mixer.Mix(draw)
-		p := open[draw%uint64(len(open))]
-		best.consider(p, ByLoad, w.loss(p, now, false)+stray)
+		p := eligible[draw%uint64(len(eligible))]
+		best.consider(p, ByLoad, w.loss(p, now, false)+offHome)
 	}
 	holder := b.holder(now, w, trust)
 	if holder.p != nil && holder.loss <= best.loss {
@@ -155,15 +155,15 @@
 // home returns the homes of a prefix by rendezvous hash (Thaler and Ravishankar, 1998): one among all
 // endpoints, and one among those of the request's availability zone, nil if there are none. Every process
 // finds the same, also one that has just started.
-func home(open []*Endpoint, w *Want) (near, all *Endpoint) {
-	var nearMost, allMost uint64
-	for _, p := range open {
+func home(eligible []*Endpoint, w *Want) (near, all *Endpoint) {
+	var nearMax, allMax uint64
+	for _, p := range eligible {
 		h := mixer.Mix(w.Affinity ^ p.hash)
-		if all == nil || h > allMost {
-			all, allMost = p, h
+		if all == nil || h > allMax {
+			all, allMax = p, h
 		}
-		if p.Zone == w.Zone && (near == nil || h > nearMost) {
-			near, nearMost = p, h
+		if p.Zone == w.Zone && (near == nil || h > nearMax) {
+			near, nearMax = p, h
 		}
 	}
 	return near, all
--- a/pkg/pool/notice.go
+++ b/pkg/pool/notice.go
@@ -71,13 +71,13 @@
 // RecordPeerNotice applies a notice that a peer relayed for an endpoint and its incarnation, both
 // identified by their hashes. A notice for an endpoint that is not listed here is kept until it is, and
 // one for another incarnation than the listed one is ignored; both return nil.
-func (b *Book) RecordPeerNotice(endpoint, life uint64, n Notice, now time.Time) (p *Endpoint, c Changes) {
+func (b *Book) RecordPeerNotice(endpoint, incarnation uint64, n Notice, now time.Time) (p *Endpoint, c Changes) {
 	p = b.ByHash(endpoint)
 	switch {
 	case p == nil:
-		putBounded(b.pendingNotices, life, n)
+		putBounded(b.pendingNotices, incarnation, n)
 		return nil, c
-	case p.Incarnation() != life:
+	case p.Incarnation() != incarnation:
 		return nil, c
 	default:
 		return p, p.RecordPeerNotice(n, now)
--- a/pkg/pool/notice_test.go
+++ b/pkg/pool/notice_test.go
@@ -10,7 +10,7 @@
 
 // An endpoint that announced that it is leaving gets no new work in this incarnation, whatever the list
 // has: a later revision as ready, a removal, a grace period, a new entry. Its next incarnation gets work.
-func TestEndpointThatSaidItLeaves(t *testing.T) {
+func TestAnnouncedLeavingHolds(t *testing.T) {
 	usable := func(b *Book) bool {
 		got, _ := b.Pick(t0, &Want{Service: "s"})
 		return got != nil
@@ -66,27 +66,27 @@
 
 // A notice that a peer relayed applies to its own incarnation only, and is kept for an endpoint that is not
 // listed yet.
-func TestToldOfLives(t *testing.T) {
+func TestPeerNoticeAppliesToIncarnation(t *testing.T) {
 	e := entry("e0", 1)
 	e.StartedAt = t0
 	at := Endpoint{Entry: e, hash: HashOf(e.ID)}
-	said := Notice{Limit: Limited, PerSecond: 2, Leaving: true}
+	notice := Notice{Limit: Limited, PerSecond: 2, Leaving: true}
 	for _, c := range []struct {
-		name  string
-		life  uint64
-		early bool
-		want  Notice
+		name        string
+		incarnation uint64
+		early       bool
+		want        Notice
 	}{
-		{"this incarnation", at.Incarnation(), false, said},
+		{"this incarnation", at.Incarnation(), false, notice},
 		{"another incarnation", at.Incarnation() + 1, false, Notice{}},
-		{"this incarnation, listed later", at.Incarnation(), true, said},
+		{"this incarnation, listed later", at.Incarnation(), true, notice},
 		{"another incarnation, listed later", at.Incarnation() + 1, true, Notice{}},
 	} {
 		b := NewBook()
 		if !c.early {
 			b.Put(e)
 		}
-		b.RecordPeerNotice(HashOf(e.ID), c.life, said, t0)
+		b.RecordPeerNotice(HashOf(e.ID), c.incarnation, notice, t0)
 		b.Put(e)
 		if got := b.Get("e0").Notice(); got != c.want {
 			t.Errorf("%s: got %+v, want %+v", c.name, got, c.want)
@@ -95,7 +95,7 @@
 }
 
 // Announcements hold for an incarnation, also where its entry is removed and listed again meanwhile.
-func TestWhatWasSaidOutlivesTheEntry(t *testing.T) {
+func TestAnnouncementsOutliveTheEntry(t *testing.T) {
 	b, e := NewBook(), entry("e0", 1)
 	e.StartedAt = t0
 	b.SetSenders(Senders{Self: 1, All: []uint64{1}})
--- a/pkg/pool/pace_test.go
+++ b/pkg/pool/pace_test.go
@@ -14,7 +14,7 @@
 	const later = paceTTL + time.Millisecond
 	for _, c := range []struct {
 		name      string
-		told      []float64
+		reported  []float64
 		now, then float64
 	}{
 		{"no report", nil, 1, 1},
@@ -26,7 +26,7 @@
 		{"beyond the bounds", []float64{1e9}, maxPace, maxPace},
 	} {
 		var p Pace
-		for _, v := range c.told {
+		for _, v := range c.reported {
 			p.RecordReport(t0, v)
 		}
 		if got := p.Factor(t0); got != c.now {
@@ -38,15 +38,15 @@
 	}
 }
 
-// unevenPlay sends prompts that take 0.2 s of usual work to endpoints that read one at a time: a quarter have
+// unevenLoad sends prompts that take 0.2 s of usual work to endpoints that read one at a time: a quarter have
 // a pace of 0.55, the others one of 1.2. It returns the percentage of heads that come after more than 1.5 s.
 // With tells, endpoints report their pace with each answer.
-func unevenPlay(tells bool) (late float64) {
+func unevenLoad(reports bool) (late float64) {
 	const (
 		endpoints, prompts = 12, 4000
 		usual              = 0.2
-		// pressed is the offered load as a fraction of the capacity of all endpoints.
-		pressed = 0.9
+		// offeredLoad is the offered load as a fraction of the capacity of all endpoints.
+		offeredLoad = 0.9
 	)
 	rnd := rand.New(rand.NewPCG(7, 7))
 	b, free, times := book(endpoints), make(map[string]time.Time), make(map[string]float64)
@@ -61,7 +61,7 @@
 	}
 	now, n := t0, 0
 	for k := range prompts {
-		now = now.Add(time.Duration(rnd.ExpFloat64() / (pressed * bears) * float64(time.Second)))
+		now = now.Add(time.Duration(rnd.ExpFloat64() / (offeredLoad * bears) * float64(time.Second)))
 		w := wanted(fmt.Sprint("prefix-", k))
 		w.FullRead, w.UnsharedRead, w.TimeLeft, w.Aim, w.Draw = usual, usual, 1.5, 1.5, rnd.Uint64()
 		p, _ := b.Pick(now, w)
@@ -75,7 +75,7 @@
 		if free[p.ID].Sub(now) > 1500*time.Millisecond {
 			n++
 		}
-		if tells {
+		if reports {
 			p.Pace.RecordReport(now, times[p.ID])
 		}
 	}
@@ -85,10 +85,10 @@
 // Guards against overload of slow endpoints: some take more than twice as long as others for the same work and
 // report it, at a load of 0.9 of their total capacity. Treated alike, the slow ones get more than their
 // capacity and their callers wait.
-func TestUnevenEndpointsGetWhatTheyBear(t *testing.T) {
-	alike, told := unevenPlay(false), unevenPlay(true)
-	t.Logf("late: %.1f %% treated alike, %.1f %% with reported pace", alike, told)
-	if told > alike/4 || told > 5 {
-		t.Errorf("late: got %.1f %%, want at most a quarter of %.1f %%, and at most 5 %%", told, alike)
+func TestUnevenEndpointsGetLoadByPace(t *testing.T) {
+	alike, byPace := unevenLoad(false), unevenLoad(true)
+	t.Logf("late: %.1f %% treated alike, %.1f %% with reported pace", alike, byPace)
+	if byPace > alike/4 || byPace > 5 {
+		t.Errorf("late: got %.1f %%, want at most a quarter of %.1f %%, and at most 5 %%", byPace, alike)
 	}
 }
--- a/pkg/pool/pick.go
+++ b/pkg/pool/pick.go
@@ -91,20 +91,20 @@
 	var buf [maxScan]*Endpoint
 	list := b.byService[w.Service]
 	w.firstHash = w.firstTrusted(list, now)
-	open, trust := trusted(buf[:0], list, now, w)
+	eligible, trust := trusted(buf[:0], list, now, w)
 	if w.firstHash > 0 && trust == nil {
 		w.firstHash = 0
-		open, trust = trusted(buf[:0], list, now, w)
+		eligible, trust = trusted(buf[:0], list, now, w)
 	}
 	switch {
-	case len(open) == 0:
+	case len(eligible) == 0:
 		return nil, ""
 	case trust == nil:
-		return pickOfTwo(open, now, w), ByNoneTrusted
+		return pickOfTwo(eligible, now, w), ByNoneTrusted
 	case w.Affinity == 0:
-		return pickOfTwo(open, now, w), ByLoad
+		return pickOfTwo(eligible, now, w), ByLoad
 	default:
-		return b.pickForPrefix(open, now, w, trust)
+		return b.pickForPrefix(eligible, now, w, trust)
 	}
 }
 
@@ -133,8 +133,8 @@
 		tests = tests[1:]
 	}
 	for _, test := range tests {
-		if open := fitting(dst, list, now, w, test); len(open) > 0 {
-			return open, test
+		if eligible := fitting(dst, list, now, w, test); len(eligible) > 0 {
+			return eligible, test
 		}
 	}
 	return nil, nil
@@ -201,11 +201,11 @@
 }
 
 // pickOfTwo returns the less loaded of two endpoints drawn at random.
-func pickOfTwo(open []*Endpoint, now time.Time, w *Want) *Endpoint {
+func pickOfTwo(eligible []*Endpoint, now time.Time, w *Want) *Endpoint {
 	d := mixer.Mix(w.Draw)
-	a := open[d%uint64(len(open))]
+	a := eligible[d%uint64(len(eligible))]
 	d = mixer.Mix(d)
-	b := open[d%uint64(len(open))]
+	b := eligible[d%uint64(len(eligible))]
 	if b.cost(now, w.Zone) < a.cost(now, w.Zone) {
 		return b
 	}
--- a/pkg/pool/pick_test.go
+++ b/pkg/pool/pick_test.go
@@ -20,7 +20,7 @@
 	return b
 }
 
-func TestFailingEndpointRests(t *testing.T) {
+func TestFailingEndpointIsEjected(t *testing.T) {
 	b := book(3)
 	for range ejectAfterFailures {
 		b.Get("e1").Trust.RecordFailure(t0, false)
@@ -52,7 +52,7 @@
 	return &Want{Service: "s", Zone: "a", Affinity: Hash(prefix), FullRead: 1, UnsharedRead: 0.1, SharedFraction: 0.9, TimeLeft: 4, Aim: 4}
 }
 
-func TestPrefixGoesWhereItBelongsUnlessLoaded(t *testing.T) {
+func TestPrefixGoesHomeUnlessLoaded(t *testing.T) {
 	b := book(6)
 	w := wanted("prefix")
 	p, why := b.Pick(t0, w)
@@ -240,7 +240,7 @@
 
 // A request for one endpoint goes to the next one in order when the first is ejected, and to any when none is
 // trusted.
-func TestOneMovesOnFromWhatRests(t *testing.T) {
+func TestFirstOnlySkipsEjected(t *testing.T) {
 	b, now := book(4), time.Now()
 	var met []string
 	for range 4 {
--- a/pkg/pool/held.go
+++ b/pkg/pool/prefix.go
@@ -39,18 +39,18 @@
 	if in == nil {
 		in = h.add(prefix)
 	}
-	place := &in[0]
+	slot := &in[0]
 	for i := range in {
 		q := &in[i]
 		if q.endpoint == endpoint {
-			place = q
+			slot = q
 			break
 		}
-		if q.at.Before(place.at) {
-			place = q
+		if q.at.Before(slot.at) {
+			slot = q
 		}
 	}
-	*place = prefixHolder{endpoint, at}
+	*slot = prefixHolder{endpoint, at}
 }
 
 // forget removes an endpoint from the holders of a prefix.
--- a/pkg/pool/held_test.go
+++ b/pkg/pool/prefix_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestHoldersAreReplacedByUse(t *testing.T) {
+func TestLeastRecentHolderIsReplaced(t *testing.T) {
 	var h prefixTable
 	for i := range uint64(maxHolders + 1) {
 		h.record(7, i+1, t0.Add(time.Duration(i)*time.Second))
--- a/pkg/pool/rest_test.go
+++ b/pkg/pool/rest_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// restful is an endpoint that may request rest periods.
-type restful struct {
+// restingEndpoint is an endpoint that may request rest periods.
+type restingEndpoint struct {
 	b *Book
 	p *Endpoint
 }
 
-func newRestful() *restful {
+func newRestingEndpoint() *restingEndpoint {
 	b := NewBook()
 	b.Put(entry("e0", 1))
-	return &restful{b, b.Get("e0")}
+	return &restingEndpoint{b, b.Get("e0")}
 }
 
 // at returns a time as milliseconds after t0.
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
 // sends picks and sends at each of some times, and returns those at which a request was sent, in milliseconds.
-func (r *restful) sends(times ...int) (sent []int) {
+func (r *restingEndpoint) sends(times ...int) (sent []int) {
 	for _, ms := range times {
 		if got, _ := r.b.Pick(at(ms), &Want{Service: "s"}); got != nil {
 			got.RecordSend(at(ms))
@@ -38,7 +38,7 @@
 // An endpoint that requested a rest period gets nothing until it is over, also if answers to earlier attempts
 // request a shorter one or none. Then it gets one request alone, until an answer shows that it accepts more.
 func TestRestIsKept(t *testing.T) {
-	r := newRestful()
+	r := newRestingEndpoint()
 	for _, c := range []struct {
 		name                  string
 		sentAt, heardAt, rest int
@@ -65,8 +65,8 @@
 }
 
 // A request that finds all endpoints in rest periods gets the time at which the first one ends.
-func TestLackOfRested(t *testing.T) {
-	r := newRestful()
+func TestUnavailableByRest(t *testing.T) {
+	r := newRestingEndpoint()
 	r.p.RecordNotice(Notice{RestUntil: at(3000)}, at(0), at(0))
 	if l := r.b.Unavailability(at(1000), &Want{Service: "s"}); l.Resting != 1 || !l.RetryAt.Equal(at(3000)) {
 		t.Errorf("unavailability: got %+v, want one resting until %v", l, at(3000))
--- a/pkg/pool/trust.go
+++ b/pkg/pool/trust.go
@@ -69,27 +69,27 @@
 	if !dead && t.failuresInRow < ejectAfterFailures && t.failureRate < ejectAboveRate {
 		return false
 	}
-	rested := now.Before(t.ejectedUntil)
+	wasEjected := now.Before(t.ejectedUntil)
 	t.eject(now)
-	return !rested
+	return !wasEjected
 }
 
 // RecordPeerFailure records a failure that another process, identified by its address, reported. It reports
 // whether this ejected the endpoint.
 func (t *Trust) RecordPeerFailure(now time.Time, peer netip.Addr) bool {
 	// Reuse the slot of the reporting peer, else that of the oldest report.
-	place := &t.peerFailures[0]
+	slot := &t.peerFailures[0]
 	for i := range t.peerFailures {
 		p := &t.peerFailures[i]
 		if p.peer == peer {
-			place = p
+			slot = p
 			break
 		}
-		if p.at.Before(place.at) {
-			place = p
+		if p.at.Before(slot.at) {
+			slot = p
 		}
 	}
-	*place = peerFailure{peer, now}
+	*slot = peerFailure{peer, now}
 	if t.reporters(now) < ejectAfterPeers || now.Sub(t.lastSuccess) <= successTTL || now.Before(t.ejectedUntil) {
 		return false
 	}
@@ -109,20 +109,20 @@
 }
 
 func (t *Trust) eject(now time.Time) {
-	rest := maxEject
+	d := maxEject
 	if t.failuresInRow < 5 {
-		rest = min(rest, ejectBase<<t.failuresInRow)
+		d = min(d, ejectBase<<t.failuresInRow)
 	}
-	t.ejectedUntil = now.Add(rest)
+	t.ejectedUntil = now.Add(d)
 }
 
 // mayTry reports whether the endpoint may get an attempt, given the number of attempts in flight; one that
 // was ejected gets one attempt at a time until it answers.
-func (t *Trust) mayTry(now time.Time, sent int) bool {
+func (t *Trust) mayTry(now time.Time, inFlight int) bool {
 	if now.Before(t.ejectedUntil) {
 		return false
 	}
-	return t.failuresInRow < ejectAfterFailures && t.failureRate < ejectAboveRate || sent == 0
+	return t.failuresInRow < ejectAfterFailures && t.failureRate < ejectAboveRate || inFlight == 0
 }
 
 // healthy reports whether the endpoint may get a request that may not be retried: there is no failure since
--- a/pkg/pool/trust_test.go
+++ b/pkg/pool/trust_test.go
@@ -10,24 +10,24 @@
 )
 
 var (
-	tellerA = netip.MustParseAddr("10.0.0.1")
-	tellerB = netip.MustParseAddr("10.0.0.2")
+	peerA = netip.MustParseAddr("10.0.0.1")
+	peerB = netip.MustParseAddr("10.0.0.2")
 )
 
-func TestTwoTellersMakeAnEndpointRest(t *testing.T) {
+func TestTwoPeersEjectAnEndpoint(t *testing.T) {
 	var trust Trust
 	for range 5 {
-		if trust.RecordPeerFailure(t0, tellerA) {
+		if trust.RecordPeerFailure(t0, peerA) {
 			t.Fatal("one peer, many reports: ejected, want not ejected")
 		}
 	}
 	if !trust.mayTry(t0, 0) {
 		t.Error("reported by one peer: may not be tried, want it to be")
 	}
-	if late := t0.Add(peerFailureTTL + time.Millisecond); trust.RecordPeerFailure(late, tellerB) {
+	if late := t0.Add(peerFailureTTL + time.Millisecond); trust.RecordPeerFailure(late, peerB) {
 		t.Error("second peer long after the first: ejected, want not ejected")
 	}
-	if !trust.RecordPeerFailure(t0.Add(peerFailureTTL), tellerA) {
+	if !trust.RecordPeerFailure(t0.Add(peerFailureTTL), peerA) {
 		t.Error("two peers within peerFailureTTL: not ejected, want ejected")
 	}
 	if trust.mayTry(t0.Add(peerFailureTTL), 0) {
@@ -38,19 +38,19 @@
 	}
 }
 
-func TestOwnAnswerOutweighsTellers(t *testing.T) {
+func TestSuccessOutweighsPeerFailures(t *testing.T) {
 	var trust Trust
 	trust.RecordSuccess(t0)
-	trust.RecordPeerFailure(t0, tellerA)
-	if trust.RecordPeerFailure(t0.Add(successTTL), tellerB) {
+	trust.RecordPeerFailure(t0, peerA)
+	if trust.RecordPeerFailure(t0.Add(successTTL), peerB) {
 		t.Error("recent success: ejected, want not ejected")
 	}
 }
 
-func TestOnceTestsNoEndpoint(t *testing.T) {
+func TestNoRetryPicksHealthyEndpoint(t *testing.T) {
 	b := book(3)
 	b.Get("e0").Trust.RecordFailure(t0, false)
-	b.Get("e1").Trust.RecordPeerFailure(t0, tellerA)
+	b.Get("e1").Trust.RecordPeerFailure(t0, peerA)
 	for d := range uint64(50) {
 		p, _ := b.Pick(t0, &Want{Service: "s", NoRetry: true, Draw: d})
 		if p.ID != "e2" {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestRestIsToldOnce(t *testing.T) {
+func TestEjectionIsReportedOnce(t *testing.T) {
 	var trust Trust
 	for i, want := range []bool{false, true, false} {
 		if got := trust.RecordFailure(t0, false); got != want {
--- a/pkg/pool/warm_test.go
+++ b/pkg/pool/warm_test.go
@@ -15,8 +15,8 @@
 // Endpoints bear 14 requests per second while they warm up, from all processes together. The operator allows
 // 1.5 times 14, and 5; 27 in a second are one more.
 const (
-	warmBears  = 14
-	warmBroken = 27
+	warmAllowance = 14
+	warmExceeded  = 27
 )
 
 // hashes returns the hashes of n processes.
@@ -34,10 +34,10 @@
 			sum := 0
 			for _, self := range all {
 				s := Senders{Self: self, All: all}
-				sum += s.quota(mixer.Mix(endpoint), warmBears)
+				sum += s.quota(mixer.Mix(endpoint), warmAllowance)
 			}
-			if sum != warmBears {
-				t.Errorf("%d processes, endpoint %d: shares: got %d, want %d", n, endpoint, sum, warmBears)
+			if sum != warmAllowance {
+				t.Errorf("%d processes, endpoint %d: shares: got %d, want %d", n, endpoint, sum, warmAllowance)
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 
 func TestUnknownFleetSendsNothingToAWarmingEndpoint(t *testing.T) {
 	b := book(1)
-	b.SetWarmup("s", Warmup{Allowance: warmBears, Duration: 3 * time.Second})
+	b.SetWarmup("s", Warmup{Allowance: warmAllowance, Duration: 3 * time.Second})
 	e := b.Get("e0").Entry
 	e.Revision, e.WarmReported, e.WarmAt = 2, true, t0.Add(3*time.Second)
 	b.Put(e)
@@ -63,9 +63,9 @@
 
 // An endpoint that does not report its warm-up counts as cold from its first entry on; a known one that turns
 // cold counts as cold from the entry that reports it.
-func TestWarmingByWordOrByDefault(t *testing.T) {
+func TestWarmingByReportOrByDefault(t *testing.T) {
 	b := NewBook()
-	b.SetWarmup("s", Warmup{Allowance: warmBears, Duration: 3 * time.Second})
+	b.SetWarmup("s", Warmup{Allowance: warmAllowance, Duration: 3 * time.Second})
 	e := entry("e0", 1)
 	e.ReceivedAt = t0
 	b.Put(e)
@@ -92,7 +92,7 @@
 
 func newGreedy(self uint64, knows []uint64, endpoints int, from time.Time) *greedy {
 	g := &greedy{book: NewBook()}
-	g.book.SetWarmup("s", Warmup{Allowance: warmBears})
+	g.book.SetWarmup("s", Warmup{Allowance: warmAllowance})
 	g.book.SetSenders(Senders{Self: self, All: knows, NotBefore: from})
 	for i := range endpoints {
 		e := entry(fmt.Sprint("e", i), 1)
@@ -107,7 +107,7 @@
 // All processes send as often as they may, in a burst and without coordination, with lists that lack a fifth
 // of the processes or name as many that are gone. A tenth of the processes is killed and returns 0.3 s later
 // without a record of what it sent.
-func TestWarmingEndpointIsSparedByAll(t *testing.T) {
+func TestAllProcessesKeepTheAllowance(t *testing.T) {
 	const length, tick = 3 * time.Second, 10 * time.Millisecond
 	for _, n := range []int{3, 29, 103, 300} {
 		f := &burst{rnd: rand.New(rand.NewPCG(uint64(n), 5)), all: hashes(n), sent: make([][]time.Time, warmEndpoints)}
@@ -124,10 +124,10 @@
 		for _, times := range f.sent {
 			most = max(most, mostInASecond(times))
 		}
-		if most >= warmBroken {
-			t.Errorf("%d processes: requests to one endpoint in a second: got %d, want under %d", n, most, warmBroken)
+		if most >= warmExceeded {
+			t.Errorf("%d processes: requests to one endpoint in a second: got %d, want under %d", n, most, warmExceeded)
 		}
-		if total := len(f.sent[0]); total < warmBears/2 {
+		if total := len(f.sent[0]); total < warmAllowance/2 {
 			t.Errorf("%d processes: requests to an endpoint in %v: got %d, want some", n, length, total)
 		}
 		t.Logf("%d processes: at most %d in a second, %d in %v", n, most, len(f.sent[0]), length)
