--- a/pkg/pool/load.go
+++ b/pkg/pool/load.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// FinishPrompt records that a prompt whose reading was expected to be done at then was read at now, and
+// FinishPrompt records that a prompt was read at now whose reading AddPrompt expected to end at expected. It
 // shifts the prompts behind it by the difference.
 func (l *Load) FinishPrompt(now, expected time.Time) {
 	l.busyUntil = l.busyUntil.Add(now.Sub(expected))
--- a/pkg/pool/notice.go
+++ b/pkg/pool/notice.go
@@ -19,7 +19,7 @@
 	RestUntil time.Time
 }
 
-// announced is the stored announcements of an endpoint. The zero value is none.
+// announced holds what an endpoint announced and may still apply. The zero value is nothing.
 type announced struct {
 	// leaving is set once the endpoint announced that it accepts no new work; it is never reset.
 	leaving bool
@@ -30,7 +30,7 @@
 // isSet reports whether there is an announcement that may still hold.
 func (s *announced) isSet() bool { return s.leaving || s.limit.active || !s.rest.until.IsZero() }
 
-// pastAnnounced is what one incarnation of an endpoint announced.
+// pastAnnounced holds what one incarnation of an endpoint announced.
 type pastAnnounced struct {
 	startedAt time.Time
 	announced
--- a/pkg/pool/pace_test.go
+++ b/pkg/pool/pace_test.go
@@ -40,7 +40,7 @@
 
 // unevenLoad sends prompts that take 0.2 s of usual work to endpoints that read one at a time: a quarter have
 // a pace of 0.55, the others one of 1.2. It returns the percentage of heads that come after more than 1.5 s.
-// With tells, endpoints report their pace with each answer.
+// With reports, endpoints report their pace with each answer.
 func unevenLoad(reports bool) (late float64) {
 	const (
 		endpoints, prompts = 12, 4000
--- a/pkg/pool/rest_test.go
+++ b/pkg/pool/rest_test.go
@@ -40,10 +40,10 @@
 func TestRestIsKept(t *testing.T) {
 	r := newRestingEndpoint()
 	for _, c := range []struct {
-		name                  string
-		sentAt, heardAt, rest int
-		begun                 bool
-		tried, sent           []int
+		name                     string
+		sentAt, receivedAt, rest int
+		begun                    bool
+		tried, sent              []int
 	}{
 		{"refused", 0, 0, 3000, true, []int{5}, nil},
 		{"refused, earlier attempt", 0, 10, 1010, false, []int{1010}, nil},
@@ -55,7 +55,7 @@
 		if c.rest > 0 {
 			n.RestUntil = at(c.rest)
 		}
-		if got := r.p.RecordNotice(n, at(c.sentAt), at(c.heardAt)).Rest; got != c.begun {
+		if got := r.p.RecordNotice(n, at(c.sentAt), at(c.receivedAt)).Rest; got != c.begun {
 			t.Errorf("%s: rest period has begun: got %v, want %v", c.name, got, c.begun)
 		}
 		if got := r.sends(c.tried...); !slices.Equal(got, c.sent) {
