--- a/pkg/pool/book_test.go
+++ b/pkg/pool/book_test.go
@@ -25,7 +25,7 @@
 	return got
 }
 
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsNeverReset(t *testing.T) {
 	b := NewBook()
 	b.Put(entry("x", 1))
 	leaving := entry("x", 5)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestGoneIsNotBroughtBackByOlderWord(t *testing.T) {
+func TestRemovedIsNotListedByOlderEntry(t *testing.T) {
 	b := NewBook()
 	b.Put(entry("x", 1))
 	b.Remove("x", 4, t0, time.Time{})
@@ -48,11 +48,11 @@
 	}
 	b.Put(entry("x", 6))
 	if got := b.Len(); got != 1 {
-		t.Errorf("endpoints after a newer word: got %d, want 1", got)
+		t.Errorf("endpoints after a newer entry: got %d, want 1", got)
 	}
 }
 
-func TestLapsedInAnOutage(t *testing.T) {
+func TestRemovalInOutageHasGracePeriod(t *testing.T) {
 	b := NewBook()
 	b.Put(entry("x", 1))
 	b.Put(entry("y", 1))
@@ -69,11 +69,11 @@
 	b.Put(entry("y", 10))
 	b.Expire(lapsesAt)
 	if got := picks(b, lapsesAt); got["y"] == 0 || len(got) != 1 {
-		t.Errorf("endpoints in use when lapsed ones are gone: got %v, want y alone", got)
+		t.Errorf("endpoints in use after the grace period: got %v, want only y", got)
 	}
 }
 
-func TestRemovedInCalmTimesIsGoneAtOnce(t *testing.T) {
+func TestRemovalWithoutOutageIsImmediate(t *testing.T) {
 	b := NewBook()
 	b.Put(entry("x", 1))
 	b.Remove("x", 9, t0, time.Time{})
--- a/pkg/pool/notice.go
+++ b/pkg/pool/notice.go
@@ -5,99 +5,101 @@
 
 import "time"
 
-// Notice is what an endpoint says of itself in the head of an answer. The zero value says
+// Notice is what an endpoint announces about itself in the head of an answer. The zero value announces
 // nothing.
 type Notice struct {
-	Limit LimitWord
-	// PerSecond is the requests a second that the endpoint takes from all processes
-	// together, 0 or more; it counts if Limit is Limited.
+	Limit LimitStatus
+	// PerSecond is the limit in requests per second from all processes together, 0 or more; valid if
+	// Limit is Limited.
 	PerSecond float64
-	// Leaving says that it takes no new work any more.
+	// Leaving announces that the endpoint accepts no new work.
 	Leaving bool
-	// RestUntil is until when it wants nothing from this process; zero if it does not say.
+	// RestUntil is the end of the rest period in which the endpoint wants no requests from this process
+	// (Retry-After); zero if it requests none.
 	RestUntil time.Time
 }
 
-// said is what an endpoint said of itself. The zero value is nothing.
-type said struct {
-	// leaving says that it takes no new work any more; it never goes back.
+// announced holds what an endpoint announced and may still apply. The zero value is nothing.
+type announced struct {
+	// leaving is set once the endpoint announced that it accepts no new work; it is never reset.
 	leaving bool
 	limit   limit
 	rest    rest
 }
 
-// anything reports whether the endpoint said something that may still hold.
-func (s *said) anything() bool { return s.leaving || s.limit.named || !s.rest.until.IsZero() }
+// isSet reports whether there is an announcement that may still hold.
+func (s *announced) isSet() bool { return s.leaving || s.limit.active || !s.rest.until.IsZero() }
 
-// saidBy is what a life of an endpoint said.
-type saidBy struct {
-	born time.Time
-	said
+// pastAnnounced holds what one incarnation of an endpoint announced.
+type pastAnnounced struct {
+	startedAt time.Time
+	announced
 }
 
-// saysLeaving notes that the endpoint said that it leaves. It needs no list for that.
-func (p *Endpoint) saysLeaving() { p.leaving, p.said.leaving = true, true }
+// setLeaving stores the endpoint's announcement that it is leaving, whatever the list has.
+func (p *Endpoint) setLeaving() { p.leaving, p.announced.leaving = true, true }
 
-// Left notes that an endpoint which is not listed any more said that it leaves.
-func (b *Book) Left(e Entry) { remember(b.said, e.ID, saidBy{e.Born, said{leaving: true}}) }
+// RecordLeaving stores that an endpoint which is no longer listed announced that it is leaving.
+func (b *Book) RecordLeaving(e Entry) {
+	putBounded(b.unlisted, e.ID, pastAnnounced{e.StartedAt, announced{leaving: true}})
+}
 
-// Changes tells which of what is known of an endpoint a notice has changed.
+// Changes names the stored announcements of an endpoint that a notice changed.
 type Changes struct{ Limit, Leaving, Rest bool }
 
-// Notes takes in what the endpoint says in an answer that came at now, to an attempt that was
-// sent at sentAt.
-func (p *Endpoint) Notes(n Notice, sentAt, now time.Time) (c Changes) {
-	if n.Limit == Unlimited && !sentAt.After(p.said.limit.saidAt) {
-		// An answer to an attempt from before the last word may be older than that.
-		n.Limit = NoWord
+// RecordNotice applies a notice from an answer that came at now, to an attempt that was sent at sentAt.
+func (p *Endpoint) RecordNotice(n Notice, sentAt, now time.Time) (c Changes) {
+	if n.Limit == Unlimited && !sentAt.After(p.announced.limit.confirmedAt) {
+		// An answer to an attempt that was sent before the limit was last stated may be older than the limit.
+		n.Limit = LimitUnspecified
 	}
-	c = p.Told(n, now)
-	c.Rest = p.said.rest.note(n.RestUntil, sentAt, now)
+	c = p.RecordPeerNotice(n, now)
+	c.Rest = p.announced.rest.update(n.RestUntil, sentAt, now)
 	return c
 }
 
-// Told is Notes for what another process was told by the endpoint later than what it knew. What an
-// endpoint wants of that process alone does not count.
-func (p *Endpoint) Told(n Notice, now time.Time) (c Changes) {
-	c.Limit = p.said.limit.take(n, now)
+// RecordPeerNotice applies a notice that a peer relayed and that is newer than what the peer knew. It
+// ignores the rest period, which holds for the peer alone.
+func (p *Endpoint) RecordPeerNotice(n Notice, now time.Time) (c Changes) {
+	c.Limit = p.announced.limit.apply(n, now)
 	if c.Leaving = n.Leaving && !p.leaving; n.Leaving {
-		p.saysLeaving()
+		p.setLeaving()
 	}
 	return c
 }
 
-// Told notes what another process was told by a life of an endpoint, both by their hashes. One that
-// is not listed here yet is noted once it is. It returns the endpoint, nil for such a one, or one
-// that has another life by now.
-func (b *Book) Told(endpoint, life uint64, n Notice, now time.Time) (p *Endpoint, c Changes) {
+// RecordPeerNotice applies a notice that a peer relayed for an endpoint and its incarnation, both
+// identified by their hashes. A notice for an endpoint that is not listed here is kept until it is, and
+// one for another incarnation than the listed one is ignored; both return nil.
+func (b *Book) RecordPeerNotice(endpoint, incarnation uint64, n Notice, now time.Time) (p *Endpoint, c Changes) {
 	p = b.ByHash(endpoint)
 	switch {
 	case p == nil:
-		remember(b.early, life, n)
+		putBounded(b.pendingNotices, incarnation, n)
 		return nil, c
-	case p.Life() != life:
+	case p.Incarnation() != incarnation:
 		return nil, c
 	default:
-		return p, p.Told(n, now)
+		return p, p.RecordPeerNotice(n, now)
 	}
 }
 
-// Notice returns what is known of what the endpoint said to all.
+// Notice returns the stored announcements that are meant for all processes; the rest period is not.
 func (p *Endpoint) Notice() Notice {
-	n := Notice{Leaving: p.said.leaving}
+	n := Notice{Leaving: p.announced.leaving}
 	switch {
-	case p.said.limit.named:
-		n.Limit, n.PerSecond = Limited, p.said.limit.perSecond
-	case !p.said.limit.endedAt.IsZero():
+	case p.announced.limit.active:
+		n.Limit, n.PerSecond = Limited, p.announced.limit.perSecond
+	case !p.announced.limit.endedAt.IsZero():
 		n.Limit = Unlimited
 	}
 	return n
 }
 
-// Noticed returns the endpoints that have said something to all which holds.
-func (b *Book) Noticed() (list []*Endpoint) {
+// WithNotices returns the endpoints that have a limit or announced that they are leaving.
+func (b *Book) WithNotices() (list []*Endpoint) {
 	for _, p := range b.byID {
-		if p.said.limit.named || p.said.leaving {
+		if p.announced.limit.active || p.announced.leaving {
 			list = append(list, p)
 		}
 	}
