--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -41,7 +41,7 @@
 func (e *Entry) again(r *request, err *fault.Error, attempts int) bool {
 	rules := tries.Rules{Repeatable: r.repeatable, MaxAttempts: *r.effective.Values.MaxAttempts}
 	over := r.ctx.Err() != nil || r.buf.Ended() != nil
-	switch tries.Next(rules, tries.State{Made: attempts, Begun: r.buf.Len() > 0, Over: over}, err) {
+	switch tries.Next(rules, tries.State{Attempts: attempts, AnswerBegun: r.buf.Len() > 0, Finished: over}, err) {
 	case tries.Free:
 		return true
 	case tries.Paid:
@@ -64,8 +64,8 @@
 	step := trail.Step{Attempt: len(r.record.Steps) + 1, At: now, Revision: snap.Head.Revision, Model: d.Model, Version: d.Version, Candidates: d.Candidates}
 	if d.Kind != "" {
 		step.Err = fault.New(d.Kind, fault.NotRun, "%s", d.Kind.Answer().Advice)
-		if d.Kind.Answer().ComeBack {
-			step.Err.At(comeBackAfter.After(now))
+		if d.Kind.Answer().RetryLater {
+			step.Err.WithRetryAt(comeBackAfter.After(now))
 		}
 		r.record.Steps = append(r.record.Steps, step)
 		return 0, step.Err
@@ -130,7 +130,7 @@
 	if *eff.Values.OnStale != config.Refuse || now.Before(eff.Values.StaleAfter.After(e.Holder.HeardAt())) {
 		return nil
 	}
-	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").At(comeBackAfter.After(now))
+	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").WithRetryAt(comeBackAfter.After(now))
 }
 
 func (e *Entry) decide(r *request, snap *config.Snapshot, eff *config.Effective, v *route.View, list []*peer, tried []string) route.Decision {
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -20,7 +20,7 @@
 		Handler:                      e.handle,
 		ErrorHandler:                 e.handleBroken,
 		Name:                         "traildrift",
-		Logger:                       logs.Library{Log: e.Log, Prefix: "callers"},
+		Logger:                       logs.LibraryLogger{Log: e.Log, Prefix: "callers"},
 		MaxRequestBodySize:           e.settings.MaxBody,
 		ReadBufferSize:               e.settings.MaxHeader,
 		ReadTimeout:                  readWithin,
@@ -141,7 +141,7 @@
 		return
 	}
 	list := modelList{Object: "list", Data: []model{}}
-	for _, id := range e.Holder.Current().Names(workspace) {
+	for _, id := range e.Holder.Current().ModelNames(workspace) {
 		list.Data = append(list.Data, model{ID: id, Object: "model", OwnedBy: workspace})
 	}
 	writeJSON(ctx, list)
--- a/internal/relay/cascade.go
+++ b/internal/relay/cascade.go
@@ -82,7 +82,7 @@
 	for ; size > x.size; size-- {
 		head, _ := x.expectedOf(size, now)
 		inAim = inAim || head <= aim
-		pays := float64(confidence) < float64(policy.Under(x.size, size))*inTime(head, aim)
+		pays := float64(confidence) < float64(policy.Threshold(x.size, size))*inTime(head, aim)
 		if (pays || !inAim && size == x.size+1 && confidence < hopeless) && head <= left {
 			break
 		}
@@ -114,5 +114,5 @@
 		return math.Inf(1), 0
 	}
 	wait, read := x.wanted.Wait(p, now), x.reading(x.unread(why))
-	return wait + read, x.wanted.Delays(read, wait)
+	return wait + read, x.wanted.OthersLoss(read, wait)
 }
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -254,12 +254,12 @@
 			e.runProbe(ctx, p)
 		case <-e.judging:
 			if !waiting {
-				settled.Reset(poison.SettleFor)
+				settled.Reset(poison.SettleDelay)
 			}
 			waiting = true
 		case <-settled.C:
 			if waiting = e.judge(); waiting {
-				settled.Reset(poison.SettleFor / 2)
+				settled.Reset(poison.SettleDelay / 2)
 			}
 		case <-ctx.Done():
 			return nil
@@ -284,7 +284,7 @@
 // is held. One that was about to leave has ended as planned.
 func (e *Engine) countCrash(p *pool.Entry, b *inFlight, now time.Time) {
 	known := e.book.Get(p.ID)
-	if known == nil || known.Leaves() {
+	if known == nil || known.IsLeaving() {
 		return
 	}
 	for _, s := range b.requests {
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -61,7 +61,7 @@
 	Senders func(have uint64) (s pool.Senders, generation uint64, changed bool)
 
 	// still notices that the process stood still.
-	still    clock.Still
+	still    clock.StallDetector
 	limits   atomic.Pointer[Limits]
 	table    atomic.Pointer[Table]
 	stopping atomic.Bool
@@ -89,7 +89,7 @@
 	book *pool.Book
 	// crashes holds the requests under which endpoints crashed, and lapsed those that were
 	// forgotten and are still stored.
-	crashes *poison.Book
+	crashes *poison.Detector
 	lapsed  []poison.Fingerprint
 	// judging says that suspects are to be judged once word of crashes has settled.
 	judging chan struct{}
@@ -120,7 +120,7 @@
 	// that are not on trial.
 	paces map[string]*usualPace
 	// opinions is what the models' confidences tell of them.
-	opinions sizes.Opinions
+	opinions sizes.ConfidenceStats
 	rolls    map[string]*rollout
 }
 
@@ -138,7 +138,7 @@
 		Senders:     func(uint64) (pool.Senders, uint64, bool) { return pool.Senders{}, 0, false },
 		failures:    rate.NewLimiter(failuresPerSecond, failuresPerSecond),
 		book:        pool.NewBook(),
-		crashes:     poison.NewBook(),
+		crashes:     poison.NewDetector(),
 		judging:     make(chan struct{}, 1),
 		probes:      make(chan pool.Entry, probesMost),
 		Quarantines: aloneQuarantines,
@@ -160,9 +160,9 @@
 		rolls:       make(map[string]*rollout),
 		counts:      newCounts(scope),
 	}
-	e.crashes.Held = e.logHeld
+	e.crashes.OnHeld = e.logHeld
 	e.lines.init()
-	e.still = clock.Still{Boot: func() time.Duration { return e.Boot() }, Now: func() time.Time { return e.Now() }, Least: stillLeast}
+	e.still = clock.StallDetector{Boot: func() time.Duration { return e.Boot() }, Now: func() time.Time { return e.Now() }, MinGap: stillLeast}
 	e.startedAt = time.Now()
 	e.limits.Store(&l)
 	return e
@@ -326,7 +326,7 @@
 func (e *Engine) budget(service string) *budget.Window {
 	l := e.limits.Load()
 	w := entryOf(e.budgets, service)
-	w.Set(time.Duration(l.RetryWindow), l.RetryRatio*ratioKept, l.RetrySlack*slackKept/float64(max(e.Routers(), 1)))
+	w.SetLimits(time.Duration(l.RetryWindow), l.RetryRatio*ratioKept, l.RetrySlack*slackKept/float64(max(e.Routers(), 1)))
 	return w
 }
 
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -100,7 +100,7 @@
 	x.service = x.route.backend(pool.Hash(id + "/backend"))
 	x.lastEvent = x.r.LastEvent
 	x.e.mu.Lock()
-	x.e.budget(x.service).Request(x.e.Now())
+	x.e.budget(x.service).AddRequest(x.e.Now())
 	x.e.mu.Unlock()
 }
 
@@ -164,7 +164,7 @@
 func (x *run) judge(reply *Reply) *fault.Error {
 	switch {
 	case reply.NotRun:
-		return fault.New(fault.Overloaded, fault.NotRun, "The endpoint refused with status %d.", reply.Status).At(soon.After(x.e.Now()))
+		return fault.New(fault.Overloaded, fault.NotRun, "The endpoint refused with status %d.", reply.Status).WithRetryAt(soon.After(x.e.Now()))
 	case !reply.Ours:
 		return fault.New(fault.EndpointFailed, fault.MayHaveRun, "The endpoint answered another request.")
 	case reply.Encoded || !reply.Whole && reply.Status < 300:
@@ -244,7 +244,7 @@
 // pays for it.
 func (x *run) again(ctx context.Context, err *fault.Error) bool {
 	rules := tries.Rules{Repeatable: x.route.repeatable(), Resumable: x.route.resumable(), MaxAttempts: max(x.route.MaxAttempts, 1)}
-	state := tries.State{Made: x.made, Begun: x.begun, Over: ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent)}
+	state := tries.State{Attempts: x.made, AnswerBegun: x.begun, Finished: ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent)}
 	if len(x.tries) >= triesMost || tries.Next(rules, state, err) == tries.Stop {
 		return false
 	}
@@ -266,7 +266,7 @@
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
 	if x.prepaid {
-		x.e.budget(x.service).Give(now)
+		x.e.budget(x.service).Refund(now)
 		x.prepaid = false
 	}
 }
--- a/pkg/duty/machine.go
+++ b/pkg/duty/machine.go
@@ -11,363 +11,384 @@
 	"github.com/traildrift/traildrift/pkg/usage"
 )
 
-// Kind is what a router is to do.
+// Kind is the kind of an Action.
 type Kind string
 
-// The actions. Each is reported with Done before the next one is asked for.
+// The kinds of actions. The router reports the outcome of each with Machine.Done; until then
+// Machine.Next returns Nothing.
 const (
-	// Nothing is to be done.
+	// Nothing means that no action is due.
 	Nothing Kind = ""
-	// Read the stored record.
+	// Read reads the stored record.
 	Read Kind = "read"
-	// Create stores a record where there is none.
+	// Create stores a record if the store holds none.
 	Create Kind = "create"
-	// Write stores a record on the revision that it names.
+	// Write replaces the stored record if it has the revision in Action.Record.
 	Write Kind = "write"
-	// Send sends a report.
+	// Send sends a report to the platform.
 	Send Kind = "send"
 )
 
-// Action is one thing to do.
+// Action is what a router has to do next.
 type Action struct {
 	Kind Kind
-	// Record is what to store, on its Revision.
+	// Record is the record to store, for Create and Write. Its Revision is that of the record to be
+	// replaced.
 	Record Record
-	// Report is what to send, under Fence, before Until: later the call must have ended.
-	Report Report
-	Fence  int64
-	Until  time.Time
-	// At is when the action was asked for.
-	At time.Time
+	// Report is the report to send, with the fencing token Fence, for Send. The call must have ended
+	// at Deadline.
+	Report   Report
+	Fence    int64
+	Deadline time.Time
+	// IssuedAt is when Next returned the action.
+	IssuedAt time.Time
 }
 
-// Outcome is what became of an action.
+// Outcome is the result of an Action.
 type Outcome string
 
 // The outcomes.
 const (
-	// Done says that it was done.
+	// Done means that the action succeeded.
 	Done Outcome = "done"
-	// Conflict says that the store holds another record than the one that was named.
+	// Conflict means that the store holds a record of another revision, or one at all for Create.
 	Conflict Outcome = "conflict"
-	// Missing says that the store holds none.
+	// Missing means that the store holds no record.
 	Missing Outcome = "missing"
-	// Failed says that it was not done, Unknown that it may have been or may be yet.
+	// Failed means that the action was not performed. Unknown means that it may have been, or may
+	// still be.
 	Failed  Outcome = "failed"
 	Unknown Outcome = "unknown"
-	// Refused says that the platform does not take it from this holder.
+	// Refused means that the platform does not accept a report from this holder.
 	Refused Outcome = "refused"
 )
 
-// View is what a router knows beside the duties.
+// View is the state of a router and its fleet that Machine.Next depends on.
 type View struct {
-	// Rank is how many routers in touch come before this one, the holder left out, and Others
-	// how many there are beside it.
-	Rank, Others int
-	// Reachable says that the store was heard of lately.
-	Reachable bool
-	// Ready are the reports that may be settled, in the order of windows.
+	// Rank is the number of connected routers that come before this one in the order of takeover,
+	// not counting the holder. Peers is the number of connected routers besides this one.
+	Rank, Peers int
+	// StoreReachable is set if the store has answered lately.
+	StoreReachable bool
+	// Ready holds the reports that may be settled, in the order of windows.
 	Ready []Report
-	// Now is the window under way.
-	Now usage.Window
+	// Window is the current window.
+	Window usage.Window
 }
 
 const (
-	// actFor is for which part of the lease a holder acts after a write was sent.
-	actFor = 0.5
-	// actLeast is how much of that must be left for a call to begin.
-	actLeast = config.Span(300 * time.Millisecond)
-	// rankStep is how much longer than the one before in rank a router waits before it takes
-	// the duties over.
-	rankStep = config.Span(time.Second)
-	// handStep takes the place of rankStep where the holder has resigned.
-	handStep = config.Span(300 * time.Millisecond)
-	// againFirst and againMost bound the pauses after calls that failed, which double.
-	againFirst = config.Span(400 * time.Millisecond)
-	againMost  = config.Span(4 * time.Second)
-	// failuresMost is how many calls in a row may fail before a holder leaves the duties to a
-	// router that may reach what it does not.
-	failuresMost = 2
+	// authorityFraction is the part of the lease for which a holder may act after it has issued a
+	// write.
+	authorityFraction = 0.5
+	// minAuthorityLeft is the authority that must be left for a call to begin.
+	minAuthorityLeft = config.Span(300 * time.Millisecond)
+	// takeoverRankDelay is the additional delay per rank before a router takes the duties over.
+	takeoverRankDelay = config.Span(time.Second)
+	// resignedRankDelay replaces takeoverRankDelay if the holder has resigned.
+	resignedRankDelay = config.Span(300 * time.Millisecond)
+	// initialBackoff is the pause after a failed call. It doubles with each further failure, up to
+	// maxBackoff.
+	initialBackoff = config.Span(400 * time.Millisecond)
+	maxBackoff     = config.Span(4 * time.Second)
+	// maxFailures is the number of consecutive failed calls after which a holder resigns if there
+	// are other routers, which may reach the store or the platform where it cannot.
+	maxFailures = 2
 )
 
-// Machine decides what one router does about the duties. It does no I/O and has no clock.
-// Use New; one goroutine at a time uses it.
+// Machine is the state machine of one router for the duties. It does no I/O and has no clock.
+// Create it with New. It is not safe for concurrent use.
 type Machine struct {
-	self  string
-	life  uint64
-	lease config.Span
-	// startedAt is when the router began.
+	// self is the name of the router's VM. incarnation identifies the router's process among those
+	// of the VM. lease is the time within which two VMs must not alternate as the holder.
+	self        string
+	incarnation uint64
+	lease       config.Span
+	// startedAt is when the router started, or when the store was last found to hold no record.
 	startedAt time.Time
-	// rec is the newest record that is known; known says that there is one, whole that all
-	// of it is known and not just what words tell.
-	rec          Record
-	known, whole bool
-	// knownAt is when rec's revision became known, heardAt when its holder was heard of last.
-	knownAt, heardAt time.Time
-	// handed says that its holder has resigned.
-	handed bool
-	// actsUntil is when this router, as the holder, must have ended all calls.
-	actsUntil time.Time
-	// turn is that of its last write, which was asked for at wroteAt; it grows with each.
-	turn    int64
-	wroteAt time.Time
-	// others is how many routers were in touch last.
-	others int
-	// under says that an action is under way.
-	under bool
-	// notBefore is when the next action may follow one that failed; failures counts these.
+	// rec is the newest known record. known is set if there is one; complete is set if it comes
+	// from the store, and not from gossip, which carries only some of its fields.
+	rec             Record
+	known, complete bool
+	// knownAt is when rec's revision became known. holderSeenAt is when gossip was last received
+	// from its holder, or knownAt if that is later.
+	knownAt, holderSeenAt time.Time
+	// holderResigned is set if rec's holder has resigned, as its gossip reports.
+	holderResigned bool
+	// authorityEnd is when this router, as the holder, must have ended all calls; zero if it may
+	// make none.
+	authorityEnd time.Time
+	// writeSeq is the sequence number of this router's last write, which was issued at
+	// writeIssuedAt. It grows with each write.
+	writeSeq      int64
+	writeIssuedAt time.Time
+	// peers is the number of other connected routers at the last call of Next.
+	peers int
+	// inFlight is set while an action is in progress.
+	inFlight bool
+	// notBefore is the earliest time of the next action after a failed one. failures is the number
+	// of consecutive failures.
 	notBefore time.Time
 	failures  int
-	// unsure says that a write may have been done.
-	unsure bool
-	// taken holds the windows whose reports the platform took from this router.
-	taken map[usage.Window]bool
-	// removed is the newest revision that the store was found not to hold any more: others may
-	// still tell of it.
-	removed int64
-	// settled is the newest window that anybody said to be settled; it never goes back.
+	// writeInDoubt is set if it is not known whether a write was performed, or with which revision.
+	writeInDoubt bool
+	// accepted holds the windows whose reports the platform has accepted from this router.
+	accepted map[usage.Window]bool
+	// removedRevision is the newest revision that the store was found not to hold any more. Gossip
+	// of other routers may still carry it.
+	removedRevision int64
+	// settled is the newest window that the store or gossip reported as settled. It never decreases.
 	settled usage.Window
-	// resignedUntil is until when this router leaves the duties to others; stops says that it
-	// is for good.
+	// resignedUntil is the time until which this router neither holds nor takes over the duties.
+	// stopped is set if that is permanent.
 	resignedUntil time.Time
-	stops         bool
+	stopped       bool
 }
 
-// New returns the machine of a router that begins now. lease is within what time no two
-// holders take turns.
-func New(vm string, life uint64, lease config.Span, now time.Time) *Machine {
-	return &Machine{self: vm, life: life, lease: lease, startedAt: now, taken: make(map[usage.Window]bool)}
+// New returns the machine of a router that starts now on the VM named vm. incarnation identifies
+// the process among the VM's routers. lease is the time within which two VMs must not alternate as
+// the holder.
+func New(vm string, incarnation uint64, lease config.Span, now time.Time) *Machine {
+	return &Machine{self: vm, incarnation: incarnation, lease: lease, startedAt: now, accepted: make(map[usage.Window]bool)}
 }
 
-// mine reports whether this life of the router is the holder by what is known.
-func (m *Machine) mine() bool { return m.known && m.rec.Holder == m.self && m.rec.Life == m.life }
+// isHolder reports whether this incarnation of the router is the holder, according to the newest
+// known record.
+func (m *Machine) isHolder() bool {
+	return m.known && m.rec.Holder == m.self && m.rec.Incarnation == m.incarnation
+}
 
-// resigned reports whether this router leaves the duties to others.
-func (m *Machine) resigned(now time.Time) bool { return m.stops || now.Before(m.resignedUntil) }
+// resigned reports whether this router has resigned or stopped.
+func (m *Machine) resigned(now time.Time) bool { return m.stopped || now.Before(m.resignedUntil) }
 
-// Holds reports whether this router is the holder.
-func (m *Machine) Holds(now time.Time) bool { return m.mine() && m.whole && !m.resigned(now) }
+// Holds reports whether this router is the holder, by a record read from the store, and has not
+// resigned.
+func (m *Machine) Holds(now time.Time) bool { return m.isHolder() && m.complete && !m.resigned(now) }
 
-// Settled returns the newest window that is known to be settled.
+// Settled returns the newest window that is known to be settled: its counts are final.
 func (m *Machine) Settled() usage.Window { return m.settled }
 
-// Record returns the newest record that is known.
+// Record returns the newest known record. It has only the fields that gossip carries if it was not
+// read from the store.
 func (m *Machine) Record() (r Record, known bool) { return m.rec, m.known }
 
-// Word returns what to tell other routers.
-func (m *Machine) Word(now time.Time) Word {
-	w := Word{Settled: m.settled}
+// Gossip returns the message to send to other routers.
+func (m *Machine) Gossip(now time.Time) Gossip {
+	g := Gossip{Settled: m.settled}
 	if m.known {
-		w.Holder, w.Life, w.Revision = m.rec.Holder, m.rec.Life, m.rec.Revision
-		w.Resigned = m.handed
-		if m.mine() {
-			// A call that is under way may still come.
-			w.Resigned = m.resigned(now) && !m.under
+		g.Holder, g.Incarnation, g.Revision = m.rec.Holder, m.rec.Incarnation, m.rec.Revision
+		g.Resigned = m.holderResigned
+		if m.isHolder() {
+			// A call in progress may still reach the platform.
+			g.Resigned = m.resigned(now) && !m.inFlight
 		}
 	}
-	return w
+	return g
 }
 
-// Heard takes over the word of another router.
-func (m *Machine) Heard(now time.Time, from string, w Word) {
-	m.settled = max(m.settled, w.Settled)
-	if w.Holder == "" || w.Revision <= m.removed {
+// ReceiveGossip merges a message received from the router of the VM named from.
+func (m *Machine) ReceiveGossip(now time.Time, from string, g Gossip) {
+	m.settled = max(m.settled, g.Settled)
+	if g.Holder == "" || g.Revision <= m.removedRevision {
 		return
 	}
-	if !m.known || w.Revision > m.rec.Revision {
-		m.rec = Record{Holder: w.Holder, Life: w.Life, Revision: w.Revision, Settled: m.settled}
-		m.known, m.whole, m.handed = true, false, false
-		m.actsUntil = time.Time{}
-		m.knownAt, m.heardAt = now, now
+	if !m.known || g.Revision > m.rec.Revision {
+		m.rec = Record{Holder: g.Holder, Incarnation: g.Incarnation, Revision: g.Revision, Settled: m.settled}
+		m.known, m.complete, m.holderResigned = true, false, false
+		m.authorityEnd = time.Time{}
+		m.knownAt, m.holderSeenAt = now, now
 	}
-	if w.Revision == m.rec.Revision && from == w.Holder && from != m.self {
-		m.handed = w.Resigned
-		m.heardAt = now
+	if g.Revision == m.rec.Revision && from == g.Holder && from != m.self {
+		m.holderResigned = g.Resigned
+		m.holderSeenAt = now
 	}
 }
 
-// Stop makes the router leave the duties to others for good.
-func (m *Machine) Stop() { m.stops = true }
+// Stop resigns the duties permanently.
+func (m *Machine) Stop() { m.stopped = true }
 
-// Next returns what to do now.
+// Next returns the action to perform now. It returns Nothing while an action is in progress or a
+// backoff lasts.
 func (m *Machine) Next(now time.Time, v View) Action {
-	if m.under || now.Before(m.notBefore) {
+	if m.inFlight || now.Before(m.notBefore) {
 		return Action{}
 	}
-	m.others = v.Others
+	m.peers = v.Peers
 	var a Action
 	switch {
 	case m.resigned(now):
-	case m.unsure && v.Reachable:
+	case m.writeInDoubt && v.StoreReachable:
 		a.Kind = Read
-	case m.mine() && m.whole:
-		a = m.hold(now, v)
-	case v.Reachable:
-		a = m.seek(now, v)
+	case m.isHolder() && m.complete:
+		a = m.holderAction(now, v)
+	case v.StoreReachable:
+		a = m.candidateAction(now, v)
 	}
 	if a.Kind != Nothing {
-		a.At, m.under = now, true
+		a.IssuedAt, m.inFlight = now, true
 	}
 	if a.Kind == Write || a.Kind == Create {
-		m.turn++
-		m.wroteAt, a.Record.Turn = now, m.turn
+		m.writeSeq++
+		m.writeIssuedAt, a.Record.WriteSeq = now, m.writeSeq
 	}
 	return a
 }
 
-// hold returns what a holder does: it sends what is settled while its last write allows that,
-// and writes before.
-func (m *Machine) hold(now time.Time, v View) Action {
-	if m.rec.Fresh && now.Before(m.authority(m.knownAt)) {
-		// The holder by a record that somebody removed may still act.
+// holderAction returns the action of a holder: it sends the unsent reports while its last write
+// gives it authority, and otherwise writes the record to gain authority.
+func (m *Machine) holderAction(now time.Time, v View) Action {
+	if m.rec.Fresh && now.Before(m.authorityFrom(m.knownAt)) {
+		// The holder named in a removed record may still have authority.
 		return Action{}
 	}
-	unsent := m.unsent()
-	if unsent != nil && actLeast.After(now).Before(m.actsUntil) {
-		return Action{Kind: Send, Report: *unsent, Fence: m.rec.HeldUnder(), Until: m.actsUntil}
+	unsent := m.firstUnsent()
+	if unsent != nil && minAuthorityLeft.After(now).Before(m.authorityEnd) {
+		return Action{Kind: Send, Report: *unsent, Fence: m.rec.EffectiveFence(), Deadline: m.authorityEnd}
 	}
-	if v.Reachable && (unsent != nil || len(v.Ready) > 0) {
-		return Action{Kind: Write, Record: m.rec.renewed(v.Ready, m.sent, v.Now)}
+	if v.StoreReachable && (unsent != nil || len(v.Ready) > 0) {
+		return Action{Kind: Write, Record: m.rec.renewed(v.Ready, m.isAccepted, v.Window)}
 	}
 	return Action{}
 }
 
-// authority returns until when a holder acts by a write that was asked for at a time.
-func (m *Machine) authority(at time.Time) time.Time {
-	return at.Add(time.Duration(actFor * float64(m.lease)))
+// authorityFrom returns the end of the authority that a write issued at a time gives.
+func (m *Machine) authorityFrom(at time.Time) time.Time {
+	return at.Add(time.Duration(authorityFraction * float64(m.lease)))
 }
 
-// unsent returns the first stored report that the platform has not taken; nil if there is none.
-func (m *Machine) unsent() *Report {
+// firstUnsent returns the first stored report that the platform has not accepted; nil if there is
+// none.
+func (m *Machine) firstUnsent() *Report {
 	for i := range m.rec.Unsent {
-		if !m.taken[m.rec.Unsent[i].Window] {
+		if !m.accepted[m.rec.Unsent[i].Window] {
 			return &m.rec.Unsent[i]
 		}
 	}
 	return nil
 }
 
-func (m *Machine) sent(w usage.Window) bool { return m.taken[w] }
+// isAccepted reports whether the platform has accepted this router's report of a window.
+func (m *Machine) isAccepted(w usage.Window) bool { return m.accepted[w] }
 
-// seek returns what a router does that is not the holder: it takes the duties over where
-// nothing was heard of the holder for long enough.
-func (m *Machine) seek(now time.Time, v View) Action {
+// candidateAction returns the action of a router that is not the holder: it takes the duties over
+// if there is no record, or if nothing was received from the holder for long enough.
+func (m *Machine) candidateAction(now time.Time, v View) Action {
 	rank := time.Duration(v.Rank)
 	if !m.known {
-		if now.Before(m.lease.After(m.startedAt).Add(rank * time.Duration(rankStep))) {
+		if now.Before(m.lease.After(m.startedAt).Add(rank * time.Duration(takeoverRankDelay))) {
 			return Action{}
 		}
-		return Action{Kind: Create, Record: Record{Holder: m.self, Life: m.life, Fresh: true, Settled: max(m.settled, v.Now-1)}}
+		return Action{Kind: Create, Record: Record{Holder: m.self, Incarnation: m.incarnation, Fresh: true, Settled: max(m.settled, v.Window-1)}}
 	}
-	if now.Before(m.takeAt(rank)) {
+	if now.Before(m.takeoverAt(rank)) {
 		return Action{}
 	}
-	if !m.whole {
+	if !m.complete {
 		return Action{Kind: Read}
 	}
-	return Action{Kind: Write, Record: m.rec.taken(m.self, m.life, v.Now)}
+	return Action{Kind: Write, Record: m.rec.takeover(m.self, m.incarnation, v.Window)}
 }
 
-// takeAt returns when this router, which so many come before, may take the duties over. The
-// holder's calls end at half the lease after the write that its revision is of, so that none
-// of them comes after the lease; one that has resigned makes none. A VM that held them before
-// waits for the lease in any case, so that two don't take turns within it.
-func (m *Machine) takeAt(rank time.Duration) time.Time {
+// takeoverAt returns when this router, of the given rank, may take the duties over. The holder's
+// calls end half a lease after the write that gave rec its revision, so that none of them arrives
+// after the lease; a holder that has resigned makes none. A VM that held the duties before waits
+// for the lease in any case, so that two VMs do not alternate within it.
+func (m *Machine) takeoverAt(rank time.Duration) time.Time {
 	switch {
 	case m.rec.Holder == m.self:
-		// An earlier life of this VM, or this one before it resigned.
+		// The holder is an earlier incarnation of this router, or this one before it resigned.
 		return m.knownAt
-	case m.handed && !slices.Contains(m.rec.Past, m.self):
-		return m.knownAt.Add(rank * time.Duration(handStep))
+	case m.holderResigned && !slices.Contains(m.rec.PastHolders, m.self):
+		return m.knownAt.Add(rank * time.Duration(resignedRankDelay))
 	default:
-		// Word of the holder comes no earlier than that of its record.
-		last := m.heardAt
-		if m.handed {
+		// holderSeenAt is never before knownAt.
+		last := m.holderSeenAt
+		if m.holderResigned {
 			last = m.knownAt
 		}
-		return m.lease.After(last).Add(rank * time.Duration(rankStep))
+		return m.lease.After(last).Add(rank * time.Duration(takeoverRankDelay))
 	}
 }
 
-// Done takes over what became of an action; r is the record that the store then held, where
-// it told one.
+// Done records the outcome of an action that Next returned. r is the record that the store
+// returned; it is used after Done and Conflict, except for a Create that succeeded.
 func (m *Machine) Done(now time.Time, a Action, o Outcome, r Record) {
-	m.under = false
+	m.inFlight = false
 	if a.Kind == Send {
-		m.sentDone(now, a, o)
+		m.reportDone(now, a, o)
 		return
 	}
 	switch o {
 	case Done, Conflict:
-		m.failures, m.unsure = 0, false
+		m.failures, m.writeInDoubt = 0, false
 		if a.Kind == Create && o == Done {
-			// The store does not tell the revision.
-			m.unsure = true
+			// The store does not return the revision of a created object: read it.
+			m.writeInDoubt = true
 			return
 		}
 		m.adopt(now, r)
 	case Missing:
-		m.failures, m.unsure = 0, false
-		m.forget(now)
+		m.failures, m.writeInDoubt = 0, false
+		m.resetRecord(now)
 	default:
-		m.unsure = m.unsure || o == Unknown && a.Kind != Read
-		m.fail(now)
+		m.writeInDoubt = m.writeInDoubt || o == Unknown && a.Kind != Read
+		m.recordFailure(now)
 	}
 }
 
-// sentDone takes over what became of a report.
-func (m *Machine) sentDone(now time.Time, a Action, o Outcome) {
+// reportDone records the outcome of sending a report.
+func (m *Machine) reportDone(now time.Time, a Action, o Outcome) {
 	switch o {
 	case Done:
-		m.taken[a.Report.Window] = true
+		m.accepted[a.Report.Window] = true
 		m.failures = 0
 	case Refused:
 		m.resign(now)
 	default:
-		m.fail(now)
+		m.recordFailure(now)
 	}
 }
 
-// adopt takes over a record that the store holds.
+// adopt replaces the known record by one that the store returned.
 func (m *Machine) adopt(now time.Time, r Record) {
 	if !m.known || r.Revision != m.rec.Revision {
-		m.knownAt, m.heardAt, m.handed = now, now, false
+		m.knownAt, m.holderSeenAt, m.holderResigned = now, now, false
 	}
-	m.rec, m.known, m.whole = r, true, true
+	m.rec, m.known, m.complete = r, true, true
 	m.settled = max(m.settled, r.Settled)
 	m.rec.Settled = m.settled
-	m.actsUntil = time.Time{}
-	if m.mine() && r.Turn == m.turn {
-		// Read back or conflicted with, the write may have been done long ago, but not before
-		// it was asked for.
-		m.actsUntil = m.authority(m.wroteAt)
+	m.authorityEnd = time.Time{}
+	if m.isHolder() && r.WriteSeq == m.writeSeq {
+		// If the record comes from a read or a conflict, the write may have been performed long
+		// ago, but not before it was issued.
+		m.authorityEnd = m.authorityFrom(m.writeIssuedAt)
 	}
-	for w := range m.taken {
-		if w < m.settled-unsentMost {
-			delete(m.taken, w)
+	for w := range m.accepted {
+		if w < m.settled-maxUnsent {
+			delete(m.accepted, w)
 		}
 	}
 }
 
-// forget notes that the store holds no record: the next one is made as at a start.
-func (m *Machine) forget(now time.Time) {
-	m.removed = max(m.removed, m.rec.Revision)
-	m.rec, m.known, m.whole, m.handed = Record{}, false, false, false
-	m.actsUntil, m.startedAt = time.Time{}, now
+// resetRecord records that the store holds no record: the next one is created as after a start.
+func (m *Machine) resetRecord(now time.Time) {
+	m.removedRevision = max(m.removedRevision, m.rec.Revision)
+	m.rec, m.known, m.complete, m.holderResigned = Record{}, false, false, false
+	m.authorityEnd, m.startedAt = time.Time{}, now
 }
 
-// fail notes a call that failed.
-func (m *Machine) fail(now time.Time) {
-	pause := min(againFirst<<min(m.failures, 8), againMost)
+// recordFailure records a failed call: it starts the backoff, and resigns after maxFailures if this
+// router is the holder and there are others.
+func (m *Machine) recordFailure(now time.Time) {
+	pause := min(initialBackoff<<min(m.failures, 8), maxBackoff)
 	m.notBefore = pause.After(now)
 	m.failures++
-	if m.mine() && m.failures >= failuresMost && m.others > 0 {
+	if m.isHolder() && m.failures >= maxFailures && m.peers > 0 {
 		m.resign(now)
 	}
 }
 
-// resign leaves the duties to others for a while.
+// resign leaves the duties to other routers for two leases.
 func (m *Machine) resign(now time.Time) {
 	m.resignedUntil = (2 * m.lease).After(now)
-	m.actsUntil, m.failures = time.Time{}, 0
+	m.authorityEnd, m.failures = time.Time{}, 0
 }
--- a/pkg/fault/fault_test.go
+++ b/pkg/fault/fault_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// TestErrorsPage holds docs/ERRORS.md to the table.
+// TestErrorsPage checks that docs/ERRORS.md has exactly the rows of the table.
 func TestErrorsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/ERRORS.md")
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	for _, k := range Kinds() {
 		a := k.Answer()
-		want := fmt.Sprintf("| `%s` | %d | %v | %v | %s |", k, a.Status, a.ComeBack, a.Again, a.Advice)
+		want := fmt.Sprintf("| `%s` | %d | %v | %v | %s |", k, a.Status, a.RetryLater, a.RetryElsewhere, a.Advice)
 		if !strings.Contains(string(page), want+"\n") {
 			t.Errorf("docs/ERRORS.md lacks the row\n%s", want)
 		}
--- a/pkg/pool/load.go
+++ b/pkg/pool/load.go
@@ -5,72 +5,70 @@
 
 import "time"
 
-// Load is how loaded an endpoint is believed to be.
+// Load estimates the load of an endpoint.
 type Load struct {
-	// Sent counts our own attempts that have not ended; 0 or more.
-	Sent int
-	// busyUntil is when the endpoint is believed to have read all prompts that this
-	// process sent it and that others told of.
+	// InFlight counts this process's attempts that have not ended; 0 or more. Endpoint.RecordSend adds
+	// to it, the caller subtracts.
+	InFlight int
+	// busyUntil is when the endpoint is expected to have read all prompts that this process sent and
+	// that peers reported.
 	busyUntil time.Time
-	// reported is what the endpoint told last, and reportedAt when; sentThen is
-	// Sent at that moment.
-	reported   int
-	sentThen   int
-	reportedAt time.Time
+	// reportedRuns is the number of runs that the endpoint last reported, at reportedAt;
+	// inFlightAtReport is InFlight at that time.
+	reportedRuns     int
+	inFlightAtReport int
+	reportedAt       time.Time
 }
 
-// reportHolds is how long a report outweighs what we sent ourselves. Answers
-// come several times a second from a busy endpoint, and a run takes about a
-// second.
-const reportHolds = 2 * time.Second
+// loadReportTTL is how long a report takes precedence over the count of attempts in flight. A busy
+// endpoint answers several times per second, and a run takes about a second.
+const loadReportTTL = 2 * time.Second
 
-// Report takes over what an endpoint told of itself: runs under way and waiting.
-func (l *Load) Report(now time.Time, running, waiting int) {
-	l.reported, l.sentThen, l.reportedAt = running+waiting, l.Sent, now
+// RecordReport stores a load report of the endpoint: its runs in progress and waiting.
+func (l *Load) RecordReport(now time.Time, running, waiting int) {
+	l.reportedRuns, l.inFlightAtReport, l.reportedAt = running+waiting, l.InFlight, now
 }
 
-// busyMost is how far ahead an endpoint is believed to be busy at most: what is told
-// is an estimate, and where it is too long by a little, it adds up without end. Callers
-// with the longest prompts wait for 3 to 4 s.
-const busyMost = 4 * time.Second
+// maxBusy bounds how far ahead busyUntil may lie. Reported reading times are estimates, and without
+// the bound, small overestimates would add up. Callers with the longest prompts wait for 3 to 4 s.
+const maxBusy = 4 * time.Second
 
-// Busy notes that the endpoint gets a prompt that it reads in d, behind what it has
-// already, and returns when that is expected to be done.
-func (l *Load) Busy(now time.Time, d time.Duration) (done time.Time) {
+// AddPrompt adds a prompt that takes d to read, after those that the endpoint already has. It returns
+// when the prompt is expected to be read.
+func (l *Load) AddPrompt(now time.Time, d time.Duration) (done time.Time) {
 	if l.busyUntil.Before(now) {
 		l.busyUntil = now
 	}
 	l.busyUntil = l.busyUntil.Add(d)
-	l.bound(now)
+	l.capBusy(now)
 	return l.busyUntil
 }
 
-func (l *Load) bound(now time.Time) {
-	if most := now.Add(busyMost); l.busyUntil.After(most) {
-		l.busyUntil = most
+func (l *Load) capBusy(now time.Time) {
+	if latest := now.Add(maxBusy); l.busyUntil.After(latest) {
+		l.busyUntil = latest
 	}
 }
 
-// Read notes that a prompt was read now which was expected to be done at then: what
-// lies behind it comes earlier or later by as much.
-func (l *Load) Read(now, then time.Time) {
-	l.busyUntil = l.busyUntil.Add(now.Sub(then))
-	l.bound(now)
+// FinishPrompt records that a prompt was read at now whose reading AddPrompt expected to end at expected. It
+// shifts the prompts behind it by the difference.
+func (l *Load) FinishPrompt(now, expected time.Time) {
+	l.busyUntil = l.busyUntil.Add(now.Sub(expected))
+	l.capBusy(now)
 }
 
-// Unsent notes that a prompt which takes d will not be read after all.
-func (l *Load) Unsent(d time.Duration) { l.busyUntil = l.busyUntil.Add(-d) }
+// CancelPrompt removes a prompt of reading time d, which will not be read.
+func (l *Load) CancelPrompt(d time.Duration) { l.busyUntil = l.busyUntil.Add(-d) }
 
-// Wait returns how long a prompt is expected to wait for others to be read, in
-// seconds.
+// Wait returns how long a new prompt is expected to wait until the earlier ones are read, in seconds.
 func (l *Load) Wait(now time.Time) float64 {
 	return max(l.busyUntil.Sub(now), 0).Seconds()
 }
 
-// Runs returns how many runs the endpoint is believed to have.
+// Runs estimates the number of runs that the endpoint has, in progress and waiting.
 func (l *Load) Runs(now time.Time) int {
-	if l.reportedAt.IsZero() || now.Sub(l.reportedAt) > reportHolds {
-		return l.Sent
+	if l.reportedAt.IsZero() || now.Sub(l.reportedAt) > loadReportTTL {
+		return l.InFlight
 	}
-	return max(l.Sent, l.reported+l.Sent-l.sentThen)
+	return max(l.InFlight, l.reportedRuns+l.InFlight-l.inFlightAtReport)
 }
--- a/pkg/pool/ready.go
+++ b/pkg/pool/ready.go
@@ -5,66 +5,66 @@
 
 import "time"
 
-// ready reports whether this process may send a request to an endpoint now, as far as the
-// endpoint bounds what it gets.
+// ready reports whether this process may send a request to an endpoint now, by the endpoint's rest period,
+// warm-up and limit.
 func (p *Endpoint) ready(now time.Time) bool {
-	return p.said.rest.over(now) && p.warm(now) && p.within(now)
+	return p.announced.rest.over(now) && p.warm(now) && p.withinLimit(now)
 }
 
-// Sends notes that this process sends a request to an endpoint that it picked. It reports whether
-// another process has granted that.
-func (p *Endpoint) Sends(now time.Time) (granted bool) {
-	p.Load.Sent++
-	p.said.rest.sends(now)
-	granted = p.said.limit.sends(!now.Before(p.limitedUntil()), now)
+// RecordSend records that this process sends a request to an endpoint that it picked. It reports whether
+// the request used up a grant of another process.
+func (p *Endpoint) RecordSend(now time.Time) (granted bool) {
+	p.Load.InFlight++
+	p.announced.rest.recordSend(now)
+	granted = p.announced.limit.recordSend(!now.Before(p.limitedUntil()), now)
 	if p.Warming(now) {
 		p.nextAt = now.Add(spacing / time.Duration(max(p.quota(), 1)))
 	}
 	return granted
 }
 
-// Lack says why a request found no endpoint.
-type Lack struct {
-	// Closed, Warming, Limited and Resting count the endpoints that would have served it but for
-	// their closed availability zone, for what they may get while they warm up, for the limit
-	// that they have named, or for the rest that they have asked for.
+// Unavailability is why a request found no endpoint.
+type Unavailability struct {
+	// Closed, Warming, Limited and Resting count the endpoints that would have served the request, by
+	// what kept them from it: a closed availability zone, the allowance during warm-up, an announced
+	// limit, or a requested rest period.
 	Closed, Warming, Limited, Resting int
-	// At is when one of those that warm up, are limited or rest may get a request again; zero
+	// RetryAt is when the first of the warming, limited or resting ones may get a request again; zero
 	// if there is none.
-	At time.Time
+	RetryAt time.Time
 }
 
-// Lack returns why no endpoint was found for a request.
-func (b *Book) Lack(now time.Time, w *Want) (l Lack) {
+// Unavailability returns why no endpoint was found for a request.
+func (b *Book) Unavailability(now time.Time, w *Want) (l Unavailability) {
 	for _, p := range b.byService[w.Service] {
 		switch {
 		case !p.listed(now) || w.Fit != nil && !w.Fit(p.Version):
-		case p.area.closed:
+		case p.zoneState.closed:
 			l.Closed++
-		case !p.said.rest.over(now):
+		case !p.announced.rest.over(now):
 			l.Resting++
-			l.from(p, now)
+			l.addRetryAt(p, now)
 		case !p.warm(now):
 			l.Warming++
-			l.from(p, now)
-		case !p.within(now):
+			l.addRetryAt(p, now)
+		case !p.withinLimit(now):
 			l.Limited++
-			l.from(p, now)
+			l.addRetryAt(p, now)
 		}
 	}
 	return l
 }
 
-// from notes when an endpoint may get a request again.
-func (l *Lack) from(p *Endpoint, now time.Time) {
-	at := later(p.said.rest.until, p.roomAt(now))
+// addRetryAt sets RetryAt to the time at which an endpoint may get a request again, if that is earlier.
+func (l *Unavailability) addRetryAt(p *Endpoint, now time.Time) {
+	at := later(p.announced.rest.until, p.capacityAt(now))
 	if !p.warm(at) {
 		if p.quota() == 0 {
 			return
 		}
-		at = later(at, later(p.nextAt, p.senders.From))
+		at = later(at, later(p.nextAt, p.senders.NotBefore))
 	}
-	if l.At.IsZero() || at.Before(l.At) {
-		l.At = at
+	if l.RetryAt.IsZero() || at.Before(l.RetryAt) {
+		l.RetryAt = at
 	}
 }
--- a/pkg/pool/trust.go
+++ b/pkg/pool/trust.go
@@ -8,125 +8,125 @@
 	"time"
 )
 
-// Trust is whether an endpoint answers as it should, from the attempts of this
-// process and from what others tell of theirs.
+// Trust is a circuit breaker for an endpoint. It is fed by the attempts of this process and by failure
+// reports of peers. The zero value trusts the endpoint.
 type Trust struct {
-	// failing is the decayed share of attempts that failed, 0 to 1.
-	failing float64
-	// row counts the failures since the last success.
-	row int
-	// okAt is when an attempt was answered last.
-	okAt time.Time
-	// shutUntil is when an endpoint that failed may be tried again, by one
+	// failureRate is an EWMA of the attempts that failed, 0 to 1.
+	failureRate float64
+	// failuresInRow counts the failures since the last success.
+	failuresInRow int
+	// lastSuccess is when an attempt was last answered.
+	lastSuccess time.Time
+	// ejectedUntil is the end of the time in which a failing endpoint gets no attempts; after it, one
 	// attempt at a time.
-	shutUntil time.Time
-	// told holds who told of a failure last and when; each teller is there once.
-	told [toldKept]telling
+	ejectedUntil time.Time
+	// peerFailures holds the last failure report of each of up to maxPeerFailures peers.
+	peerFailures [maxPeerFailures]peerFailure
 }
 
-// telling is a failure that another process told of.
-type telling struct {
-	by netip.Addr
-	at time.Time
+// peerFailure is a failure that another process, identified by its address, reported.
+type peerFailure struct {
+	peer netip.Addr
+	at   time.Time
 }
 
 const (
-	// weight is how much one attempt counts in the share that failed.
-	weight = 0.15
-	// shutFirst is how long an endpoint rests after its first failures; it
-	// doubles with each further one up to shutMost.
-	shutFirst = 400 * time.Millisecond
-	shutMost  = 6 * time.Second
-	// rowMost is how many failures in a row make an endpoint rest, and failMost
-	// the share that does.
-	rowMost  = 2
-	failMost = 0.35
-	// soundMost is the share of failures from which on an endpoint gets no
-	// request that is lost with its attempt.
-	soundMost = 0.2
-	// toldKept bounds the tellers that are remembered. toldMost is how many of
-	// them, all within toldFor, make an endpoint rest: one alone may have lost
-	// its own links.
-	toldKept = 3
-	toldMost = 2
-	toldFor  = 1500 * time.Millisecond
-	// okHolds is how long an answer of its own outweighs what others tell.
-	okHolds = 300 * time.Millisecond
+	// failureWeight is the weight of one attempt in the EWMA of failures.
+	failureWeight = 0.15
+	// ejectBase is the base of the exponential backoff: n failures in a row eject an endpoint for
+	// 2^n times this long, at most for maxEject.
+	ejectBase = 400 * time.Millisecond
+	maxEject  = 6 * time.Second
+	// ejectAfterFailures is the number of failures in a row that ejects an endpoint, and ejectAboveRate
+	// the failure rate that does.
+	ejectAfterFailures = 2
+	ejectAboveRate     = 0.35
+	// maxHealthyRate is the failure rate from which on an endpoint gets no request that may not be
+	// retried.
+	maxHealthyRate = 0.2
+	// maxPeerFailures bounds the peers whose failure reports are stored. ejectAfterPeers is how many
+	// of them, all within peerFailureTTL, eject an endpoint: a single one may have lost its own
+	// links.
+	maxPeerFailures = 3
+	ejectAfterPeers = 2
+	peerFailureTTL  = 1500 * time.Millisecond
+	// successTTL is how long a success of this process outweighs the failure reports of peers.
+	successTTL = 300 * time.Millisecond
 )
 
-// OK notes an attempt that was answered.
-func (t *Trust) OK(now time.Time) {
-	t.failing *= 1 - weight
-	t.row = 0
-	t.okAt = now
+// RecordSuccess records an attempt that was answered.
+func (t *Trust) RecordSuccess(now time.Time) {
+	t.failureRate *= 1 - failureWeight
+	t.failuresInRow = 0
+	t.lastSuccess = now
 }
 
-// Fail notes an attempt that failed. A dead endpoint, which did not even take a
-// connection, rests at once. It reports whether the endpoint rests from now on.
-func (t *Trust) Fail(now time.Time, dead bool) bool {
-	t.failing += (1 - t.failing) * weight
-	t.row++
-	if !dead && t.row < rowMost && t.failing < failMost {
+// RecordFailure records an attempt that failed. A dead endpoint, which did not even accept a connection, is
+// ejected at once. It reports whether the endpoint was in use and is now ejected.
+func (t *Trust) RecordFailure(now time.Time, dead bool) bool {
+	t.failureRate += (1 - t.failureRate) * failureWeight
+	t.failuresInRow++
+	if !dead && t.failuresInRow < ejectAfterFailures && t.failureRate < ejectAboveRate {
 		return false
 	}
-	rested := now.Before(t.shutUntil)
-	t.rest(now)
-	return !rested
+	wasEjected := now.Before(t.ejectedUntil)
+	t.eject(now)
+	return !wasEjected
 }
 
-// Told notes that another process, known by its address, told of a failure. It
-// reports whether the endpoint rests because of that.
-func (t *Trust) Told(now time.Time, by netip.Addr) bool {
-	// The teller's own place, else the one of the oldest telling.
-	place := &t.told[0]
-	for i := range t.told {
-		p := &t.told[i]
-		if p.by == by {
-			place = p
+// RecordPeerFailure records a failure that another process, identified by its address, reported. It reports
+// whether this ejected the endpoint.
+func (t *Trust) RecordPeerFailure(now time.Time, peer netip.Addr) bool {
+	// Reuse the slot of the reporting peer, else that of the oldest report.
+	slot := &t.peerFailures[0]
+	for i := range t.peerFailures {
+		p := &t.peerFailures[i]
+		if p.peer == peer {
+			slot = p
 			break
 		}
-		if p.at.Before(place.at) {
-			place = p
+		if p.at.Before(slot.at) {
+			slot = p
 		}
 	}
-	*place = telling{by, now}
-	if t.tellers(now) < toldMost || now.Sub(t.okAt) <= okHolds || now.Before(t.shutUntil) {
+	*slot = peerFailure{peer, now}
+	if t.reporters(now) < ejectAfterPeers || now.Sub(t.lastSuccess) <= successTTL || now.Before(t.ejectedUntil) {
 		return false
 	}
-	t.row = max(t.row, rowMost)
-	t.rest(now)
+	t.failuresInRow = max(t.failuresInRow, ejectAfterFailures)
+	t.eject(now)
 	return true
 }
 
-// tellers returns how many others told of a failure lately.
-func (t *Trust) tellers(now time.Time) (n int) {
-	for _, p := range t.told {
-		if !p.at.IsZero() && now.Sub(p.at) <= toldFor {
+// reporters returns the number of peers that reported a failure within peerFailureTTL.
+func (t *Trust) reporters(now time.Time) (n int) {
+	for _, p := range t.peerFailures {
+		if !p.at.IsZero() && now.Sub(p.at) <= peerFailureTTL {
 			n++
 		}
 	}
 	return n
 }
 
-func (t *Trust) rest(now time.Time) {
-	rest := shutMost
-	if t.row < 5 {
-		rest = min(rest, shutFirst<<t.row)
+func (t *Trust) eject(now time.Time) {
+	d := maxEject
+	if t.failuresInRow < 5 {
+		d = min(d, ejectBase<<t.failuresInRow)
 	}
-	t.shutUntil = now.Add(rest)
+	t.ejectedUntil = now.Add(d)
 }
 
-// open reports whether the endpoint may be tried; one that rested gets one
-// attempt at a time until it answers.
-func (t *Trust) open(now time.Time, sent int) bool {
-	if now.Before(t.shutUntil) {
+// mayTry reports whether the endpoint may get an attempt, given the number of attempts in flight; one that
+// was ejected gets one attempt at a time until it answers.
+func (t *Trust) mayTry(now time.Time, inFlight int) bool {
+	if now.Before(t.ejectedUntil) {
 		return false
 	}
-	return t.row < rowMost && t.failing < failMost || sent == 0
+	return t.failuresInRow < ejectAfterFailures && t.failureRate < ejectAboveRate || inFlight == 0
 }
 
-// sound reports whether the endpoint may get a request that is lost if the attempt
-// fails: one without a failure since its last answer, its own or told.
-func (t *Trust) sound(now time.Time) bool {
-	return !now.Before(t.shutUntil) && t.row == 0 && t.failing < soundMost && (t.tellers(now) == 0 || now.Sub(t.okAt) <= okHolds)
+// healthy reports whether the endpoint may get a request that may not be retried: there is no failure since
+// its last success, neither of this process nor reported by a peer.
+func (t *Trust) healthy(now time.Time) bool {
+	return !now.Before(t.ejectedUntil) && t.failuresInRow == 0 && t.failureRate < maxHealthyRate && (t.reporters(now) == 0 || now.Sub(t.lastSuccess) <= successTTL)
 }
--- a/pkg/pool/trust_test.go
+++ b/pkg/pool/trust_test.go
@@ -10,74 +10,74 @@
 )
 
 var (
-	tellerA = netip.MustParseAddr("10.0.0.1")
-	tellerB = netip.MustParseAddr("10.0.0.2")
+	peerA = netip.MustParseAddr("10.0.0.1")
+	peerB = netip.MustParseAddr("10.0.0.2")
 )
 
-func TestTwoTellersMakeAnEndpointRest(t *testing.T) {
+func TestTwoPeersEjectAnEndpoint(t *testing.T) {
 	var trust Trust
 	for range 5 {
-		if trust.Told(t0, tellerA) {
-			t.Fatal("one teller, many times: the endpoint rests, want it open")
+		if trust.RecordPeerFailure(t0, peerA) {
+			t.Fatal("one peer, many reports: ejected, want not ejected")
 		}
 	}
-	if !trust.open(t0, 0) {
-		t.Error("told by one: not open")
+	if !trust.mayTry(t0, 0) {
+		t.Error("reported by one peer: may not be tried, want it to be")
 	}
-	if late := t0.Add(toldFor + time.Millisecond); trust.Told(late, tellerB) {
-		t.Error("a second teller long after the first: the endpoint rests, want it open")
+	if late := t0.Add(peerFailureTTL + time.Millisecond); trust.RecordPeerFailure(late, peerB) {
+		t.Error("second peer long after the first: ejected, want not ejected")
 	}
-	if !trust.Told(t0.Add(toldFor), tellerA) {
-		t.Error("two tellers at a time: the endpoint is open, want it to rest")
+	if !trust.RecordPeerFailure(t0.Add(peerFailureTTL), peerA) {
+		t.Error("two peers within peerFailureTTL: not ejected, want ejected")
 	}
-	if trust.open(t0.Add(toldFor), 0) {
-		t.Error("resting endpoint: open")
+	if trust.mayTry(t0.Add(peerFailureTTL), 0) {
+		t.Error("ejected endpoint: may be tried, want it not to be")
 	}
-	if later := t0.Add(toldFor + shutMost); !trust.open(later, 0) || trust.open(later, 1) {
-		t.Error("after the rest: want one attempt at a time")
+	if later := t0.Add(peerFailureTTL + maxEject); !trust.mayTry(later, 0) || trust.mayTry(later, 1) {
+		t.Error("after the ejection: want one attempt at a time")
 	}
 }
 
-func TestOwnAnswerOutweighsTellers(t *testing.T) {
+func TestSuccessOutweighsPeerFailures(t *testing.T) {
 	var trust Trust
-	trust.OK(t0)
-	trust.Told(t0, tellerA)
-	if trust.Told(t0.Add(okHolds), tellerB) {
-		t.Error("answered lately: the endpoint rests, want it open")
+	trust.RecordSuccess(t0)
+	trust.RecordPeerFailure(t0, peerA)
+	if trust.RecordPeerFailure(t0.Add(successTTL), peerB) {
+		t.Error("recent success: ejected, want not ejected")
 	}
 }
 
-func TestOnceTestsNoEndpoint(t *testing.T) {
+func TestNoRetryPicksHealthyEndpoint(t *testing.T) {
 	b := book(3)
-	b.Get("e0").Trust.Fail(t0, false)
-	b.Get("e1").Trust.Told(t0, tellerA)
+	b.Get("e0").Trust.RecordFailure(t0, false)
+	b.Get("e1").Trust.RecordPeerFailure(t0, peerA)
 	for d := range uint64(50) {
-		p, _ := b.Pick(t0, &Want{Service: "s", Once: true, Draw: d})
+		p, _ := b.Pick(t0, &Want{Service: "s", NoRetry: true, Draw: d})
 		if p.ID != "e2" {
 			t.Fatalf("draw %d: got %s, want e2, which never failed", d, p.ID)
 		}
 	}
 	if got := picks(b, t0); len(got) != 3 {
-		t.Errorf("picks for requests that may be repeated: got %v, want all three", got)
+		t.Errorf("picks for requests that may be retried: got %v, want all three", got)
 	}
-	b.Get("e2").Trust.Fail(t0, false)
-	if p, _ := b.Pick(t0, &Want{Service: "s", Once: true}); p == nil {
-		t.Error("none is sound: got none, want one that is open")
+	b.Get("e2").Trust.RecordFailure(t0, false)
+	if p, _ := b.Pick(t0, &Want{Service: "s", NoRetry: true}); p == nil {
+		t.Error("none is healthy: got none, want one that may be tried")
 	}
-	b.Get("e0").Trust.OK(t0)
-	if p, _ := b.Pick(t0, &Want{Service: "s", Once: true, Draw: 3}); p.ID != "e0" {
-		t.Errorf("after an answer: got %s, want e0", p.ID)
+	b.Get("e0").Trust.RecordSuccess(t0)
+	if p, _ := b.Pick(t0, &Want{Service: "s", NoRetry: true, Draw: 3}); p.ID != "e0" {
+		t.Errorf("after a success: got %s, want e0", p.ID)
 	}
 }
 
-func TestRestIsToldOnce(t *testing.T) {
+func TestEjectionIsReportedOnce(t *testing.T) {
 	var trust Trust
 	for i, want := range []bool{false, true, false} {
-		if got := trust.Fail(t0, false); got != want {
+		if got := trust.RecordFailure(t0, false); got != want {
 			t.Errorf("failure %d: got %v, want %v", i+1, got, want)
 		}
 	}
-	if !trust.Fail(t0.Add(shutMost+time.Second), true) {
-		t.Error("dead after its rest: got false, want it to rest anew")
+	if !trust.RecordFailure(t0.Add(maxEject+time.Second), true) {
+		t.Error("dead after its ejection: got false, want it ejected again")
 	}
 }
--- a/pkg/pool/zone_test.go
+++ b/pkg/pool/zone_test.go
@@ -22,7 +22,7 @@
 	return b
 }
 
-// pickedIn returns the availability zones that some requests of a kind go to.
+// pickedIn returns the availability zones to which 64 draws of a request go.
 func pickedIn(b *Book, now time.Time, w *Want) map[string]bool {
 	got := make(map[string]bool)
 	for d := range uint64(64) {
@@ -37,14 +37,14 @@
 func TestClosedZoneGetsNothing(t *testing.T) {
 	b := inZones("a", "b")
 	held := wanted("prefix")
-	b.Holds(held.Affinity, b.Get("e00").Hash(), t0)
+	b.RecordHolder(held.Affinity, b.Get("e00").Hash(), t0)
 	for i, w := range []*Want{{Service: "s"}, held, wanted("unheard of")} {
 		b.CloseZone("a", 2)
 		if got := pickedIn(b, t0, w); got["a"] || !got["b"] {
 			t.Errorf("request %d: zones: got %v, want b alone", i, got)
 		}
-		b.Get("e10").Trust.Fail(t0, true)
-		b.Get("e11").Trust.Fail(t0, true)
+		b.Get("e10").Trust.RecordFailure(t0, true)
+		b.Get("e11").Trust.RecordFailure(t0, true)
 		if got := pickedIn(b, t0, w); got["a"] || !got["b"] {
 			t.Errorf("request %d, where none is trusted: zones: got %v, want b alone", i, got)
 		}
@@ -52,7 +52,7 @@
 		late.Zone = "a"
 		b.Put(late)
 		if got := pickedIn(b, t0, w); got["a"] {
-			t.Errorf("request %d: an endpoint that was listed later in the closed zone was picked", i)
+			t.Errorf("request %d: an endpoint that was listed after its zone was closed was picked", i)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 	if p, _ := b.Pick(t0, w); p != nil {
 		t.Fatalf("picked: got %s, want none", p.ID)
 	}
-	if got := b.Lack(t0, w); got.Closed != 4 || got.Warming != 0 {
-		t.Errorf("lack: got %+v, want 4 closed", got)
+	if got := b.Unavailability(t0, w); got.Closed != 4 || got.Warming != 0 {
+		t.Errorf("unavailability: got %+v, want 4 closed", got)
 	}
 }
 
@@ -86,16 +86,16 @@
 			t.Errorf("%s at revision %d: closed: got %v, want %v", c.do, c.at, got, c.closed)
 		}
 	}
-	if !b.CloseZone("nobody has it", 10) || b.ClosedZones() != 2 {
-		t.Error("an order for a zone without endpoints was not kept")
+	if !b.CloseZone("without endpoints", 10) || b.ClosedZones() != 2 {
+		t.Error("order for a zone without endpoints: not stored")
 	}
 }
 
-// The endpoints of a zone that was taken back may have turned cold shortly before, and tell
-// it up to a heartbeat later: they warm up until they tell otherwise.
+// The endpoints of a reopened zone may have turned cold shortly before and report it up to a heartbeat later,
+// so that they count as warming up until they report otherwise.
 func TestOpenedZoneWarmsUp(t *testing.T) {
 	b := inZones("a")
-	b.SetWarmup("s", Warmup{Allowance: 14, Lasts: 3 * time.Second})
+	b.SetWarmup("s", Warmup{Allowance: 14, Duration: 3 * time.Second})
 	e := b.Get("e00").Entry
 	b.CloseZone("a", 2)
 	b.OpenZone("a", 5, t0)
@@ -103,14 +103,14 @@
 	if !p.Warming(t0) || p.Warming(t0.Add(3*time.Second)) {
 		t.Errorf("after the zone was opened: warming: got %v, and 3 s later %v, want true, false", p.Warming(t0), p.Warming(t0.Add(3*time.Second)))
 	}
-	e.Revision, e.WarmTold, e.WarmAt = 4, true, t0
+	e.Revision, e.WarmReported, e.WarmAt = 4, true, t0
 	b.Put(e)
 	if !p.Warming(t0) {
-		t.Error("an entry from before the zone was opened: got warm, want warming up")
+		t.Error("entry from before the zone was reopened: got warm, want warming up")
 	}
 	e.Revision = 6
 	b.Put(e)
 	if p.Warming(t0) {
-		t.Error("an entry from after the zone was opened that says warm: got warming up, want warm")
+		t.Error("entry from after the zone was reopened that reports warm: got warming up, want warm")
 	}
 }
--- a/pkg/roll/interleave_test.go
+++ b/pkg/roll/interleave_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// stored is the object that holds a trial: a write succeeds only on the revision that was
+// storedTrial is the object that holds a trial. A write succeeds only at the revision that was
 // read.
-type stored struct{ trial Trial }
+type storedTrial struct{ trial Trial }
 
-func (s *stored) put(t Trial) bool {
+func (s *storedTrial) put(t Trial) bool {
 	if t.Revision != s.trial.Revision {
 		return false
 	}
@@ -22,26 +22,26 @@
 	return true
 }
 
-// process is a router that takes steps of a trial. Its view may be old.
+// process is a router that takes steps of a trial. Its view may be stale.
 type process struct {
 	view   Trial
 	stepAt time.Time
-	// late is a write whose answer was lost and that is done later; nil for none.
+	// late is a write that is delayed in transit and applied later; nil for none.
 	late *Trial
-	// bad is when this process finds the version bad.
+	// bad is when this process finds the version bad; zero for never.
 	bad time.Time
 }
 
-func (p *process) read(s *stored, now time.Time) {
+func (p *process) read(s *storedTrial, now time.Time) {
 	if s.trial.Step != p.view.Step {
 		p.stepAt = now
 	}
 	p.view = s.trial
 }
 
-// step takes the next step if there is one; the write may be lost, late, or done without
-// an answer.
-func (p *process) step(s *stored, now time.Time, rnd *rand.Rand, v Verdict) {
+// step takes the next step if one is due. The write may be lost or delayed. The process does
+// not learn whether it succeeded.
+func (p *process) step(s *storedTrial, now time.Time, rnd *rand.Rand, v Verdict) {
 	if !p.bad.IsZero() && !now.Before(p.bad) {
 		v = Bad
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	switch rnd.IntN(5) {
-	case 0: // lost on the way
+	case 0: // The write is lost.
 	case 1:
 		p.late = &next
 	default:
@@ -58,16 +58,15 @@
 	}
 }
 
-// TestInterleavedSteps lets processes with old views take steps in drawn order, with writes
-// that are lost or late, and kills. Whatever comes first: a trial ends once, its steps only
-// grow by one, and a version that somebody found bad before its end and nobody good is never
-// proven.
+// TestInterleavedSteps lets processes with stale views take steps in random order, with lost
+// and delayed writes and restarts. In any order a trial ends once, its step grows by one at a
+// time, and a version that no process found good is never proven.
 func TestInterleavedSteps(t *testing.T) {
 	const whole = 20 * time.Second
 	for seed := range uint64(3000) {
 		rnd := rand.New(rand.NewPCG(seed, 4))
 		t0 := time.Unix(0, 0)
-		s := &stored{Trial{State: Ordered, Begun: t0, Ends: t0.Add(whole), Revision: 1}}
+		s := &storedTrial{Trial{State: Ordered, Begun: t0, Ends: t0.Add(whole), Revision: 1}}
 		good := rnd.IntN(2) == 0
 		ps := make([]process, 1+rnd.IntN(4))
 		for i := range ps {
@@ -84,7 +83,7 @@
 				verdict = []Verdict{Fair, Good}[rnd.IntN(2)]
 			}
 			switch rnd.IntN(8) {
-			case 0: // A kill loses what the process knew; it reads the store when it starts.
+			case 0: // A restart loses the process's state; it reads the store when it starts.
 				*p = process{bad: p.bad}
 				p.read(s, now)
 			case 1:
--- a/pkg/roll/step.go
+++ b/pkg/roll/step.go
@@ -9,69 +9,74 @@
 	"time"
 )
 
-// Facts are what a process knows when it takes a step.
-type Facts struct {
+// StepInput is the state that a process observes when it takes a step.
+type StepInput struct {
 	// Now is the time.
 	Now time.Time
-	// VMs lists the live VMs of each pool.
+	// VMs lists the live VMs by pool. The targets of a pool that is missing are left as
+	// they are.
 	VMs map[string][]string
-	// Has reports whether a VM's guard says that it has a version; known is
-	// false if this process has no word of the VM.
-	Has func(vm, version string) (has, known bool)
-	// LoadWithin returns when a load that begins now counts as lost.
-	LoadWithin func(now time.Time) time.Time
+	// HasVersion reports whether the guard of a VM reports that the VM has a version;
+	// known is false if this process has no report of the VM.
+	HasVersion func(vm, version string) (has, known bool)
+	// GiveUpAt returns the deadline of a load that begins now.
+	GiveUpAt func(now time.Time) time.Time
 }
 
-// Change is a change of settings that a step asks for.
+// Change is a change of the settings that a roll-out requires.
 type Change struct {
-	// ID names the change, so that it is made once.
+	// ID identifies the change. It is the same in every process, so that the change is
+	// applied once.
 	ID             string
 	Model, Version string
-	// Share is the version's new share of requests; Withdraw withdraws it
-	// instead.
+	// Share is the version's new share of requests, 0 to 1. It does not count if Withdraw
+	// is set, which withdraws the version.
 	Share    float64
 	Withdraw bool
-	Reason   string
+	// Reason is written to the history of the settings.
+	Reason string
 }
 
-// Order is a load that a step asks for; it carries the version of the board's
-// object as its fence.
-type Order struct {
+// LoadOrder is an order to a VM to load a version. It is sent with the version of the
+// board's object as its fencing token.
+type LoadOrder struct {
 	VM, Model, Version string
 }
 
-// Plan is what has to be done once the board is written.
+// Plan is the result of a step. If Changed is set, the board must be stored before any
+// order is sent.
 type Plan struct {
-	// Changed says that the board differs and must be written first.
+	// Changed says that the step changed the board.
 	Changed bool
-	Orders  []Order
+	Orders  []LoadOrder
 }
 
-// Step moves every roll-out on as far as the facts allow, in place. Orders are
-// repeated for loads that are under way and not reported yet; they are
-// harmless when they come twice.
-func (b *Board) Step(f *Facts) Plan {
+// Step advances every roll-out as far as the input allows and updates b in place. The
+// plan has an order for each load that is in progress and not reported yet, also if a
+// former step had it: orders are idempotent.
+func (b *Board) Step(f *StepInput) Plan {
 	var p Plan
 	loads := 0
 	for i := range b.Rollouts {
 		if b.Rollouts[i].ended() {
 			continue
 		}
-		b.Rollouts[i].follow(f, &p)
+		b.Rollouts[i].syncTargets(f, &p)
 		loads += b.Rollouts[i].loading()
 	}
 	for i := range b.Rollouts {
 		r := &b.Rollouts[i]
 		switch r.State {
 		case Running:
-			loads = r.begin(f, loads, max(b.LoadsAtOnce, 1), &p)
+			loads = r.startLoads(f, loads, max(b.LoadsAtOnce, 1), &p)
 			r.advance(f, &p)
 		}
-		r.order(&p)
+		r.addOrders(&p)
 	}
 	return p
 }
 
+// loading returns the number of targets whose load is in progress.
 func (r *Rollout) loading() int {
 	n := 0
 	for _, t := range r.Targets {
@@ -82,8 +87,8 @@
 	return n
 }
 
-// follow brings the targets in step with the VMs and with what guards report.
-func (r *Rollout) follow(f *Facts, p *Plan) {
+// syncTargets makes the targets those of the live VMs, in the states that guards report.
+func (r *Rollout) syncTargets(f *StepInput, p *Plan) {
 	live := f.VMs[r.Pool]
 	if live == nil {
 		return
@@ -105,10 +110,11 @@
 	}
 }
 
-// next returns the target as the facts have it: loaded once it is reported, and
-// waiting again if a load was lost or a loaded VM was replaced.
-func (t Target) next(f *Facts, version string) Target {
-	has, known := f.Has(t.VM, version)
+// next returns the target in its observed state: Loaded once its guard reports the
+// version, and Waiting again if a load is past its deadline or a loaded VM no longer has
+// the version, as after its replacement.
+func (t Target) next(f *StepInput, version string) Target {
+	has, known := f.HasVersion(t.VM, version)
 	switch {
 	case known && has:
 		return Target{VM: t.VM, State: Loaded}
@@ -121,36 +127,36 @@
 	}
 }
 
-// begin starts loads while there is room for them, and returns how many are
-// under way.
-func (r *Rollout) begin(f *Facts, loads, most int, p *Plan) int {
+// startLoads starts loads of waiting targets up to maxLoads over all roll-outs. loads is
+// the number of loads in progress before, the result that after it.
+func (r *Rollout) startLoads(f *StepInput, loads, maxLoads int, p *Plan) int {
 	for i := range r.Targets {
-		if r.Targets[i].State != Waiting || loads >= most {
+		if r.Targets[i].State != Waiting || loads >= maxLoads {
 			continue
 		}
 		r.Targets[i].State = Loading
-		r.Targets[i].GiveUpAt = f.LoadWithin(f.Now)
+		r.Targets[i].GiveUpAt = f.GiveUpAt(f.Now)
 		loads++
 		p.Changed = true
 	}
 	return loads
 }
 
-// order repeats the orders of loads under way.
-func (r *Rollout) order(p *Plan) {
+// addOrders adds the orders of the loads in progress to the plan.
+func (r *Rollout) addOrders(p *Plan) {
 	if r.State != Running {
 		return
 	}
 	for _, t := range r.Targets {
 		if t.State == Loading {
-			p.Orders = append(p.Orders, Order{VM: t.VM, Model: r.Model, Version: r.Version})
+			p.Orders = append(p.Orders, LoadOrder{VM: t.VM, Model: r.Model, Version: r.Version})
 		}
 	}
 }
 
-// advance begins the next wave once every target has the version and the last
-// wave was held long enough.
-func (r *Rollout) advance(f *Facts, p *Plan) {
+// advance begins the next wave, or ends the roll-out after its last wave, once every
+// target has the version, the last wave is applied and its hold time is over.
+func (r *Rollout) advance(f *StepInput, p *Plan) {
 	if !r.loaded() || len(r.Targets) == 0 || r.Applied < r.Wave || f.Now.Before(r.HoldUntil) {
 		return
 	}
@@ -163,10 +169,10 @@
 	p.Changed = true
 }
 
-// Wanted returns the settings change that the state of a roll-out asks for, and
-// false if it asks for none. Whichever process comes first makes it: its ID is
-// the same for all, so that it is made once.
-func (r *Rollout) Wanted() (Change, bool) {
+// PendingChange returns the settings change that the roll-out requires in its present
+// state, and false if it requires none. Any process may apply it: the ID is the same in
+// all of them, so that it is applied once.
+func (r *Rollout) PendingChange() (Change, bool) {
 	c := Change{Model: r.Model, Version: r.Version, Reason: fmt.Sprintf("roll-out of %s: %s", r.Name(), r.Reason)}
 	switch {
 	case r.ended():
@@ -187,12 +193,13 @@
 	return "rollout-" + r.ID + "-" + what
 }
 
-// Accepted notes that the settings change of a roll-out was accepted; it
-// reports false if the roll-out does not ask for that change any more.
-func (b *Board) Accepted(id string, now time.Time) bool {
+// MarkAccepted records that the settings change with the given ID was accepted: a
+// withdrawal ends the roll-out, a wave is held from now on. It returns false and changes
+// nothing if no roll-out requires that change any more.
+func (b *Board) MarkAccepted(id string, now time.Time) bool {
 	for i := range b.Rollouts {
 		r := &b.Rollouts[i]
-		c, ok := r.Wanted()
+		c, ok := r.PendingChange()
 		if !ok || c.ID != id {
 			continue
 		}
--- a/pkg/roll/trial_test.go
+++ b/pkg/roll/trial_test.go
@@ -14,15 +14,15 @@
 	"github.com/traildrift/traildrift/internal/golden"
 )
 
-// found is a verdict from a time of a trial on.
-type found struct {
+// verdictFrom is a verdict that holds from a time of a trial on.
+type verdictFrom struct {
 	from    time.Duration
 	verdict Verdict
 }
 
-// play plays a trial of 20 s and calls onChange for each change. The verdicts are in
-// order of their times.
-func play(verdicts []found, onChange func(at time.Duration, tr Trial)) Trial {
+// runTrial runs a trial of 20 s and calls onChange for each transition. The verdicts must be in
+// the order of their times.
+func runTrial(verdicts []verdictFrom, onChange func(at time.Duration, tr Trial)) Trial {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Ordered, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	f := Findings{StepAt: t0}
@@ -45,10 +45,11 @@
 	return tr
 }
 
-// TestTrialOverTime prints every change of trials whose verdict changes with time.
+// TestTrialOverTime compares the transitions of trials whose verdict changes over time with a
+// golden file.
 func TestTrialOverTime(t *testing.T) {
 	var got bytes.Buffer
-	for _, verdicts := range [][]found{
+	for _, verdicts := range [][]verdictFrom{
 		{{0, Good}},
 		{{0, Unknown}, {14 * time.Second, Bad}},
 		{{0, Unknown}},
@@ -64,24 +65,24 @@
 			fmt.Fprintf(&got, " %v at %v", v.verdict, v.from)
 		}
 		fmt.Fprintln(&got)
-		play(verdicts, func(at time.Duration, tr Trial) {
+		runTrial(verdicts, func(at time.Duration, tr Trial) {
 			fmt.Fprintf(&got, "  %6v  %-8s step %d  share %.2f\n", at, tr.State, tr.Step, tr.Share())
 		})
 	}
 	golden.Check(t, "trial.golden", got.Bytes())
 }
 
-// TestTrialBoundsExposure draws verdicts that change at any time but are never Good, as
-// those on a bad version: it is never proven and gets no more than its share.
+// TestTrialBoundsExposure draws verdicts that change at any time but are never Good, as those on
+// a bad version. The version must be rejected and get no more than its share of the requests.
 func TestTrialBoundsExposure(t *testing.T) {
 	for seed := range uint64(2000) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		var verdicts []found
+		var verdicts []verdictFrom
 		for at := time.Duration(0); at < 20*time.Second; at += time.Duration(rnd.IntN(4000)) * time.Millisecond {
-			verdicts = append(verdicts, found{at, []Verdict{Unknown, Fair, Fair, Doubtful}[rnd.IntN(4)]})
+			verdicts = append(verdicts, verdictFrom{at, []Verdict{Unknown, Fair, Fair, Doubtful}[rnd.IntN(4)]})
 		}
 		exposed, share, last := 0.0, 0.0, time.Duration(0)
-		tr := play(verdicts, func(at time.Duration, tr Trial) {
+		tr := runTrial(verdicts, func(at time.Duration, tr Trial) {
 			at = min(at, 20*time.Second)
 			exposed += share * float64(at-last)
 			share, last = tr.Share(), at
@@ -96,7 +97,7 @@
 	}
 }
 
-func TestTrialEndsWhenItsRequestsAreSpent(t *testing.T) {
+func TestTrialEndsWhenExposureIsSpent(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Trying, Step: 3, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	at := t0.Add(16 * time.Second)
@@ -104,8 +105,8 @@
 		verdict Verdict
 		want    TrialState
 	}{{Unknown, Rejected}, {Fair, Rejected}, {Good, Proven}} {
-		if got, _ := tr.Next(at, Findings{Verdict: c.verdict, StepAt: at, Spent: true}); got.State != c.want {
-			t.Errorf("spent and %v: got %s, want %s", c.verdict, got.State, c.want)
+		if got, _ := tr.Next(at, Findings{Verdict: c.verdict, StepAt: at, ExposureSpent: true}); got.State != c.want {
+			t.Errorf("exposure spent and %v: got %s, want %s", c.verdict, got.State, c.want)
 		}
 	}
 }
@@ -143,12 +144,12 @@
 	}
 }
 
-func TestTrialIsNotSkippedThrough(t *testing.T) {
+func TestTrialSkipsNoStep(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Trying, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	next, _ := tr.Next(t0.Add(18*time.Second), Findings{Verdict: Good})
 	if next.Step != 1 || next.State != Trying {
-		t.Errorf("after a long silence: got step %d and %s, want step 1 and %s", next.Step, next.State, Trying)
+		t.Errorf("first transition at 18 s: got step %d and %s, want step 1 and %s", next.Step, next.State, Trying)
 	}
 }
 
@@ -160,13 +161,14 @@
 		t.Errorf("got %+v, want rejected with share 0", next)
 	}
 	if _, changed := next.Next(t0.Add(time.Hour), Findings{Verdict: Good}); changed {
-		t.Error("a rejected trial changed")
+		t.Error("rejected trial: got a transition, want none")
 	}
 }
 
-// At the last step a good version waits for the end of its time while far more requests come
-// than the step's time was chosen for, and is proven then.
-func TestBurstLetsTheProofWait(t *testing.T) {
+// TestBurstDelaysProof checks that a good version at the last step is not proven before the end
+// of the trial during a burst: a version that fails under the load of the burst would be proven
+// before it fails.
+func TestBurstDelaysProof(t *testing.T) {
 	begun := time.Unix(0, 0)
 	last := Trial{Service: "s", Version: "v2", State: Trying, Step: len(steps), Begun: begun, Ends: begun.Add(100 * time.Second)}
 	at := func(second int, f Findings) TrialState {
@@ -181,7 +183,7 @@
 	}{
 		{96, Findings{Verdict: Good}, Proven},
 		{96, Findings{Verdict: Good, Burst: true}, Trying},
-		{99, Findings{Verdict: Good, Burst: true, Spent: true}, Trying},
+		{99, Findings{Verdict: Good, Burst: true, ExposureSpent: true}, Trying},
 		{99, Findings{Verdict: Bad, Burst: true}, Rejected},
 		{101, Findings{Verdict: Good, Burst: true}, Proven},
 	} {
@@ -191,44 +193,44 @@
 	}
 }
 
-// One endpoint bears the usual load from the second step on, and a peak from a fifth before the end until
-// the last step; a peak leaves a part of the share for all, and endpoints that are few get no more than
-// they would of all requests.
-func TestOneEndpointBearsAPeak(t *testing.T) {
+// TestLoadedShare checks that one endpoint bears the usual load from the second step on, and a
+// peak in the last fifth of the trial until the last step. A part of the share remains for all
+// endpoints, also where there are few.
+func TestLoadedShare(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	tr := Trial{State: Trying, Begun: t0, Ends: t0.Add(20 * time.Second)}
 	for _, c := range []struct {
 		step, endpoints int
 		at              time.Duration
 		want            float64
-		peaks           bool
+		inPeak          bool
 	}{
 		{1, 30, 17 * time.Second, 0, false},
 		{2, 30, 15 * time.Second, 1. / 30, false},
-		{2, 30, 17 * time.Second, peak / 30, true},
+		{2, 30, 17 * time.Second, peakLoad / 30, true},
 		{2, 4, 15 * time.Second, 0.09, false},
-		{2, 4, 17 * time.Second, 0.18 * peakMost, true},
+		{2, 4, 17 * time.Second, 0.18 * maxPeakShare, true},
 		{2, 0, 17 * time.Second, 0, true},
 		{3, 30, 19 * time.Second, 0, false},
 	} {
 		tr.Step = c.step
-		if got := tr.Loaded(c.endpoints, t0.Add(c.at)); math.Abs(got-c.want) > 1e-9 {
+		if got := tr.LoadedShare(c.endpoints, t0.Add(c.at)); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("step %d, %d endpoints, %v: got %.3f of the sessions, want %.3f", c.step, c.endpoints, c.at, got, c.want)
 		}
-		if got := tr.Peaks(t0.Add(c.at)); got != c.peaks {
-			t.Errorf("step %d, %v: peaks: got %v, want %v", c.step, c.at, got, c.peaks)
+		if got := tr.InPeakPhase(t0.Add(c.at)); got != c.inPeak {
+			t.Errorf("step %d, %v: in peak phase: got %v, want %v", c.step, c.at, got, c.inPeak)
 		}
 	}
 }
 
-// A version that is known as good takes the last step later than one that is merely fair, which needs
-// the time for its proof.
+// TestGoodVersionTakesTheLastStepLater checks when the last step is taken: later by a good version
+// than by a fair one, which needs the time to be found good.
 func TestGoodVersionTakesTheLastStepLater(t *testing.T) {
 	for _, c := range []struct {
 		verdict Verdict
 		want    time.Duration
 	}{{Fair, 18300 * time.Millisecond}, {Good, 18900 * time.Millisecond}} {
-		play([]found{{0, c.verdict}}, func(at time.Duration, tr Trial) {
+		runTrial([]verdictFrom{{0, c.verdict}}, func(at time.Duration, tr Trial) {
 			if tr.State == Trying && tr.Step == len(steps) && (at < c.want || at > c.want+100*time.Millisecond) {
 				t.Errorf("%v: last step at %v, want %v", c.verdict, at, c.want)
 			}
@@ -236,11 +238,12 @@
 	}
 }
 
-// Pattern: users who allow a bad version less than usual. The requests that a version gets by the last
-// step, and after it, stay within their part, and the last step is due in time for a good one.
-func TestSharesFollowTheUsersPart(t *testing.T) {
-	for _, most := range []float64{0, usualMost, 0.0975, 0.12, 0.3} {
-		trial := Trial{State: Trying, Most: most}
+// TestSharesFollowMaxExposure checks that the requests of a version, with the last step at the time
+// for a good one, stay within the allowed exposure where it is lower than the default. The last step
+// must still have the whole share.
+func TestSharesFollowMaxExposure(t *testing.T) {
+	for _, most := range []float64{0, defaultMaxExposure, 0.0975, 0.12, 0.3} {
+		trial := Trial{State: Trying, MaxExposure: most}
 		got := 0.0
 		for i, s := range steps {
 			next := 1.0
@@ -248,23 +251,23 @@
 				next = steps[i+1].at
 			}
 			if i+1 == len(steps)-1 {
-				next = lastForGood
+				next = goodLastStepAt
 			}
 			if i == len(steps)-1 {
-				s.at = lastForGood
+				s.at = goodLastStepAt
 			}
 			trial.Step = i + 1
 			got += trial.Share() * (next - s.at)
 		}
-		want := usualMost
+		want := defaultMaxExposure
 		if most > 0 {
-			want = min(most, usualMost)
+			want = min(most, defaultMaxExposure)
 		}
 		if got > want+0.01 {
-			t.Errorf("users' part %v: got %.4f of the requests by the end, want %v at most", most, got, want)
+			t.Errorf("max exposure %v: got %.4f of the requests by the end, want at most %v", most, got, want)
 		}
 		if trial.Share() != 1 {
-			t.Errorf("users' part %v: share of the last step: got %v, want 1", most, trial.Share())
+			t.Errorf("max exposure %v: share of the last step: got %v, want 1", most, trial.Share())
 		}
 	}
 }
--- a/pkg/trail/record_test.go
+++ b/pkg/trail/record_test.go
@@ -10,8 +10,8 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// TestBatch holds that settings stand once in a batch for each path and come
-// back for every record.
+// TestBatch checks that a batch includes the settings of each path once, and that
+// Decode restores them for every record.
 func TestBatch(t *testing.T) {
 	eff := config.Empty().Effective("w", "l", "")
 	var batch []Record
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	for i, r := range out {
-		if got, want := len(r.Settings), len(config.Keys()); got != want {
+		if got, want := len(r.Settings), len(config.SettingSpecs()); got != want {
 			t.Errorf("record %d: got %d settings, want %d", i, got, want)
 		}
 	}
