--- a/internal/peers/asker.go
+++ b/internal/peers/asker.go
@@ -27,18 +27,18 @@
 	"github.com/traildrift/traildrift/pkg/poison"
 )
 
-// Asker keeps a mirror in step through peers, and says when the store has to be
+// Puller keeps a mirror in step through peers, and says when the store has to be
 // asked. Its fields are set before Run.
-type Asker struct {
+type Puller struct {
 	Log    *zap.Logger
 	Fleet  *Fleet
 	Mirror *mirror.Mirror
 	// Kinds are asked for; their changes are taken over in this order.
 	Kinds []string
-	// Watched is the kind whose age says how well a peer is informed: it is
+	// FreshnessKind is the kind whose age says how well a peer is informed: it is
 	// asked for most often.
-	Watched string
-	HTTP    *http.Client
+	FreshnessKind string
+	HTTP          *http.Client
 	// OnVerdicts is called for verdicts that came with an answer; set before Run.
 	OnVerdicts func(list []poison.Verdict)
 	// Traffic counts the questions; set before Run.
@@ -117,11 +117,11 @@
 	answerMost = 16 << 20
 )
 
-// NewAsker returns an asker that has found no peer yet.
-func NewAsker(log *zap.Logger, f *Fleet, m *mirror.Mirror, watched string, kinds ...string) *Asker {
+// NewPuller returns an asker that has found no peer yet.
+func NewPuller(log *zap.Logger, f *Fleet, m *mirror.Mirror, watched string, kinds ...string) *Puller {
 	now := time.Now()
-	a := &Asker{
-		Log: log, Fleet: f, Mirror: m, Kinds: kinds, Watched: watched, Traffic: &Traffic{}, OnVerdicts: func([]poison.Verdict) {}, sweep: sweepMost,
+	a := &Puller{
+		Log: log, Fleet: f, Mirror: m, Kinds: kinds, FreshnessKind: watched, Traffic: &Traffic{}, OnVerdicts: func([]poison.Verdict) {}, sweep: sweepMost,
 		readsAt: readsAfter.After(now).Add(rand.N(readsSpread)), readsBy: readsWithin.After(now),
 	}
 	a.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true}}
@@ -130,7 +130,7 @@
 
 // Run asks peers until ctx is done: always if the store is not asked, and when
 // the store leaves this router without word.
-func (a *Asker) Run(ctx context.Context) error {
+func (a *Puller) Run(ctx context.Context) error {
 	primary := xxhash.Sum64String(a.Fleet.self)
 	defer func() {
 		for _, done := range a.late {
@@ -140,11 +140,11 @@
 	for ctx.Err() == nil {
 		now := time.Now()
 		a.late = slices.DeleteFunc(a.late, ended)
-		informed := now.Sub(a.Mirror.Proven(a.Watched)) <= time.Duration(a.agedAfter(now))
+		informed := now.Sub(a.Mirror.Proven(a.FreshnessKind)) <= time.Duration(a.agedAfter(now))
 		switch {
 		case !a.listed() && (!a.introduced.Load() || a.reads()):
 			tasks.Pause(ctx, startPoll.After(now))
-		case a.listed() && a.Fleet.Asker(now) && informed:
+		case a.listed() && a.Fleet.ReadsStore(now) && informed:
 			tasks.Pause(ctx, idle.After(now))
 		default:
 			a.askNext(ctx, primary, informed)
@@ -166,9 +166,9 @@
 // askNext asks the first peers. If they are ill informed it waits at the next in rank, which
 // take over from them, then asks some others at once, turns to the store, and waits at the
 // first ones for word that it is back.
-func (a *Asker) askNext(ctx context.Context, primary uint64, informed bool) {
+func (a *Puller) askNext(ctx context.Context, primary uint64, informed bool) {
 	hold := informed || !a.listed()
-	for range a.Fleet.Tries(time.Now()) {
+	for range a.Fleet.PullAttempts(time.Now()) {
 		if a.try(ctx, primary, false, func(p Peer) bool { return a.ask(ctx, p, hold) }) {
 			return
 		}
@@ -188,8 +188,8 @@
 }
 
 // try asks the next peer and reports whether it answered well.
-func (a *Asker) try(ctx context.Context, draw uint64, all bool, ask func(p Peer) bool) bool {
-	p, ok := a.Fleet.Next(time.Now(), draw, all)
+func (a *Puller) try(ctx context.Context, draw uint64, all bool, ask func(p Peer) bool) bool {
+	p, ok := a.Fleet.PickPeer(time.Now(), draw, all)
 	if !ok || ctx.Err() != nil || !ask(p) {
 		return false
 	}
@@ -198,10 +198,10 @@
 }
 
 // awaitWord waits at one of the first routers for word that the store is back.
-func (a *Asker) awaitWord(ctx context.Context, primary uint64) {
+func (a *Puller) awaitWord(ctx context.Context, primary uint64) {
 	until := directAgain.After(time.Now())
 	for time.Now().Before(until) && ctx.Err() == nil {
-		if p, ok := a.Fleet.Leader(primary); ok && a.await(ctx, p, askWait) {
+		if p, ok := a.Fleet.PickPrimary(primary); ok && a.await(ctx, p, askWait) {
 			a.informed(p.Name)
 			return
 		}
@@ -210,7 +210,7 @@
 }
 
 // informed notes that a peer answered well.
-func (a *Asker) informed(peer string) {
+func (a *Puller) informed(peer string) {
 	a.sweep = sweepMost
 	if a.set(false) {
 		a.Log.Info("peers: A peer is asked instead of the store.", zap.String("peer", peer), zap.Int("routers", a.Fleet.Len()))
@@ -220,19 +220,19 @@
 // ask asks one peer and reports whether it was well informed. The peer may hold the
 // question until it knows something new, unless this router is ill informed itself:
 // then it should not wait at one ill informed peer after the other.
-func (a *Asker) ask(ctx context.Context, p Peer, hold bool) bool {
+func (a *Puller) ask(ctx context.Context, p Peer, hold bool) bool {
 	sent := time.Now()
 	until := sent
 	if hold {
 		until = askWait.After(sent)
 	}
-	return a.connected(ctx, p, question{WaitMs: until.Sub(sent).Milliseconds(), Follows: hold && a.Fleet.Relay(sent)}, sent)
+	return a.connected(ctx, p, question{WaitMs: until.Sub(sent).Milliseconds(), Follows: hold && a.Fleet.IsRelay(sent)}, sent)
 }
 
 // connected is exchange, but that it returns false once no connection has come up for
 // connectWithin. The question goes on then, and its answer is taken over when it comes: a bound
 // on the connection would lose the answers of peers whose links are full.
-func (a *Asker) connected(ctx context.Context, p Peer, q question, sent time.Time) bool {
+func (a *Puller) connected(ctx context.Context, p Peer, q question, sent time.Time) bool {
 	// The client takes another connection for the same question where a kept one has gone.
 	up := make(chan struct{}, 1)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
@@ -251,7 +251,7 @@
 	case <-up:
 		return <-done
 	case <-late.C:
-		a.Fleet.Skip(p.Name, time.Now().Add(listWithin))
+		a.Fleet.BackOff(p.Name, time.Now().Add(listWithin))
 		a.late = append(a.late, done)
 		return false
 	}
@@ -259,17 +259,17 @@
 
 // await asks a peer that may be ill informed to answer as soon as it is not, and reports
 // whether it is well informed.
-func (a *Asker) await(ctx context.Context, p Peer, within config.Span) bool {
+func (a *Puller) await(ctx context.Context, p Peer, within config.Span) bool {
 	sent := time.Now()
 	return a.exchange(ctx, p, question{WaitMs: within.After(sent).Sub(sent).Milliseconds(), Proof: true}, sent)
 }
 
 // exchange asks one peer, takes over its answer, and reports whether it was well informed.
-func (a *Asker) exchange(ctx context.Context, p Peer, q question, sent time.Time) bool {
+func (a *Puller) exchange(ctx context.Context, p Peer, q question, sent time.Time) bool {
 	got, err := a.call(ctx, p, &q, sent)
 	if err != nil {
 		if ctx.Err() == nil {
-			a.Fleet.Fail(p.Name, time.Now())
+			a.Fleet.RecordNoAnswer(p.Name, time.Now())
 			a.Log.Info("peers: A peer gave no answer.", zap.String("peer", p.Name), zap.Stringer("addr", p.Addr), logs.Err(err))
 		}
 		return false
@@ -280,7 +280,7 @@
 
 // take takes over a peer's answer to a question that was sent then, and reports whether the
 // peer was well informed.
-func (a *Asker) take(p Peer, got *answer, sent time.Time) bool {
+func (a *Puller) take(p Peer, got *answer, sent time.Time) bool {
 	now := time.Now()
 	if list, err := decodeVerdicts(got.Verdicts, now); err != nil {
 		a.Log.Warn("peers: Verdicts could not be decoded.", zap.String("peer", p.Name), logs.Err(err))
@@ -296,7 +296,7 @@
 		changes, err := k.decode(now)
 		if err != nil {
 			a.Log.Warn("peers: An answer could not be read.", zap.String("peer", p.Name), zap.String("kind", kind), logs.Err(err))
-			a.Fleet.Shun(p.Name, now)
+			a.Fleet.RecordStale(p.Name, now)
 			return false
 		}
 		// The peer answered no earlier than it had held the question since it
@@ -309,30 +309,30 @@
 			a.Mirror.Apply(kind, changes, k.Revision, at)
 		}
 	}
-	a.Fleet.Heard(p.Name)
-	w, ok := got.Kinds[a.Watched]
+	a.Fleet.RecordAnswer(p.Name)
+	w, ok := got.Kinds[a.FreshnessKind]
 	if !ok && !a.listed() {
 		// It starts as well, and has read another kind first.
-		a.Fleet.Skip(p.Name, startPoll.After(now))
+		a.Fleet.BackOff(p.Name, startPoll.After(now))
 		return false
 	}
 	if !ok || time.Duration(w.AgeMs)*time.Millisecond > time.Duration(a.agedAfter(now)) {
-		a.Fleet.Shun(p.Name, now)
+		a.Fleet.RecordStale(p.Name, now)
 		return false
 	}
 	return true
 }
 
 // agedAfter returns how old a peer's copy may be for it to count as well informed.
-func (a *Asker) agedAfter(now time.Time) config.Span {
-	if a.Fleet.Relay(now) {
+func (a *Puller) agedAfter(now time.Time) config.Span {
+	if a.Fleet.IsRelay(now) {
 		return relayAgedAfter
 	}
 	return agedAfter
 }
 
 // within bounds a question beyond the time that it is held: a whole list takes longer.
-func (a *Asker) within() time.Duration {
+func (a *Puller) within() time.Duration {
 	if a.listed() {
 		return askWithin
 	}
@@ -348,7 +348,7 @@
 }
 
 // call asks one peer.
-func (a *Asker) call(ctx context.Context, p Peer, q *question, sent time.Time) (*answer, error) {
+func (a *Puller) call(ctx context.Context, p Peer, q *question, sent time.Time) (*answer, error) {
 	q.Have, q.Packs = make(map[string]int64), true
 	for _, k := range a.Kinds {
 		q.Have[k] = a.Mirror.Revision(k)
@@ -364,7 +364,7 @@
 		return nil, errors.Wrap(err, "peers")
 	}
 	req.Header.Set("Authorization", "Bearer "+p.Token)
-	a.Traffic.Questions.Add(int64(len(text)))
+	a.Traffic.PullRequests.Add(int64(len(text)))
 	resp, err := a.HTTP.Do(req)
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
--- a/internal/peers/crash.go
+++ b/internal/peers/crash.go
@@ -25,8 +25,8 @@
 	Endpoint uint64
 	// AgeMs is how long the request had been there, in milliseconds.
 	AgeMs uint32
-	// Whole says that the request was answered, which clears it.
-	Whole bool
+	// Completed says that the request was answered, which clears it.
+	Completed bool
 }
 
 const (
@@ -43,8 +43,8 @@
 	crashesTold  = poison.MaxReportedCrashes
 )
 
-// VerdictsAgain is how many verdicts are worth telling again at a time.
-const VerdictsAgain = 3 * verdictsMost
+// MaxResentVerdicts is how many verdicts are worth telling again at a time.
+const MaxResentVerdicts = 3 * verdictsMost
 
 // verdictHead begins an encoded verdict; its crashes follow.
 type verdictHead struct {
@@ -106,8 +106,8 @@
 	return list, nil
 }
 
-// SendCrash tells the routers that keep which endpoints crashed under the request.
-func (n *Notes) SendCrash(s CrashReport) {
+// SendCrashReport tells the routers that keep which endpoints crashed under the request.
+func (n *Transport) SendCrashReport(s CrashReport) {
 	buf, err := binary.Append(datagram(kindCrash, crashBytes), binary.BigEndian, s)
 	if err != nil {
 		n.Log.Error("peers: A crash report could not be encoded.", logs.Err(err))
@@ -120,10 +120,10 @@
 const crashBytes = poison.FingerprintBytes + 8 + 4 + 1
 
 // SendVerdicts tells all other routers of verdicts that are new or changed.
-func (n *Notes) SendVerdicts(list []poison.Verdict) { n.sendVerdicts(list, n.fleet.others()) }
+func (n *Transport) SendVerdicts(list []poison.Verdict) { n.sendVerdicts(list, n.fleet.others()) }
 
-// SendAgain tells a few other routers of verdicts that they may have missed.
-func (n *Notes) SendAgain(list []poison.Verdict) {
+// ResendVerdicts tells a few other routers of verdicts that they may have missed.
+func (n *Transport) ResendVerdicts(list []poison.Verdict) {
 	n.sendVerdicts(list, some(n.fleet.others(), againTo))
 }
 
@@ -132,15 +132,15 @@
 // crashes.
 const startingTo = 4
 
-// AskStarting asks some routers for what a router that starts should know, to be told under its token.
-func (n *Notes) AskStarting(token string) {
+// QueryState asks some routers for what a router that starts should know, to be told under its token.
+func (n *Transport) QueryState(token string) {
 	if len(token) < tokenBytes {
 		return
 	}
 	n.Traffic.Quarantines.Add(n.sendTo(some(n.fleet.others(), startingTo), append(datagram(kindStarting, tokenBytes), token[:tokenBytes]...)))
 }
 
-func (n *Notes) sendVerdicts(list []poison.Verdict, to []Peer) {
+func (n *Transport) sendVerdicts(list []poison.Verdict, to []Peer) {
 	for part := range slices.Chunk(list, verdictsMost) {
 		buf, err := encodeVerdicts(datagram(kindVerdicts, datagramMost-bodyAt), part, time.Now())
 		if err != nil {
@@ -176,8 +176,8 @@
 	return list[:min(len(list), keepersMost)]
 }
 
-// Rank returns how many routers come before this one for a request.
-func (f *Fleet) Rank(p poison.Fingerprint) (rank int) {
+// CollectorRank returns how many routers come before this one for a request.
+func (f *Fleet) CollectorRank(p poison.Fingerprint) (rank int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := place(f.self, p)
--- a/internal/peers/crash_test.go
+++ b/internal/peers/crash_test.go
@@ -60,10 +60,10 @@
 
 // twoNotes returns the notes of two routers that do not know each other, and what they would be
 // registered as.
-func twoNotes(t *testing.T) (list [2]*Notes, all [2]Peer) {
+func twoNotes(t *testing.T) (list [2]*Transport, all [2]Peer) {
 	for i := range list {
 		all[i] = Peer{Name: fmt.Sprint(i), Token: fmt.Sprintf("%016d-and-more", i)}
-		n, err := NewNotes(zap.NewNop(), NewFleet(all[i].Name), netip.MustParseAddrPort("127.0.0.1:0"), secretOf(all[i].Token), func(Note) {})
+		n, err := NewTransport(zap.NewNop(), NewFleet(all[i].Name), netip.MustParseAddrPort("127.0.0.1:0"), secretOf(all[i].Token), func(AttemptReport) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 }
 
 // runNotes has them hear until end is called.
-func runNotes(t *testing.T, list [2]*Notes) (end func()) {
+func runNotes(t *testing.T, list [2]*Transport) (end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, len(list))
 	for _, n := range list {
@@ -97,12 +97,12 @@
 	heard := make(chan poison.Verdict, 1)
 	list, all := twoNotes(t)
 	starting, other := list[0], list[1]
-	other.ForStarting = func() []poison.Verdict { return []poison.Verdict{want} }
+	other.Verdicts = func() []poison.Verdict { return []poison.Verdict{want} }
 	starting.OnVerdicts = func(list []poison.Verdict) { heard <- list[0] }
 	starting.fleet.Put(all[1])
 	end := runNotes(t, list)
-	starting.AskStarting(strings.Repeat("?", tokenBytes))
-	starting.AskStarting(all[0].Token)
+	starting.QueryState(strings.Repeat("?", tokenBytes))
+	starting.QueryState(all[0].Token)
 	select {
 	case got := <-heard:
 		if got.Fingerprint != want.Fingerprint || len(got.Crashes) != 1 || got.Crashes[0].Endpoint != 9 {
@@ -158,7 +158,7 @@
 		p := poison.Fingerprint{n, n}
 		ranks := make(map[int]bool)
 		for i, f := range fleets {
-			rank := f.Rank(p)
+			rank := f.CollectorRank(p)
 			ranks[rank] = true
 			if rank < keepersMost {
 				kept[fmt.Sprint("vm-", i)]++
@@ -169,7 +169,7 @@
 					t.Fatal(err)
 				}
 				// A keeper's own list has the next one in its place.
-				if got := fleets[j].Rank(p); got > keepersMost {
+				if got := fleets[j].CollectorRank(p); got > keepersMost {
 					t.Errorf("request %d: %s is told of its ends and has rank %d", n, k.Name, got)
 				}
 			}
--- a/internal/peers/fleet.go
+++ b/internal/peers/fleet.go
@@ -121,7 +121,7 @@
 	byHash := func(a, b Peer) int {
 		return cmp.Or(cmp.Compare(hash[a.Name], hash[b.Name]), cmp.Compare(a.Name, b.Name))
 	}
-	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(b.Ability, a.Ability), byHash(a, b)) })
+	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(b.Millicores, a.Millicores), byHash(a, b)) })
 	inZone, place := make(map[string]int), make(map[string]int, len(list))
 	for _, p := range list {
 		place[p.Name] = inZone[p.Zone]
@@ -155,17 +155,17 @@
 	}
 }
 
-// Sending returns how many routers may send.
-func (f *Fleet) Sending() int {
+// SenderCount returns how many routers may send.
+func (f *Fleet) SenderCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.forgetRemoved()
 	return len(f.byName) + len(f.removed)
 }
 
-// Hashes returns what the routers are known by where each works out for itself what its part
+// SenderHashes returns what the routers are known by where each works out for itself what its part
 // is, this one and all that may send, of which generation they are.
-func (f *Fleet) Hashes() (self uint64, all []uint64, generation uint64) {
+func (f *Fleet) SenderHashes() (self uint64, all []uint64, generation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.forgetRemoved()
@@ -185,8 +185,8 @@
 	return len(f.byName)
 }
 
-// Tries returns how many peers this router asks in a row before it does something else.
-func (f *Fleet) Tries(now time.Time) int {
+// PullAttempts returns how many peers this router asks in a row before it does something else.
+func (f *Fleet) PullAttempts(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.relay(now) {
@@ -195,8 +195,8 @@
 	return askers(len(f.byName))
 }
 
-// Relay reports whether this router is one of those that pass on what the readers know.
-func (f *Fleet) Relay(now time.Time) bool {
+// IsRelay reports whether this router is one of those that pass on what the readers know.
+func (f *Fleet) IsRelay(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.relay(now)
@@ -217,9 +217,9 @@
 	return ok
 }
 
-// Asker reports whether this router is one of those that ask the store for all.
+// ReadsStore reports whether this router is one of those that ask the store for all.
 // One that is not registered asks for itself, unless it leaves and others are there.
-func (f *Fleet) Asker(now time.Time) bool {
+func (f *Fleet) ReadsStore(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rank, ok := f.rankOf(now)
@@ -246,8 +246,8 @@
 	return rank, false
 }
 
-// First reports whether this router is one of the first, whatever became of the others.
-func (f *Fleet) First() bool {
+// IsPrimaryReader reports whether this router is one of the first, whatever became of the others.
+func (f *Fleet) IsPrimaryReader() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rank, ok := f.rankOf(farFuture)
@@ -257,17 +257,17 @@
 // farFuture is when nobody is shunned any more.
 var farFuture = time.Unix(1<<40, 0)
 
-// Leave notes that this router stops.
-func (f *Fleet) Leave() {
+// SetLeaving notes that this router stops.
+func (f *Fleet) SetLeaving() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leaving = true
 }
 
-// Next returns the peer to ask: of the first that answered well one in the own
+// PickPeer returns the peer to ask: of the first that answered well one in the own
 // availability zone, if there is one; draw spreads the load over them. ok is false if
 // there is none. From all, any peer is meant.
-func (f *Fleet) Next(now time.Time, draw uint64, all bool) (p Peer, ok bool) {
+func (f *Fleet) PickPeer(now time.Time, draw uint64, all bool) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var open []Peer
@@ -308,9 +308,9 @@
 	return open[readers(n):]
 }
 
-// Leader returns one of the first routers, whatever became of it; draw spreads the load over
+// PickPrimary returns one of the first routers, whatever became of it; draw spreads the load over
 // them. ok is false if there is none but this one.
-func (f *Fleet) Leader(draw uint64) (p Peer, ok bool) {
+func (f *Fleet) PickPrimary(draw uint64) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := f.asked(farFuture)
@@ -339,20 +339,20 @@
 	return near
 }
 
-// Skip leaves a peer alone until a time.
-func (f *Fleet) Skip(name string, until time.Time) {
+// BackOff leaves a peer alone until a time.
+func (f *Fleet) BackOff(name string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.shunned[name] = until
 }
 
-// Shun leaves a peer alone for a while that was ill informed.
-func (f *Fleet) Shun(name string, now time.Time) {
-	f.Skip(name, now.Add(illFor))
+// RecordStale leaves a peer alone for a while that was ill informed.
+func (f *Fleet) RecordStale(name string, now time.Time) {
+	f.BackOff(name, now.Add(illFor))
 }
 
-// Fail notes that a peer gave no answer; it is left alone for a while.
-func (f *Fleet) Fail(name string, now time.Time) {
+// RecordNoAnswer notes that a peer gave no answer; it is left alone for a while.
+func (f *Fleet) RecordNoAnswer(name string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.shunned[name] = now.Add(shunFor)
@@ -361,8 +361,8 @@
 	}
 }
 
-// Heard notes that a peer gave an answer.
-func (f *Fleet) Heard(name string) {
+// RecordAnswer notes that a peer gave an answer.
+func (f *Fleet) RecordAnswer(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.silent, name)
@@ -372,8 +372,8 @@
 // removed. A killed one is back and registered anew within seconds.
 const goneAfter = 12 * time.Second
 
-// Gone returns the registered peers that have been silent for long.
-func (f *Fleet) Gone(now time.Time) (gone []Peer) {
+// Unresponsive returns the registered peers that have been silent for long.
+func (f *Fleet) Unresponsive(now time.Time) (gone []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.ranked() {
--- a/internal/peers/known.go
+++ b/internal/peers/known.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Firsts returns the first so many of the other routers by rank that are not left alone now.
-func (f *Fleet) Firsts(now time.Time, most int) []Peer {
+// TopRanked returns the first so many of the other routers by rank that are not left alone now.
+func (f *Fleet) TopRanked(now time.Time, most int) []Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.open(now, most)
 }
 
-// Named returns a registered router.
-func (f *Fleet) Named(name string) (p Peer, ok bool) {
+// Get returns a registered router.
+func (f *Fleet) Get(name string) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok = f.byName[name]
@@ -31,8 +31,8 @@
 	return slices.Collect(maps.Keys(f.byName))
 }
 
-// Before returns how many other routers in touch come before this one by rank, but for one.
-func (f *Fleet) Before(now time.Time, but string) int {
+// RankExcept returns how many other routers in touch come before this one by rank, but for one.
+func (f *Fleet) RankExcept(now time.Time, but string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rank, _ := f.rankBut(now, but)
--- a/internal/peers/notes.go
+++ b/internal/peers/notes.go
@@ -19,8 +19,8 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// Note is what a router tells of an endpoint.
-type Note struct {
+// AttemptReport is what a router tells of an endpoint.
+type AttemptReport struct {
 	// From is the teller's address; the hearer sets it.
 	From netip.Addr
 	// Endpoint is the hash of its ID.
@@ -34,34 +34,34 @@
 	Prefix uint64
 }
 
-// Notes sends notes to all routers and hears theirs. Notes go by datagram: one
+// Transport sends notes to all routers and hears theirs. Transport go by datagram: one
 // that is lost makes a choice a little worse, no more.
-type Notes struct {
+type Transport struct {
 	Log   *zap.Logger
 	fleet *Fleet
 	conn  *net.UDPConn
 	// secret is what notes to this router begin with.
 	secret *Secret
-	// OnNote and OnReport are called for each note and each report on a trial that
+	// OnAttemptReport and OnReport are called for each note and each report on a trial that
 	// is heard, by one goroutine; set OnReport before Run.
-	OnNote   func(n Note)
-	OnReport func(r roll.Report)
-	// OnCrash and OnVerdicts are called likewise for word of requests under which endpoints
+	OnAttemptReport func(n AttemptReport)
+	OnTrialReport   func(r roll.Report)
+	// OnCrashReport and OnVerdicts are called likewise for word of requests under which endpoints
 	// crashed; set them before Run.
-	OnCrash    func(s CrashReport)
-	OnVerdicts func(list []poison.Verdict)
+	OnCrashReport func(s CrashReport)
+	OnVerdicts    func(list []poison.Verdict)
 	// OnNotice is called for what endpoints said and for answers to questions, OnQuestion for
 	// questions, with what to answer, if anything; Notices returns what a router that starts should
 	// know of that. Set them before Run.
-	OnNotice   func(by netip.Addr, l Notice)
-	OnQuestion func(q LimitQuestion) (l Notice, ok bool)
-	Notices    func() []Notice
-	// OnUsage is called for reports of usage, with what to answer, if anything, and OnUsageAnswer
+	OnNotice     func(by netip.Addr, l Notice)
+	OnLimitQuery func(q LimitQuery) (l Notice, ok bool)
+	Notices      func() []Notice
+	// OnUsageReport is called for reports of usage, with what to answer, if anything, and OnUsageAnswer
 	// for the answers; set them before Run.
-	OnUsage       func(r UsageReport) (a UsageAnswer, ok bool)
-	OnUsageAnswer func(a UsageAnswer)
-	// ForStarting returns what a router that starts should know of such requests; set before Run.
-	ForStarting func() []poison.Verdict
+	OnUsageReport func(r UsageReport) (a UsageAck, ok bool)
+	OnUsageAck    func(a UsageAck)
+	// Verdicts returns what a router that starts should know of such requests; set before Run.
+	Verdicts func() []poison.Verdict
 	// Traffic counts the notes and reports; set before the first.
 	Traffic *Traffic
 }
@@ -98,19 +98,19 @@
 	busyMost = 30 * time.Second
 )
 
-// NewNotes listens for notes where the router answers its peers.
-func NewNotes(log *zap.Logger, f *Fleet, addr netip.AddrPort, secret *Secret, onNote func(Note)) (*Notes, error) {
+// NewTransport listens for notes where the router answers its peers.
+func NewTransport(log *zap.Logger, f *Fleet, addr netip.AddrPort, secret *Secret, onNote func(AttemptReport)) (*Transport, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
-	return &Notes{Log: log, fleet: f, conn: conn, secret: secret, OnNote: onNote, OnReport: func(roll.Report) {}, OnCrash: func(CrashReport) {}, OnVerdicts: func([]poison.Verdict) {}, ForStarting: func() []poison.Verdict { return nil },
-		OnNotice: func(netip.Addr, Notice) {}, OnQuestion: func(LimitQuestion) (l Notice, ok bool) { return l, false }, Notices: func() []Notice { return nil }, Traffic: &Traffic{},
-		OnUsage: func(UsageReport) (a UsageAnswer, ok bool) { return a, false }, OnUsageAnswer: func(UsageAnswer) {}}, nil
+	return &Transport{Log: log, fleet: f, conn: conn, secret: secret, OnAttemptReport: onNote, OnTrialReport: func(roll.Report) {}, OnCrashReport: func(CrashReport) {}, OnVerdicts: func([]poison.Verdict) {}, Verdicts: func() []poison.Verdict { return nil },
+		OnNotice: func(netip.Addr, Notice) {}, OnLimitQuery: func(LimitQuery) (l Notice, ok bool) { return l, false }, Notices: func() []Notice { return nil }, Traffic: &Traffic{},
+		OnUsageReport: func(UsageReport) (a UsageAck, ok bool) { return a, false }, OnUsageAck: func(UsageAck) {}}, nil
 }
 
 // Run hears notes until ctx is done.
-func (n *Notes) Run(ctx context.Context) error {
+func (n *Transport) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = n.conn.Close() })
 	defer stop()
 	buf := make([]byte, datagramMost)
@@ -130,7 +130,7 @@
 }
 
 // hear decodes a datagram with the right token.
-func (n *Notes) hear(b []byte, from netip.AddrPort) {
+func (n *Transport) hear(b []byte, from netip.AddrPort) {
 	body := b[bodyAt:]
 	switch b[kindAt] {
 	case kindNote:
@@ -155,40 +155,40 @@
 }
 
 // hearNote decodes a Note from a whole datagram.
-func (n *Notes) hearNote(b []byte, from netip.AddrPort) {
+func (n *Transport) hearNote(b []byte, from netip.AddrPort) {
 	if len(b) < prefixAt {
 		return
 	}
 	ms := binary.BigEndian.Uint32(b[bodyAt+8:])
-	note := Note{From: from.Addr(), Endpoint: binary.BigEndian.Uint64(b[bodyAt:]), Busy: min(time.Duration(ms)*time.Millisecond, busyMost), Failed: b[flagsAt]&flagFailed != 0}
+	note := AttemptReport{From: from.Addr(), Endpoint: binary.BigEndian.Uint64(b[bodyAt:]), Busy: min(time.Duration(ms)*time.Millisecond, busyMost), Failed: b[flagsAt]&flagFailed != 0}
 	if len(b) >= noteBytes {
 		note.Prefix = binary.BigEndian.Uint64(b[prefixAt:])
 	}
-	n.OnNote(note)
+	n.OnAttemptReport(note)
 }
 
 // hearReport decodes a report on a trial.
-func (n *Notes) hearReport(b []byte, from netip.AddrPort) {
+func (n *Transport) hearReport(b []byte, from netip.AddrPort) {
 	if r, err := decodeReport(b); n.sound(err, from, "peers: A report could not be decoded.") {
-		n.OnReport(r)
+		n.OnTrialReport(r)
 	}
 }
 
 // hearCrash decodes a CrashReport.
-func (n *Notes) hearCrash(b []byte, from netip.AddrPort) {
+func (n *Transport) hearCrash(b []byte, from netip.AddrPort) {
 	if s, ok := decodeFixed[CrashReport](n, b, from, "peers: A crash report could not be decoded."); ok {
-		n.OnCrash(s)
+		n.OnCrashReport(s)
 	}
 }
 
 // decodeFixed decodes a body of fixed length; one that is too short is logged as the message says.
-func decodeFixed[T any](n *Notes, b []byte, from netip.AddrPort, message string) (v T, ok bool) {
+func decodeFixed[T any](n *Transport, b []byte, from netip.AddrPort, message string) (v T, ok bool) {
 	_, err := binary.Decode(b, binary.BigEndian, &v)
 	return v, n.sound(err, from, message)
 }
 
 // sound reports whether a datagram could be decoded; one that could not is logged as the message says.
-func (n *Notes) sound(err error, from netip.AddrPort, message string) bool {
+func (n *Transport) sound(err error, from netip.AddrPort, message string) bool {
 	if err != nil {
 		n.Log.Warn(message, zap.Stringer("from", from), logs.Err(err))
 	}
@@ -196,34 +196,34 @@
 }
 
 // hearVerdicts decodes verdicts.
-func (n *Notes) hearVerdicts(b []byte, from netip.AddrPort) {
+func (n *Transport) hearVerdicts(b []byte, from netip.AddrPort) {
 	if list, err := decodeVerdicts(b, time.Now()); n.sound(err, from, "peers: Verdicts could not be decoded.") {
 		n.OnVerdicts(list)
 	}
 }
 
 // hearStarting tells a router that has just started, whose token follows, what it should know.
-func (n *Notes) hearStarting(token []byte, from netip.AddrPort) {
+func (n *Transport) hearStarting(token []byte, from netip.AddrPort) {
 	if len(token) != tokenBytes {
 		return
 	}
 	to := Peer{Name: from.String(), Addr: from, Token: string(token)}
-	n.sendVerdicts(n.ForStarting(), []Peer{to})
+	n.sendVerdicts(n.Verdicts(), []Peer{to})
 	n.sendNotices(n.Notices(), to)
 }
 
-// Audience says which routers hear a note: those of an availability zone first, and with
+// Recipients says which routers hear a note: those of an availability zone first, and with
 // Others some of the rest as well. The zero value is nobody.
-type Audience struct {
-	Zone   string
-	Others bool
+type Recipients struct {
+	Zone       string
+	OtherZones bool
 }
 
 // everybody is the audience of what concerns all alike.
-var everybody = Audience{Others: true}
+var everybody = Recipients{OtherZones: true}
 
-// Send tells other routers.
-func (n *Notes) Send(note Note, to Audience) {
+// SendAttemptReport tells other routers.
+func (n *Transport) SendAttemptReport(note AttemptReport, to Recipients) {
 	var buf [noteBytes]byte
 	buf[kindAt] = kindNote
 	binary.BigEndian.PutUint64(buf[bodyAt:], note.Endpoint)
@@ -232,28 +232,28 @@
 		buf[flagsAt] = flagFailed
 	}
 	binary.BigEndian.PutUint64(buf[prefixAt:], note.Prefix)
-	n.Traffic.Notes.Add(n.send(buf[:], to))
+	n.Traffic.AttemptReports.Add(n.send(buf[:], to))
 }
 
-// SendReport tells all other routers what this one saw of a trial.
-func (n *Notes) SendReport(r roll.Report) {
+// SendTrialReport tells all other routers what this one saw of a trial.
+func (n *Transport) SendTrialReport(r roll.Report) {
 	buf, err := encodeReport(datagram(kindReport, datagramMost-bodyAt), r)
 	if err != nil {
 		n.Log.Error("peers: A report could not be encoded.", logs.Err(err))
 		return
 	}
-	n.Traffic.Reports.Add(n.send(buf, everybody))
+	n.Traffic.TrialReports.Add(n.send(buf, everybody))
 }
 
 // send sends a datagram, which begins with room for the hearer's token, and returns the
 // bytes that were sent to all.
-func (n *Notes) send(buf []byte, to Audience) (bytes int64) {
+func (n *Transport) send(buf []byte, to Recipients) (bytes int64) {
 	n.fleet.each(to, func(p Peer) { bytes += n.sendOne(p, buf) })
 	return bytes
 }
 
 // sendTo is send to named routers.
-func (n *Notes) sendTo(list []Peer, buf []byte) (bytes int64) {
+func (n *Transport) sendTo(list []Peer, buf []byte) (bytes int64) {
 	for _, p := range list {
 		bytes += n.sendOne(p, buf)
 	}
@@ -261,7 +261,7 @@
 }
 
 // sendOne sends a datagram to one router and returns its bytes.
-func (n *Notes) sendOne(p Peer, buf []byte) int64 {
+func (n *Transport) sendOne(p Peer, buf []byte) int64 {
 	copy(buf[:tokenBytes], p.Token)
 	if _, err := n.conn.WriteToUDPAddrPort(buf, p.Addr); err != nil {
 		n.Log.Debug("peers: A note was not sent.", zap.String("peer", p.Name), logs.Err(err))
@@ -276,7 +276,7 @@
 
 // each calls do for the routers of an audience that are not shunned, for toldMost of them at
 // most. Routers that do not tell their zone are in each.
-func (f *Fleet) each(to Audience, do func(Peer)) {
+func (f *Fleet) each(to Recipients, do func(Peer)) {
 	now := time.Now()
 	f.mu.Lock()
 	var zone, others []Peer
@@ -285,7 +285,7 @@
 		case p.Name == f.self || !now.After(f.shunned[p.Name]):
 		case to.Zone != "" && (p.Zone == to.Zone || p.Zone == ""):
 			zone = append(zone, p)
-		case to.Others:
+		case to.OtherZones:
 			others = append(others, p)
 		}
 	}
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -18,23 +18,23 @@
 // Notice is what an endpoint has said of itself: what a router was told by the endpoint, or its
 // answer to a LimitQuestion.
 type Notice struct {
-	// Endpoint is the hash of the endpoint's ID, and Life names the life that said it.
-	Endpoint, Life uint64
+	// Endpoint is the hash of the endpoint's ID, and Incarnation names the life that said it.
+	Endpoint, Incarnation uint64
 	// Limit is a pool.LimitStatus, and PerSecond the requests a second of a limit.
 	Limit     uint8
 	PerSecond float64
 	// Leaving says that the endpoint takes no new work any more.
 	Leaving bool
 	// Granted says that the hearer may send one request in the teller's place, which was asked
-	// for that; Answers says that this is an answer, whether granted or not.
-	Answers, Granted bool
+	// for that; IsAnswer says that this is an answer, whether granted or not.
+	IsAnswer, Granted bool
 	// WaitMs is how long the teller has nothing more to grant, in milliseconds.
 	WaitMs uint32
 }
 
-// LimitQuestion asks a router to grant a request out of its share of a limit.
-type LimitQuestion struct {
-	Endpoint, Life uint64
+// LimitQuery asks a router to grant a request out of its share of a limit.
+type LimitQuery struct {
+	Endpoint, Incarnation uint64
 	// PerSecond is the limit as the asker knows it.
 	PerSecond float64
 	// Token is the asker's, for the answer.
@@ -48,7 +48,7 @@
 )
 
 // SendNotice tells other routers what an endpoint said: some of them, or all.
-func (n *Notes) SendNotice(l Notice, all bool) {
+func (n *Transport) SendNotice(l Notice, all bool) {
 	buf := n.encode(kindNotice, l, noticeBytes)
 	if all {
 		n.Traffic.Notices.Add(n.sendTo(n.fleet.others(), buf))
@@ -58,15 +58,15 @@
 }
 
 // sendNotices tells a router that starts what endpoints said.
-func (n *Notes) sendNotices(list []Notice, to Peer) {
+func (n *Transport) sendNotices(list []Notice, to Peer) {
 	for _, l := range list {
 		n.Traffic.Notices.Add(n.sendOne(to, n.encode(kindNotice, l, noticeBytes)))
 	}
 }
 
-// AskLimit asks one of the routers that share an endpoint's limit, of which there are so many; draw
+// SendLimitQuery asks one of the routers that share an endpoint's limit, of which there are so many; draw
 // chooses. The answer comes under this router's token.
-func (n *Notes) AskLimit(q LimitQuestion, holders int, draw uint64) {
+func (n *Transport) SendLimitQuery(q LimitQuery, holders int, draw uint64) {
 	list := n.fleet.holders(q.Endpoint, holders)
 	if len(list) == 0 || !n.secret.copyTo(q.Token[:]) {
 		return
@@ -84,7 +84,7 @@
 }
 
 // encode returns a datagram with a body of fixed length.
-func (n *Notes) encode(kind byte, body any, size int) []byte {
+func (n *Transport) encode(kind byte, body any, size int) []byte {
 	buf, err := binary.Append(datagram(kind, size), binary.BigEndian, body)
 	if err != nil {
 		n.Log.Error("peers: A datagram could not be encoded.", logs.Err(err))
@@ -93,19 +93,19 @@
 }
 
 // hearNotice decodes a Notice.
-func (n *Notes) hearNotice(b []byte, from netip.AddrPort) {
+func (n *Transport) hearNotice(b []byte, from netip.AddrPort) {
 	if l, ok := decodeFixed[Notice](n, b, from, "peers: What an endpoint said could not be decoded."); ok {
 		n.OnNotice(from.Addr(), l)
 	}
 }
 
 // hearQuestion decodes a LimitQuestion and answers it.
-func (n *Notes) hearQuestion(b []byte, from netip.AddrPort) {
-	q, ok := decodeFixed[LimitQuestion](n, b, from, "peers: A question about a limit could not be decoded.")
+func (n *Transport) hearQuestion(b []byte, from netip.AddrPort) {
+	q, ok := decodeFixed[LimitQuery](n, b, from, "peers: A question about a limit could not be decoded.")
 	if !ok {
 		return
 	}
-	l, ok := n.OnQuestion(q)
+	l, ok := n.OnLimitQuery(q)
 	if !ok {
 		return
 	}
--- a/internal/peers/notices_test.go
+++ b/internal/peers/notices_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		body any
 		want int
-	}{{Notice{}, noticeBytes}, {LimitQuestion{}, questionBytes}} {
+	}{{Notice{}, noticeBytes}, {LimitQuery{}, questionBytes}} {
 		if got := binary.Size(c.body); got != c.want {
 			t.Errorf("%T: got %d bytes, want %d", c.body, got, c.want)
 		}
@@ -40,7 +40,7 @@
 		share := make(map[string]bool)
 		for _, f := range fleets {
 			b := pool.NewBook()
-			self, all, _ := f.Hashes()
+			self, all, _ := f.SenderHashes()
 			b.SetSenders(pool.Senders{Self: self, All: all})
 			b.Put(pool.Entry{ID: id, Revision: 1})
 			// Three share a limit of 0, and one more for each two requests a second.
@@ -71,19 +71,19 @@
 	heard := make(chan Notice, 4)
 	asker, holder := list[0], list[1]
 	asker.OnNotice = func(_ netip.Addr, l Notice) { heard <- l }
-	want := Notice{Endpoint: 7, Life: 8, Limit: uint8(pool.Limited), PerSecond: 2.5, Answers: true, Granted: true, WaitMs: 400}
-	holder.OnQuestion = func(q LimitQuestion) (Notice, bool) {
-		return want, q.Life == want.Life && q.PerSecond == want.PerSecond
+	want := Notice{Endpoint: 7, Incarnation: 8, Limit: uint8(pool.Limited), PerSecond: 2.5, IsAnswer: true, Granted: true, WaitMs: 400}
+	holder.OnLimitQuery = func(q LimitQuery) (Notice, bool) {
+		return want, q.Incarnation == want.Incarnation && q.PerSecond == want.PerSecond
 	}
-	told := Notice{Endpoint: 7, Life: 8, Limit: uint8(pool.Limited), PerSecond: 3, Leaving: true}
+	told := Notice{Endpoint: 7, Incarnation: 8, Limit: uint8(pool.Limited), PerSecond: 3, Leaving: true}
 	holder.Notices = func() []Notice { return []Notice{told} }
 	for _, n := range list {
 		n.fleet.Put(all[0])
 		n.fleet.Put(all[1])
 	}
 	end := runNotes(t, list)
-	asker.AskLimit(LimitQuestion{Endpoint: 7, Life: 9, PerSecond: 2.5}, 2, 0)
-	asker.AskLimit(LimitQuestion{Endpoint: 7, Life: 8, PerSecond: 2.5}, 2, 1)
+	asker.SendLimitQuery(LimitQuery{Endpoint: 7, Incarnation: 9, PerSecond: 2.5}, 2, 0)
+	asker.SendLimitQuery(LimitQuery{Endpoint: 7, Incarnation: 8, PerSecond: 2.5}, 2, 1)
 	if got := <-heard; got != want {
 		t.Errorf("answer: got %+v, want %+v", got, want)
 	}
@@ -93,7 +93,7 @@
 			t.Errorf("told to all: %v: got %+v, want %+v", all, got, told)
 		}
 	}
-	asker.AskStarting(all[0].Token)
+	asker.QueryState(all[0].Token)
 	if got := <-heard; got != told {
 		t.Errorf("told a router that starts: got %+v, want %+v", got, told)
 	}
@@ -108,18 +108,18 @@
 	f.Now = func() time.Time { return now }
 	f.Put(Peer{Name: "vm-1"})
 	f.Put(Peer{Name: "vm-2"})
-	_, _, before := f.Hashes()
+	_, _, before := f.SenderHashes()
 	f.Remove("vm-2")
-	if _, all, generation := f.Hashes(); len(all) != 2 || generation != before || f.Sending() != 2 {
-		t.Errorf("removed: got %d routers, generation %d, %d that send, want 2, %d and 2", len(all), generation, f.Sending(), before)
+	if _, all, generation := f.SenderHashes(); len(all) != 2 || generation != before || f.SenderCount() != 2 {
+		t.Errorf("removed: got %d routers, generation %d, %d that send, want 2, %d and 2", len(all), generation, f.SenderCount(), before)
 	}
 	f.Put(Peer{Name: "vm-2"})
-	if _, all, generation := f.Hashes(); len(all) != 2 || generation != before {
+	if _, all, generation := f.SenderHashes(); len(all) != 2 || generation != before {
 		t.Errorf("registered again: got %d routers, generation %d, want 2 and %d", len(all), generation, before)
 	}
 	f.Remove("vm-2")
 	now = now.Add(sendsOn)
-	if _, all, generation := f.Hashes(); len(all) != 1 || generation == before {
+	if _, all, generation := f.SenderHashes(); len(all) != 1 || generation == before {
 		t.Errorf("later: got %d routers, generation %d, want 1 and another", len(all), generation)
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -49,12 +49,12 @@
 	return &s
 }
 
-func asker(list ...*served) *Asker {
+func asker(list ...*served) *Puller {
 	f := NewFleet("self")
 	for _, p := range list {
 		f.Put(p.Peer)
 	}
-	return NewAsker(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
+	return NewPuller(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
 }
 
 func put(m *mirror.Mirror, revision int64, at time.Time) {
@@ -111,7 +111,7 @@
 	if a.ask(context.Background(), p.Peer, true) {
 		t.Error("ask: got true of a peer that heard nothing for a minute")
 	}
-	if _, ok := a.Fleet.Next(time.Now(), 0, true); ok {
+	if _, ok := a.Fleet.PickPeer(time.Now(), 0, true); ok {
 		t.Error("the peer is asked again at once")
 	}
 	if got := a.Mirror.Revision("k"); got != 5 {
@@ -145,9 +145,9 @@
 				f.Put(Peer{Name: name})
 			}
 			if shunned != "" && self != shunned {
-				f.Shun(shunned, now)
+				f.RecordStale(shunned, now)
 			}
-			if self != shunned && f.Asker(now) {
+			if self != shunned && f.ReadsStore(now) {
 				n++
 			}
 		}
@@ -169,13 +169,13 @@
 	now := time.Now()
 	f.Put(Peer{Name: "self"})
 	f.Put(Peer{Name: "a"})
-	f.Leave()
+	f.SetLeaving()
 	f.Remove("self")
-	if f.Asker(now) {
+	if f.ReadsStore(now) {
 		t.Error("leaving, with another one there: got true, want the store left to it")
 	}
-	f.Shun("a", now)
-	if !f.Asker(now) {
+	f.RecordStale("a", now)
+	if !f.ReadsStore(now) {
 		t.Error("leaving, with none that answers: got false, want it to ask the store")
 	}
 }
@@ -184,24 +184,24 @@
 	f := NewFleet("self")
 	f.Put(Peer{Name: "a"})
 	now := time.Now()
-	f.Fail("a", now)
-	if got := f.Gone(now.Add(goneAfter)); len(got) != 0 {
+	f.RecordNoAnswer("a", now)
+	if got := f.Unresponsive(now.Add(goneAfter)); len(got) != 0 {
 		t.Errorf("gone too soon: got %v", got)
 	}
-	if got := f.Gone(now.Add(goneAfter + time.Second)); len(got) != 1 {
+	if got := f.Unresponsive(now.Add(goneAfter + time.Second)); len(got) != 1 {
 		t.Errorf("gone: got %v, want a", got)
 	}
-	f.Heard("a")
-	if got := f.Gone(now.Add(goneAfter + time.Second)); len(got) != 0 {
+	f.RecordAnswer("a")
+	if got := f.Unresponsive(now.Add(goneAfter + time.Second)); len(got) != 0 {
 		t.Errorf("gone after it was heard: got %v", got)
 	}
 }
 
 func TestNotesReachTheOthers(t *testing.T) {
-	heard := make(chan Note, 10)
+	heard := make(chan AttemptReport, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 3)
-	var list []*Notes
+	var list []*Transport
 	var all []Peer
 	for i := range 3 {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -212,7 +212,7 @@
 		_ = c.Close()
 		all = append(all, Peer{Name: fmt.Sprint(i), Addr: addr, Token: fmt.Sprintf("%016d-and-more", i)})
 		f := NewFleet(all[i].Name)
-		n, err := NewNotes(zap.NewNop(), f, addr, secretOf(all[i].Token), func(n Note) { heard <- n })
+		n, err := NewTransport(zap.NewNop(), f, addr, secretOf(all[i].Token), func(n AttemptReport) { heard <- n })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,8 +224,8 @@
 			n.fleet.Put(p)
 		}
 	}
-	want := Note{From: netip.MustParseAddr("127.0.0.1"), Endpoint: 77, Busy: 1500 * time.Millisecond, Failed: true, Prefix: 99}
-	list[0].Send(want, everybody)
+	want := AttemptReport{From: netip.MustParseAddr("127.0.0.1"), Endpoint: 77, Busy: 1500 * time.Millisecond, Failed: true, Prefix: 99}
+	list[0].SendAttemptReport(want, everybody)
 	for range 2 {
 		select {
 		case got := <-heard:
@@ -258,10 +258,10 @@
 			f.Put(Peer{Name: name})
 		}
 		before := time.Now()
-		a := NewAsker(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
+		a := NewPuller(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
 		now := time.Now() // It waits from some moment between these two on.
-		a.Introduce()
-		if f.First() {
+		a.SetPeersKnown()
+		if f.IsPrimaryReader() {
 			first++
 			if !a.may("k", now) {
 				t.Errorf("%s, one of the first: got false, want the store's turn", self)
@@ -291,20 +291,20 @@
 	a := asker()
 	a.Fleet.Put(Peer{Name: "self"})
 	for i := range 9 {
-		a.Fleet.Put(Peer{Name: fmt.Sprint("before-", i), Ability: 800})
+		a.Fleet.Put(Peer{Name: fmt.Sprint("before-", i), Millicores: 800})
 	}
-	a.Introduce()
+	a.SetPeersKnown()
 	if a.may("k", time.Now()) {
 		t.Fatal("not one of the first: got the store's turn, want the peers'")
 	}
-	asked.srv.Config.Handler.(*Server).OnStarting = a.Want
+	asked.srv.Config.Handler.(*Server).OnStartingPeer = a.RecordStartingPeer
 	starting := asker(asked)
 	starting.ask(context.Background(), asked.Peer, false)
 	if !a.may("k", time.Now()) {
 		t.Error("asked by a starting router: got false, want the store's turn")
 	}
 	b := asker()
-	asked.srv.Config.Handler.(*Server).OnStarting = b.Want
+	asked.srv.Config.Handler.(*Server).OnStartingPeer = b.RecordStartingPeer
 	put(starting.Mirror, 5, time.Now())
 	starting.ask(context.Background(), asked.Peer, false)
 	if b.wanted.Load() {
@@ -325,7 +325,7 @@
 		t.Errorf("not registered in time: got %v for the watched kind and %v for another, want true and false", a.may("config", late), a.may("k", late))
 	}
 	a.Fleet.Put(Peer{Name: "self"})
-	a.Introduce()
+	a.SetPeersKnown()
 	if !a.may("k", now) {
 		t.Error("registered, alone: got false, want the store's turn")
 	}
@@ -339,9 +339,9 @@
 		if i%40 < 6 {
 			ability = 800
 		}
-		f.Put(Peer{Name: fmt.Sprint(zone, "-", i), Zone: zone, Ability: ability})
+		f.Put(Peer{Name: fmt.Sprint(zone, "-", i), Zone: zone, Millicores: ability})
 	}
-	f.Put(Peer{Name: "a-9", Zone: "a", Ability: 144})
+	f.Put(Peer{Name: "a-9", Zone: "a", Millicores: 144})
 	return f
 }
 
@@ -350,7 +350,7 @@
 	zones, able := make(map[string]bool), 0
 	for _, p := range zoned().ranked()[:6] {
 		zones[p.Zone] = true
-		able += p.Ability
+		able += p.Millicores
 	}
 	if len(zones) != 6 || able != 6*800 {
 		t.Errorf("first six: got zones %v and an ability of %d together, want six zones and %d", zones, able, 6*800)
@@ -361,16 +361,16 @@
 func TestTheOwnZoneIsAsked(t *testing.T) {
 	f := zoned()
 	for draw := range uint64(20) {
-		if p, ok := f.Next(time.Now(), draw, false); !ok || p.Zone != "a" {
+		if p, ok := f.PickPeer(time.Now(), draw, false); !ok || p.Zone != "a" {
 			t.Fatalf("draw %d: got %v, want one of the own zone", draw, p)
 		}
 	}
 	for _, p := range f.ranked()[:6] {
 		if p.Zone == "a" {
-			f.Shun(p.Name, time.Now())
+			f.RecordStale(p.Name, time.Now())
 		}
 	}
-	if p, ok := f.Next(time.Now(), 1, false); !ok || p.Name == "" {
+	if p, ok := f.PickPeer(time.Now(), 1, false); !ok || p.Name == "" {
 		t.Errorf("without the own zone's: got %v, want another", p)
 	}
 }
@@ -384,7 +384,7 @@
 	}
 	asked := make(map[string]bool)
 	for draw := range uint64(1000) {
-		p, _ := f.Next(time.Now(), draw, false)
+		p, _ := f.PickPeer(time.Now(), draw, false)
 		asked[p.Name] = true
 	}
 	if got, want := len(asked), 370/askedBy; got != want {
@@ -409,21 +409,21 @@
 	for i := range 9 {
 		f.Put(Peer{Name: fmt.Sprint("r-", i), Zone: []string{"a", "b", ""}[i%3]})
 	}
-	tell := func(to Audience) string {
+	tell := func(to Recipients) string {
 		var told []string
 		f.each(to, func(p Peer) { told = append(told, p.Name) })
 		slices.Sort(told)
 		return fmt.Sprint(told)
 	}
-	if got, want := tell(Audience{Zone: "b"}), "[r-1 r-2 r-4 r-5 r-7 r-8]"; got != want {
+	if got, want := tell(Recipients{Zone: "b"}), "[r-1 r-2 r-4 r-5 r-7 r-8]"; got != want {
 		t.Errorf("routers of b, and of no zone that is known: got %s, want %s", got, want)
 	}
-	if got, want := tell(Audience{Zone: "b", Others: true}), "[r-1 r-2 r-3 r-4 r-5 r-6 r-7 r-8]"; got != want {
+	if got, want := tell(Recipients{Zone: "b", OtherZones: true}), "[r-1 r-2 r-3 r-4 r-5 r-6 r-7 r-8]"; got != want {
 		t.Errorf("those and the others: got %s, want %s", got, want)
 	}
 	large := zoned()
 	zone := 0
-	large.each(Audience{Zone: "b", Others: true}, func(p Peer) {
+	large.each(Recipients{Zone: "b", OtherZones: true}, func(p Peer) {
 		if p.Zone == "b" {
 			zone++
 		}
@@ -436,18 +436,18 @@
 // While the store is not heard of, one kind alone is asked for.
 func TestOneKindTriesADeadStore(t *testing.T) {
 	a := asker()
-	a.Introduce()
+	a.SetPeersKnown()
 	put(a.Mirror, 5, time.Now().Add(-unheardAfter-time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
-	if !a.Turn(ctx, "config") {
+	if !a.WaitToReadStore(ctx, "config") {
 		t.Error("watched kind: got false, want the store's turn")
 	}
 	time.AfterFunc(5*time.Duration(turnPoll), cancel)
-	if a.Turn(ctx, "k") {
+	if a.WaitToReadStore(ctx, "k") {
 		t.Error("another kind: got the store's turn, want none before the store is heard of")
 	}
 	put(a.Mirror, 6, time.Now())
-	if !a.Turn(context.Background(), "k") {
+	if !a.WaitToReadStore(context.Background(), "k") {
 		t.Error("another kind after the store was heard of: got false, want its turn")
 	}
 }
@@ -465,7 +465,7 @@
 	put(list[5].mirror, 9, time.Now())
 	a := asker(list...)
 	a.Fleet.Put(Peer{Name: "self"})
-	a.Introduce()
+	a.SetPeersKnown()
 	put(a.Mirror, 5, time.Now().Add(-time.Minute))
 	ctx := running(t, a)
 	began := time.Now()
@@ -478,7 +478,7 @@
 }
 
 // running runs an asker until the test ends, and checks how it ends.
-func running(t *testing.T, a *Asker) context.Context {
+func running(t *testing.T, a *Puller) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
@@ -515,13 +515,13 @@
 	}
 	a := asker(list...)
 	a.Fleet.Put(Peer{Name: "self"})
-	a.Introduce()
+	a.SetPeersKnown()
 	put(a.Mirror, 5, time.Now().Add(-time.Minute))
 	ctx := running(t, a)
 	for deadline := time.Now().Add(patience); !a.direct.Load() && time.Now().Before(deadline); {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
-	leader, _ := a.Fleet.Leader(xxhash.Sum64String("self"))
+	leader, _ := a.Fleet.PickPrimary(xxhash.Sum64String("self"))
 	for _, p := range list {
 		if p.Name == leader.Name {
 			put(p.mirror, 5, time.Now())
@@ -555,7 +555,7 @@
 	if got, _ := a.Mirror.Since("k", -1); len(got.Changes) != 3000 || string(got.Changes[0].Spec) == "" {
 		t.Errorf("objects: got %d, want 3000 with what they specify", len(got.Changes))
 	}
-	if got, most := traffic.Answers.Load(), int64(60_000); got > most {
+	if got, most := traffic.PullResponses.Load(), int64(60_000); got > most {
 		t.Errorf("bytes of the answer: got %d, want at most %d, 20 an object", got, most)
 	}
 }
@@ -570,7 +570,7 @@
 	if a.ask(context.Background(), p.Peer, true) {
 		t.Fatal("ask of a peer that has not read the watched kind: got true, want false")
 	}
-	if _, ok := a.Fleet.Next(time.Now().Add(2*time.Duration(startPoll)), 0, false); !ok {
+	if _, ok := a.Fleet.PickPeer(time.Now().Add(2*time.Duration(startPoll)), 0, false); !ok {
 		t.Error("next peer, a moment later: got none, want the one that starts too")
 	}
 }
@@ -583,14 +583,14 @@
 	a := asker(p)
 	a.Fleet.Put(Peer{Name: "self"})
 	a.Mirror.List("config", nil, 5, time.Now(), time.Time{})
-	if !a.Fleet.Asker(time.Now()) {
+	if !a.Fleet.ReadsStore(time.Now()) {
 		t.Fatal("one of two routers: got no asker, want one")
 	}
-	a.Introduce()
+	a.SetPeersKnown()
 	// Two others come before it, so that it does not read the store for others.
-	for i := 0; a.Fleet.First() && i < 64; i++ {
+	for i := 0; a.Fleet.IsPrimaryReader() && i < 64; i++ {
 		a.Fleet.Put(Peer{Name: fmt.Sprint("shunned", i)})
-		a.Fleet.Shun(fmt.Sprint("shunned", i), time.Now().Add(time.Hour))
+		a.Fleet.RecordStale(fmt.Sprint("shunned", i), time.Now().Add(time.Hour))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -23,9 +23,9 @@
 func fleetOf(n int) *Fleet {
 	f := NewFleet("")
 	for i := range n {
-		p := Peer{Name: fmt.Sprint("r-", i), Zone: fmt.Sprint("zone-", i%6), Ability: 144}
+		p := Peer{Name: fmt.Sprint("r-", i), Zone: fmt.Sprint("zone-", i%6), Millicores: 144}
 		if i%20 < 2 {
-			p.Ability = 1600
+			p.Millicores = 1600
 		}
 		f.Put(p)
 	}
@@ -44,10 +44,10 @@
 		ask, pass := 0, 0
 		for _, p := range f.ranked()[:min(c.routers, 2*(c.readers+c.relays))] {
 			f.self = p.Name
-			if f.Asker(now) {
+			if f.ReadsStore(now) {
 				ask++
 			}
-			if f.Relay(now) {
+			if f.IsRelay(now) {
 				pass++
 			}
 		}
@@ -56,10 +56,10 @@
 		some = some[:min(c.routers, 384)]
 		for _, i := range some {
 			f.self = fmt.Sprint("r-", i)
-			if f.Asker(now) {
+			if f.ReadsStore(now) {
 				continue
 			}
-			if p, ok := f.Next(now, mixer.Mix(uint64(i)), false); ok {
+			if p, ok := f.PickPeer(now, mixer.Mix(uint64(i)), false); ok {
 				asked[p.Name]++
 			}
 		}
@@ -77,7 +77,7 @@
 // chain is a reader, a relay that asks it and a follower that asks the relay, of 384 routers.
 type chain struct {
 	reader, relay, follower *mirror.Mirror
-	asks, follows           *Asker
+	asks, follows           *Puller
 	// reads says that the reader hears from the store.
 	reads atomic.Bool
 }
@@ -93,7 +93,7 @@
 	}
 	read, passed := server(c.reader), server(c.relay)
 	order := fleetOf(384).ranked()
-	asker := func(self string, m *mirror.Mirror) *Asker {
+	asker := func(self string, m *mirror.Mirror) *Puller {
 		f := fleetOf(384)
 		f.self = self
 		for i, p := range order[:11] {
@@ -104,7 +104,7 @@
 			p.Addr, p.Token = at.Addr, at.Token
 			f.Put(p)
 		}
-		return NewAsker(zap.NewNop(), f, m, "config", "config", "k")
+		return NewPuller(zap.NewNop(), f, m, "config", "config", "k")
 	}
 	c.asks, c.follows = asker(order[2].Name, c.relay), asker(order[200].Name, c.follower)
 	for _, m := range []*mirror.Mirror{c.reader, c.relay, c.follower} {
@@ -150,7 +150,7 @@
 		}
 	}
 	look(3 * time.Second)
-	if !c.asks.Fleet.Relay(time.Now()) {
+	if !c.asks.Fleet.IsRelay(time.Now()) {
 		t.Error("with readers that answer: got no relay, want one")
 	}
 	c.reads.Store(false)
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -23,11 +23,11 @@
 	Mirror *mirror.Mirror
 	Secret *Secret
 	packs  packs
-	// Watched is the kind whose age says how well this router is informed.
-	Watched string
-	// OnStarting is called where a peer that knows nothing yet asks this router; set before
+	// FreshnessKind is the kind whose age says how well this router is informed.
+	FreshnessKind string
+	// OnStartingPeer is called where a peer that knows nothing yet asks this router; set before
 	// the first question.
-	OnStarting func()
+	OnStartingPeer func()
 	// Verdicts returns what a peer that starts should know besides the stored objects; set
 	// before the first question.
 	Verdicts func() []poison.Verdict
@@ -51,7 +51,7 @@
 
 // NewServer returns a server that answers those who show the token.
 func NewServer(log *zap.Logger, m *mirror.Mirror, watched string, secret *Secret) *Server {
-	return &Server{Log: log, Mirror: m, Watched: watched, Secret: secret, OnStarting: func() {}, Age: func(at, now time.Time) time.Duration { return now.Sub(at) }, Verdicts: func() []poison.Verdict { return nil }, Traffic: &Traffic{}, slots: make(chan struct{}, heldMost)}
+	return &Server{Log: log, Mirror: m, FreshnessKind: watched, Secret: secret, OnStartingPeer: func() {}, Age: func(at, now time.Time) time.Duration { return now.Sub(at) }, Verdicts: func() []poison.Verdict { return nil }, Traffic: &Traffic{}, slots: make(chan struct{}, heldMost)}
 }
 
 // ServeHTTP answers one question.
@@ -78,7 +78,7 @@
 		return
 	}
 	if q.starting() {
-		s.OnStarting()
+		s.OnStartingPeer()
 	}
 	asked := time.Now()
 	s.hold(r.Context(), &q, asked)
@@ -93,7 +93,7 @@
 		a.Verdicts = s.verdicts(now)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if err := a.write(countingWriter{w, &s.Traffic.Answers}); err != nil {
+	if err := a.write(countingWriter{w, &s.Traffic.PullResponses}); err != nil {
 		s.Log.Debug("peers: A peer left before its answer.", zap.Error(err))
 	}
 }
@@ -114,10 +114,10 @@
 func (s *Server) hold(ctx context.Context, q *question, asked time.Time) {
 	until := asked.Add(min(time.Duration(q.WaitMs)*time.Millisecond, waitMost))
 	if q.Proof {
-		s.Mirror.AwaitProof(ctx, s.Watched, asked.Add(-time.Duration(agedAfter)), until)
+		s.Mirror.AwaitProof(ctx, s.FreshnessKind, asked.Add(-time.Duration(agedAfter)), until)
 		return
 	}
-	proven, most := s.Mirror.Proven(s.Watched), agedAfter
+	proven, most := s.Mirror.Proven(s.FreshnessKind), agedAfter
 	if q.Follows {
 		most = relayAgedAfter
 	}
@@ -125,7 +125,7 @@
 		until = aged
 	}
 	if q.Follows {
-		s.Mirror.AwaitNews(ctx, q.Have, s.Watched, proven, until)
+		s.Mirror.AwaitNews(ctx, q.Have, s.FreshnessKind, proven, until)
 		return
 	}
 	s.Mirror.Await(ctx, q.Have, until)
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -18,7 +18,7 @@
 // Traffic counts the bytes that this router sent to others, without what the network
 // adds. The zero value has counted none.
 type Traffic struct {
-	Notes, Reports, Quarantines, Notices, Usage, Questions, Answers atomic.Int64
+	AttemptReports, TrialReports, Quarantines, Notices, Usage, PullRequests, PullResponses atomic.Int64
 }
 
 // toldEvery is how often the log tells what was sent since the line before.
@@ -28,8 +28,8 @@
 func (t *Traffic) Run(ctx context.Context, log *zap.Logger) error {
 	for ctx.Err() == nil {
 		tasks.Pause(ctx, toldEvery.After(time.Now()))
-		log.Info("peers: Bytes were sent to other routers.", zap.Int64("notesBytes", t.Notes.Swap(0)), zap.Int64("reportsBytes", t.Reports.Swap(0)), zap.Int64("crashesBytes", t.Quarantines.Swap(0)), zap.Int64("noticesBytes", t.Notices.Swap(0)), zap.Int64("usageBytes", t.Usage.Swap(0)),
-			zap.Int64("questionsBytes", t.Questions.Swap(0)), zap.Int64("answersBytes", t.Answers.Swap(0)))
+		log.Info("peers: Bytes were sent to other routers.", zap.Int64("notesBytes", t.AttemptReports.Swap(0)), zap.Int64("reportsBytes", t.TrialReports.Swap(0)), zap.Int64("crashesBytes", t.Quarantines.Swap(0)), zap.Int64("noticesBytes", t.Notices.Swap(0)), zap.Int64("usageBytes", t.Usage.Swap(0)),
+			zap.Int64("questionsBytes", t.PullRequests.Swap(0)), zap.Int64("answersBytes", t.PullResponses.Swap(0)))
 	}
 	return nil
 }
--- a/internal/peers/turn.go
+++ b/internal/peers/turn.go
@@ -14,10 +14,10 @@
 	"github.com/traildrift/traildrift/internal/tasks"
 )
 
-// Turn waits until the store should be asked for a kind; it returns false if ctx was
+// WaitToReadStore waits until the store should be asked for a kind; it returns false if ctx was
 // done first. While the store is not heard of, one kind alone is tried: each call is
 // priced, also to a store that is down.
-func (a *Asker) Turn(ctx context.Context, kind string) bool {
+func (a *Puller) WaitToReadStore(ctx context.Context, kind string) bool {
 	for ctx.Err() == nil {
 		now := time.Now()
 		if a.may(kind, now) {
@@ -34,38 +34,38 @@
 
 // may reports whether the store should be asked for a kind now. Of routers that start, the
 // first ones of the peers they know of read the store, and the others ask these.
-func (a *Asker) may(kind string, now time.Time) bool {
+func (a *Puller) may(kind string, now time.Time) bool {
 	switch {
 	case a.Mirror.Revision(kind) >= 0:
-		return (kind == a.Watched || a.heard(now)) && (a.directFor(a.alone(kind), now) || a.Fleet.Asker(now))
+		return (kind == a.FreshnessKind || a.heard(now)) && (a.directFor(a.alone(kind), now) || a.Fleet.ReadsStore(now))
 	case a.introduced.Load():
 		return a.reads() || a.waited(now)
 	default:
-		return kind == a.Watched && a.waited(now)
+		return kind == a.FreshnessKind && a.waited(now)
 	}
 }
 
 // heard reports whether the store was heard of lately, by this router or others.
-func (a *Asker) heard(now time.Time) bool {
-	return now.Sub(a.Mirror.Proven(a.Watched)) <= unheardAfter
+func (a *Puller) heard(now time.Time) bool {
+	return now.Sub(a.Mirror.Proven(a.FreshnessKind)) <= unheardAfter
 }
 
-// Alone reports whether this router has found no peer well informed for a while though the
+// Isolated reports whether this router has found no peer well informed for a while though the
 // store answers: none hears of what it learns but from the store.
-func (a *Asker) Alone(now time.Time) bool { return a.heard(now) && a.directFor(othersAfter, now) }
+func (a *Puller) Isolated(now time.Time) bool { return a.heard(now) && a.directFor(othersAfter, now) }
 
 // reads reports whether this starting router reads the store for others: it is one of the
 // first of the peers that it knows, or of those that another one knows.
-func (a *Asker) reads() bool { return a.Fleet.First() || a.wanted.Load() }
+func (a *Puller) reads() bool { return a.Fleet.IsPrimaryReader() || a.wanted.Load() }
 
-// Want notes that a starting peer asks this router for all. Each knows other peers, so that
+// RecordStartingPeer notes that a starting peer asks this router for all. Each knows other peers, so that
 // otherwise the one that is asked might ask a third in turn.
-func (a *Asker) Want() { a.wanted.Store(true) }
+func (a *Puller) RecordStartingPeer() { a.wanted.Store(true) }
 
 // alone returns how long this router must have found no peer well informed for the store to
 // be asked for a kind: most often another one takes over within that time.
-func (a *Asker) alone(kind string) time.Duration {
-	if kind == a.Watched {
+func (a *Puller) alone(kind string) time.Duration {
+	if kind == a.FreshnessKind {
 		return 0
 	}
 	return othersAfter
@@ -73,7 +73,7 @@
 
 // postpone lets a starting router wait longer for peers that answer, though they do not know
 // all yet: they are reading it.
-func (a *Asker) postpone(now time.Time) {
+func (a *Puller) postpone(now time.Time) {
 	if a.listed() {
 		return
 	}
@@ -89,20 +89,22 @@
 }
 
 // waited reports whether a starting router has waited for peers long enough.
-func (a *Asker) waited(now time.Time) bool {
+func (a *Puller) waited(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return now.After(a.readsAt)
 }
 
-// Introduce notes that the store told of the peers that it knows, or of some of them.
-func (a *Asker) Introduce() { a.introduced.Store(true) }
+// SetPeersKnown notes that the store told of the peers that it knows, or of some of them.
+func (a *Puller) SetPeersKnown() { a.introduced.Store(true) }
 
-// Patient reports whether others try a store that is lost more often than this router.
-func (a *Asker) Patient() bool { return a.Fleet.Len() > askersLeast && !a.Fleet.First() }
+// RetriesSlowly reports whether others try a store that is lost more often than this router.
+func (a *Puller) RetriesSlowly() bool {
+	return a.Fleet.Len() > askersLeast && !a.Fleet.IsPrimaryReader()
+}
 
 // set notes whether the store has to be asked, and reports whether that has changed.
-func (a *Asker) set(direct bool) (changed bool) {
+func (a *Puller) set(direct bool) (changed bool) {
 	if a.direct.Swap(direct) == direct {
 		return false
 	}
@@ -116,13 +118,13 @@
 }
 
 // directFor reports whether the store has been asked for so long that no peer answered well.
-func (a *Asker) directFor(d time.Duration, now time.Time) bool {
+func (a *Puller) directFor(d time.Duration, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.direct.Load() && now.Sub(a.directAt) >= d
 }
 
 // listed reports whether every kind was read once.
-func (a *Asker) listed() bool {
+func (a *Puller) listed() bool {
 	return !slices.ContainsFunc(a.Kinds, func(kind string) bool { return a.Mirror.Revision(kind) < 0 })
 }
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -21,25 +21,25 @@
 // of a window.
 type UsageReport struct {
 	usage.Report
-	// Word is what the teller knows of the duties, Clock what its clock alone shows.
-	Word  duty.Gossip
-	Clock time.Time
+	// Gossip is what the teller knows of the duties, Clock what its clock alone shows.
+	Gossip    duty.Gossip
+	LocalTime time.Time
 	// token is the teller's, for the answer.
 	token []byte
 }
 
-// UsageAnswer answers a UsageReport.
-type UsageAnswer struct {
+// UsageAck answers a UsageReport.
+type UsageAck struct {
 	// Router is the hearer that answers.
 	Router string
-	// Life and Window are the report's; Complete says that all that its teller counted in it is
+	// Incarnation and Window are the report's; Complete says that all that its teller counted in it is
 	// known.
-	Life     uint64
-	Window   usage.Window
-	Complete bool
-	Word     duty.Gossip
-	// Clock is the true time as the hearer knows it.
-	Clock time.Time
+	Incarnation uint64
+	Window      usage.Window
+	Complete    bool
+	Gossip      duty.Gossip
+	// TrueTime is the true time as the hearer knows it.
+	TrueTime time.Time
 }
 
 const (
@@ -132,7 +132,7 @@
 
 // encodeUsage returns the datagrams that hold a report, each with a part of the counts.
 func encodeUsage(r *UsageReport) (list [][]byte, err error) {
-	h := usageHead{Clock: r.Clock.UnixMilli(), Life: r.Reporter.Incarnation, Window: int64(r.Window), Total: r.Total}
+	h := usageHead{Clock: r.LocalTime.UnixMilli(), Life: r.Reporter.Incarnation, Window: int64(r.Window), Total: r.Total}
 	copy(h.Token[:], r.token)
 	if r.Final {
 		h.Flags = flagFinal
@@ -142,7 +142,7 @@
 		return nil, errors.Wrap(err, "peers")
 	}
 	head = appendName(head, r.Reporter.Router)
-	if head, err = appendWord(head, r.Word); err != nil {
+	if head, err = appendWord(head, r.Gossip); err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
 	buf := slices.Clone(head)
@@ -162,12 +162,12 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &UsageReport{Clock: time.UnixMilli(h.Clock), token: h.Token[:]}
+	r := &UsageReport{LocalTime: time.UnixMilli(h.Clock), token: h.Token[:]}
 	r.Reporter.Incarnation, r.Window, r.Total, r.Final = h.Life, usage.Window(h.Window), h.Total, h.Flags&flagFinal != 0
 	if r.Reporter.Router, b, err = readName(b); err != nil {
 		return nil, err
 	}
-	if r.Word, b, err = readWord(b); err != nil {
+	if r.Gossip, b, err = readWord(b); err != nil {
 		return nil, err
 	}
 	r.Counts = make(usage.Counts)
@@ -186,8 +186,8 @@
 }
 
 // encodeAnswer returns the datagram that holds an answer.
-func encodeAnswer(a UsageAnswer) ([]byte, error) {
-	h := answerHead{Clock: a.Clock.UnixMilli(), Life: a.Life, Window: int64(a.Window)}
+func encodeAnswer(a UsageAck) ([]byte, error) {
+	h := answerHead{Clock: a.TrueTime.UnixMilli(), Life: a.Incarnation, Window: int64(a.Window)}
 	if a.Complete {
 		h.Flags = flagComplete
 	}
@@ -195,26 +195,26 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
-	b, err = appendWord(appendName(b, a.Router), a.Word)
+	b, err = appendWord(appendName(b, a.Router), a.Gossip)
 	return b, errors.Wrap(err, "peers")
 }
 
 // decodeAnswer decodes the body of a datagram of encodeAnswer.
-func decodeAnswer(b []byte) (a UsageAnswer, err error) {
+func decodeAnswer(b []byte) (a UsageAck, err error) {
 	h, b, err := fixed[answerHead](b)
 	if err != nil {
 		return a, err
 	}
-	a = UsageAnswer{Life: h.Life, Window: usage.Window(h.Window), Complete: h.Flags&flagComplete != 0, Clock: time.UnixMilli(h.Clock)}
+	a = UsageAck{Incarnation: h.Life, Window: usage.Window(h.Window), Complete: h.Flags&flagComplete != 0, TrueTime: time.UnixMilli(h.Clock)}
 	if a.Router, b, err = readName(b); err != nil {
 		return a, err
 	}
-	a.Word, _, err = readWord(b)
+	a.Gossip, _, err = readWord(b)
 	return a, err
 }
 
-// SendUsage tells a router what this one counted; the answer comes under this router's token.
-func (n *Notes) SendUsage(r UsageReport, to Peer) {
+// SendUsageReport tells a router what this one counted; the answer comes under this router's token.
+func (n *Transport) SendUsageReport(r UsageReport, to Peer) {
 	r.token = make([]byte, tokenBytes)
 	if !n.secret.copyTo(r.token) {
 		return
@@ -230,12 +230,12 @@
 }
 
 // hearUsage decodes a UsageReport and answers it.
-func (n *Notes) hearUsage(b []byte, from netip.AddrPort) {
+func (n *Transport) hearUsage(b []byte, from netip.AddrPort) {
 	r, err := decodeUsage(b)
 	if !n.sound(err, from, "peers: A report of usage could not be decoded.") {
 		return
 	}
-	a, ok := n.OnUsage(*r)
+	a, ok := n.OnUsageReport(*r)
 	if !ok {
 		return
 	}
@@ -248,8 +248,8 @@
 }
 
 // hearUsageAnswer decodes a UsageAnswer.
-func (n *Notes) hearUsageAnswer(b []byte, from netip.AddrPort) {
+func (n *Transport) hearUsageAnswer(b []byte, from netip.AddrPort) {
 	if a, err := decodeAnswer(b); n.sound(err, from, "peers: An answer about usage could not be decoded.") {
-		n.OnUsageAnswer(a)
+		n.OnUsageAck(a)
 	}
 }
--- a/internal/peers/usage_test.go
+++ b/internal/peers/usage_test.go
@@ -16,7 +16,7 @@
 )
 
 func usageOf(workspaces int) UsageReport {
-	r := UsageReport{Clock: time.UnixMilli(1_800_000_000_123), token: []byte("token-of-a-0123456")[:tokenBytes], Word: duty.Gossip{Holder: "vm-b", Incarnation: 1 << 60, Revision: 77, Settled: 41, Resigned: true}}
+	r := UsageReport{LocalTime: time.UnixMilli(1_800_000_000_123), token: []byte("token-of-a-0123456")[:tokenBytes], Gossip: duty.Gossip{Holder: "vm-b", Incarnation: 1 << 60, Revision: 77, Settled: 41, Resigned: true}}
 	r.Reporter, r.Window, r.Final, r.Counts = usage.Reporter{Router: "vm-a", Incarnation: 1<<63 + 5}, 42, true, usage.Counts{}
 	for i := range workspaces {
 		r.Counts[fmt.Sprintf("workspace-%03d", i)] = uint64(i + 1)
@@ -56,7 +56,7 @@
 }
 
 func TestUsageAnswer(t *testing.T) {
-	want := UsageAnswer{Router: "vm-b", Life: 9, Window: 42, Complete: true, Clock: time.UnixMilli(1_800_000_000_123), Word: duty.Gossip{Holder: strings.Repeat("h", 200), Revision: 8}}
+	want := UsageAck{Router: "vm-b", Incarnation: 9, Window: 42, Complete: true, TrueTime: time.UnixMilli(1_800_000_000_123), Gossip: duty.Gossip{Holder: strings.Repeat("h", 200), Revision: 8}}
 	b, err := encodeAnswer(want)
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	a, err := encodeAnswer(UsageAnswer{Router: "vm-b"})
+	a, err := encodeAnswer(UsageAck{Router: "vm-b"})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -25,9 +25,9 @@
 	Addr netip.AddrPort `json:"addr"`
 	// Zone is its availability zone; empty in registrations of earlier releases.
 	Zone string `json:"zone,omitempty"`
-	// Ability is how much the VM bears, in thousandths of a processor core; 0 if that is
+	// Millicores is how much the VM bears, in thousandths of a processor core; 0 if that is
 	// not known.
-	Ability int `json:"ability,omitempty"`
+	Millicores int `json:"ability,omitempty"`
 	// Token is what its peers have to show; a router that starts again on its VM goes
 	// on with the one that is registered.
 	Token string `json:"token"`
@@ -35,10 +35,10 @@
 	Revision int64 `json:"-"`
 }
 
-// Continues reports whether a router is what an earlier life of its VM registered, so that it
+// MatchesRegistration reports whether a router is what an earlier life of its VM registered, so that it
 // may go on with that registration.
-func (p Peer) Continues(old Peer) bool {
-	return old.Name == p.Name && old.Addr == p.Addr && old.Zone == p.Zone && old.Ability == p.Ability && len(old.Token) >= tokenBytes
+func (p Peer) MatchesRegistration(old Peer) bool {
+	return old.Name == p.Name && old.Addr == p.Addr && old.Zone == p.Zone && old.Millicores == p.Millicores && len(old.Token) >= tokenBytes
 }
 
 // path is where peers ask.
--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -53,7 +53,7 @@
 	scope   tally.Scope
 	wire    DutyWire
 	fleet   *peers.Fleet
-	notes   *peers.Notes
+	notes   *peers.Transport
 	windows usage.Clock
 	// late is how long after its end a window's report is due.
 	late config.Span
@@ -93,7 +93,7 @@
 		book:      usage.NewCounter(), machine: duty.New(s.VM, life, s.DutyLease, common.Local()), told: make(map[tellKey]*telling),
 	}
 	r.Engine.Began = d.began
-	r.notes.OnUsage, r.notes.OnUsageAnswer = d.heard, d.answered
+	r.notes.OnUsageReport, r.notes.OnUsageAck = d.heard, d.answered
 	return d
 }
 
@@ -135,7 +135,7 @@
 // view returns what the machine needs to know; mu is held.
 func (d *duties) view(now time.Time) duty.View {
 	rec, _ := d.machine.Record()
-	v := duty.View{Rank: d.fleet.Before(time.Now(), rec.Holder), Peers: d.fleet.Len() - 1, StoreReachable: d.reachable(), Window: d.windows.At(d.clock.Now())}
+	v := duty.View{Rank: d.fleet.RankExcept(time.Now(), rec.Holder), Peers: d.fleet.Len() - 1, StoreReachable: d.reachable(), Window: d.windows.At(d.clock.Now())}
 	if d.machine.Holds(now) {
 		v.Ready = d.ready(v.Window)
 	}
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -55,7 +55,7 @@
 		{w.EndpointKind, endpointWait, changeRest, []string{w.TrialKind, w.VerdictKind}},
 		{w.RouterKind, routerWait, changeRest, nil},
 	} {
-		follower := &mirror.Follower{Log: r.Log, Source: w.Source, Mirror: r.mirror, Kind: f.kind, Wait: f.wait, Rest: f.rest, Turn: r.turn(f.kind, f.after...), Patient: r.asker.Patient}
+		follower := &mirror.Follower{Log: r.Log, Source: w.Source, Mirror: r.mirror, Kind: f.kind, Wait: f.wait, Rest: f.rest, Turn: r.turn(f.kind, f.after...), Patient: r.asker.RetriesSlowly}
 		r.tasks.Go(ctx, "store "+f.kind, follower.Run)
 	}
 	r.tasks.Go(ctx, "peers", r.asker.Run)
@@ -71,7 +71,7 @@
 		for slices.ContainsFunc(after, unknown) && ctx.Err() == nil {
 			tasks.Pause(ctx, registerPoll.After(time.Now()))
 		}
-		return r.asker.Turn(ctx, kind)
+		return r.asker.WaitToReadStore(ctx, kind)
 	}
 }
 
@@ -219,8 +219,8 @@
 		}
 	}
 	r.fleet.Put(p)
-	r.asker.Introduce()
-	r.notes.AskStarting(p.Token)
+	r.asker.SetPeersKnown()
+	r.notes.QueryState(p.Token)
 	r.Log.Info("router: Registered.", zap.Bool("continued", p.Revision > 0), zap.Int("neighbours", len(list)))
 	return nil
 }
@@ -237,10 +237,10 @@
 
 // removeGone removes peers that have been silent for long; the first routers do that for all.
 func (r *Router) removeGone(ctx context.Context) {
-	if !r.fleet.Asker(time.Now()) {
+	if !r.fleet.ReadsStore(time.Now()) {
 		return
 	}
-	for _, p := range r.fleet.Gone(time.Now()) {
+	for _, p := range r.fleet.Unresponsive(time.Now()) {
 		err := r.wire.Unregister(ctx, p)
 		r.Log.Info("router: A silent peer's registration was removed.", zap.String("peer", p.Name), zap.Int64("revision", p.Revision), logs.Err(err))
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/internal/router/notices.go
+++ b/internal/router/notices.go
@@ -14,12 +14,12 @@
 
 // shareNotices connects what the engine knows of what endpoints said with what routers tell one
 // another.
-func (r *Router) shareNotices(notes *peers.Notes) {
+func (r *Router) shareNotices(notes *peers.Transport) {
 	e := r.Engine
 	notes.OnNotice = func(by netip.Addr, n peers.Notice) { e.HeardNotice(by, wordOf(n)) }
-	notes.OnQuestion = func(q peers.LimitQuestion) (peers.Notice, bool) {
+	notes.OnLimitQuery = func(q peers.LimitQuery) (peers.Notice, bool) {
 		limit := pool.Notice{Limit: pool.Limited, PerSecond: q.PerSecond}
-		w, ok := e.AnswerLimit(relay.NoticeWord{Endpoint: q.Endpoint, Life: q.Life, Notice: limit})
+		w, ok := e.AnswerLimit(relay.NoticeWord{Endpoint: q.Endpoint, Life: q.Incarnation, Notice: limit})
 		return noticeOf(w), ok
 	}
 	notes.Notices = func() (list []peers.Notice) {
@@ -31,7 +31,7 @@
 	e.Notifier = relay.Notifier{
 		Tell: func(w relay.NoticeWord, all bool) { notes.SendNotice(noticeOf(w), all) },
 		Ask: func(w relay.NoticeWord, holders int, draw uint64) {
-			notes.AskLimit(peers.LimitQuestion{Endpoint: w.Endpoint, Life: w.Life, PerSecond: w.PerSecond}, holders, draw)
+			notes.SendLimitQuery(peers.LimitQuery{Endpoint: w.Endpoint, Incarnation: w.Life, PerSecond: w.PerSecond}, holders, draw)
 		},
 	}
 }
@@ -39,8 +39,8 @@
 // noticeOf returns what an endpoint said as it is told to other routers.
 func noticeOf(w relay.NoticeWord) peers.Notice {
 	return peers.Notice{
-		Endpoint: w.Endpoint, Life: w.Life, Limit: uint8(w.Limit), PerSecond: w.PerSecond, Leaving: w.Leaving,
-		Answers: w.Answers, Granted: w.Granted, WaitMs: uint32(w.Wait.Milliseconds()),
+		Endpoint: w.Endpoint, Incarnation: w.Life, Limit: uint8(w.Limit), PerSecond: w.PerSecond, Leaving: w.Leaving,
+		IsAnswer: w.Answers, Granted: w.Granted, WaitMs: uint32(w.Wait.Milliseconds()),
 	}
 }
 
@@ -48,7 +48,7 @@
 func wordOf(n peers.Notice) relay.NoticeWord {
 	said := pool.Notice{Limit: pool.LimitStatus(n.Limit), PerSecond: n.PerSecond, Leaving: n.Leaving}
 	return relay.NoticeWord{
-		Endpoint: n.Endpoint, Life: n.Life, Notice: said,
-		Answers: n.Answers, Granted: n.Granted, Wait: time.Duration(n.WaitMs) * time.Millisecond,
+		Endpoint: n.Endpoint, Life: n.Incarnation, Notice: said,
+		Answers: n.IsAnswer, Granted: n.Granted, Wait: time.Duration(n.WaitMs) * time.Millisecond,
 	}
 }
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -48,7 +48,7 @@
 }
 
 // Alone reports whether no other router hears of what this one learns but from the store.
-func (r *Router) Alone() bool { return r.asker.Alone(time.Now()) }
+func (r *Router) Alone() bool { return r.asker.Isolated(time.Now()) }
 
 // storeVerdicts stores what the store lacks of quarantined requests until ctx is done.
 func (r *Router) storeVerdicts(ctx context.Context) error {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -44,8 +44,8 @@
 	callers  *http.Server
 	mirror   *mirror.Mirror
 	fleet    *peers.Fleet
-	asker    *peers.Asker
-	notes    *peers.Notes
+	asker    *peers.Puller
+	notes    *peers.Transport
 	traffic  peers.Traffic
 	bodies   *bodies
 	// duties is nil where the platform asks for none.
@@ -82,18 +82,18 @@
 	r.mirror = mirror.New(w.ConfigKind, w.ClosingKind, w.VerdictKind, w.TrialKind, w.EndpointKind, w.RouterKind)
 	r.mirror.OnChange = r.take
 	r.fleet = peers.NewFleet(s.VM)
-	r.self = peers.Peer{Name: s.VM, Addr: s.Peers, Zone: s.AvailabilityZone, Ability: int(s.CPUShare * thousandths), Token: proc.NewID() + proc.NewID()}
+	r.self = peers.Peer{Name: s.VM, Addr: s.Peers, Zone: s.AvailabilityZone, Millicores: int(s.CPUShare * thousandths), Token: proc.NewID() + proc.NewID()}
 	r.secret.Set(r.self.Token)
-	r.asker = peers.NewAsker(log, r.fleet, r.mirror, w.ConfigKind, w.ConfigKind, w.ClosingKind, w.VerdictKind, w.TrialKind, w.EndpointKind, w.RouterKind)
+	r.asker = peers.NewPuller(log, r.fleet, r.mirror, w.ConfigKind, w.ConfigKind, w.ClosingKind, w.VerdictKind, w.TrialKind, w.EndpointKind, w.RouterKind)
 	w.OnStoreCall(r.storeCalled)
 	r.Engine.Proven = func() time.Time { return r.mirror.Proven(w.ConfigKind) }
 	r.Engine.Listed = func() bool { return r.mirror.Revision(w.EndpointKind) >= 0 }
-	r.Engine.Routers = r.fleet.Sending
+	r.Engine.Routers = r.fleet.SenderCount
 	r.Engine.Senders = r.senders
 	if err := r.listen(); err != nil {
 		return nil, err
 	}
-	notes, err := peers.NewNotes(log, r.fleet, s.Peers, &r.secret, func(n peers.Note) {
+	notes, err := peers.NewTransport(log, r.fleet, s.Peers, &r.secret, func(n peers.AttemptReport) {
 		r.Engine.Heard(n.From, relay.Word{Endpoint: n.Endpoint, Busy: n.Busy, Failed: n.Failed, Prefix: n.Prefix})
 	})
 	if err != nil {
@@ -102,21 +102,21 @@
 	r.notes = notes
 	r.notes.Traffic, r.asker.Traffic = &r.traffic, &r.traffic
 	notes.OnVerdicts, r.asker.OnVerdicts = r.Engine.HeardVerdicts, r.Engine.HeardVerdicts
-	notes.ForStarting = r.Engine.ForStarting
-	notes.OnCrash = func(s peers.CrashReport) {
-		r.Engine.HeardCrash(relay.CrashReport{Fingerprint: s.Fingerprint, Endpoint: s.Endpoint, Age: time.Duration(s.AgeMs) * time.Millisecond, Whole: s.Whole})
+	notes.Verdicts = r.Engine.ForStarting
+	notes.OnCrashReport = func(s peers.CrashReport) {
+		r.Engine.HeardCrash(relay.CrashReport{Fingerprint: s.Fingerprint, Endpoint: s.Endpoint, Age: time.Duration(s.AgeMs) * time.Millisecond, Whole: s.Completed})
 	}
 	r.Engine.Quarantines = relay.Quarantines{
 		Report: func(s relay.CrashReport) {
-			notes.SendCrash(peers.CrashReport{Fingerprint: s.Fingerprint, Endpoint: s.Endpoint, AgeMs: uint32(s.Age.Milliseconds()), Whole: s.Whole})
+			notes.SendCrashReport(peers.CrashReport{Fingerprint: s.Fingerprint, Endpoint: s.Endpoint, AgeMs: uint32(s.Age.Milliseconds()), Completed: s.Whole})
 		},
-		Changed: notes.SendVerdicts, Again: notes.SendAgain, AgainMost: peers.VerdictsAgain, Rank: r.fleet.Rank, Alone: r.Alone,
+		Changed: notes.SendVerdicts, Again: notes.ResendVerdicts, AgainMost: peers.MaxResentVerdicts, Rank: r.fleet.CollectorRank, Alone: r.Alone,
 	}
 	r.shareNotices(notes)
 	r.duties = newDuties(r, rand.Uint64())
-	notes.OnReport, r.Engine.TellReport = r.Engine.HeardReport, notes.SendReport
+	notes.OnTrialReport, r.Engine.TellReport = r.Engine.HeardReport, notes.SendTrialReport
 	r.Engine.Tell = func(w relay.Word) {
-		notes.Send(peers.Note{Endpoint: w.Endpoint, Busy: w.Busy, Failed: w.Failed, Prefix: w.Prefix}, peers.Audience{Zone: w.Zone, Others: w.Others})
+		notes.SendAttemptReport(peers.AttemptReport{Endpoint: w.Endpoint, Busy: w.Busy, Failed: w.Failed, Prefix: w.Prefix}, peers.Recipients{Zone: w.Zone, OtherZones: w.Others})
 	}
 	return r, nil
 }
@@ -146,7 +146,7 @@
 	if r.mirror.Revision(r.wire.RouterKind) < 0 || r.fleet.Generation() == have {
 		return s, have, false
 	}
-	s.Self, s.All, generation = r.fleet.Hashes()
+	s.Self, s.All, generation = r.fleet.SenderHashes()
 	return s, generation, true
 }
 
@@ -200,7 +200,7 @@
 		r.tasks.Go(ctx, "usage", r.duties.tell)
 	}
 	answers := peers.NewServer(r.Log, r.mirror, r.wire.ConfigKind, &r.secret)
-	answers.Traffic, answers.OnStarting, answers.Verdicts = &r.traffic, r.asker.Want, r.Engine.ForStarting
+	answers.Traffic, answers.OnStartingPeer, answers.Verdicts = &r.traffic, r.asker.RecordStartingPeer, r.Engine.ForStarting
 	answers.Age = r.Engine.Age
 	r.tasks.Go(ctx, "traffic", func(ctx context.Context) error { return r.traffic.Run(ctx, r.Log) })
 	shared := &http.Server{Handler: answers, ReadHeaderTimeout: plainWithin, IdleTimeout: idleReady, ErrorLog: logs.NewStdLog(r.Log, "peers")}
@@ -269,7 +269,7 @@
 // connection, all answered; what is left at the end is broken off.
 func (r *Router) stop(kill context.Context) {
 	r.stopping.Store(true)
-	r.fleet.Leave()
+	r.fleet.SetLeaving()
 	if r.duties != nil {
 		r.duties.stop()
 	}
--- a/internal/router/usage.go
+++ b/internal/router/usage.go
@@ -96,7 +96,7 @@
 	for w := current; w > current-backMost && now.Before(d.late.After(d.windows.End(w))); w-- {
 		for _, p := range targets {
 			if w < current && d.tellsEnd(tellKey{p.Name, w}, now, own) || w == current && running {
-				report := peers.UsageReport{Report: d.book.Report(d.self, w, w < current || d.stops), Word: d.machine.Gossip(own), Clock: own}
+				report := peers.UsageReport{Report: d.book.Report(d.self, w, w < current || d.stops), Gossip: d.machine.Gossip(own), LocalTime: own}
 				due = append(due, sending{report, p})
 			}
 		}
@@ -104,20 +104,20 @@
 	d.forgetTold(current)
 	d.mu.Unlock()
 	for _, s := range due {
-		d.notes.SendUsage(s.report, s.to)
+		d.notes.SendUsageReport(s.report, s.to)
 	}
 }
 
 // targets returns the routers that hear of usage: the holder and those that would follow it; mu
 // is held.
 func (d *duties) targets() []peers.Peer {
-	list := d.fleet.Firsts(time.Now(), deputies)
+	list := d.fleet.TopRanked(time.Now(), deputies)
 	rec, known := d.machine.Record()
 	told := func(p peers.Peer) bool { return p.Name == rec.Holder }
 	if !known || rec.Holder == d.self.Router || slices.ContainsFunc(list, told) {
 		return list
 	}
-	if p, ok := d.fleet.Named(rec.Holder); ok {
+	if p, ok := d.fleet.Get(rec.Holder); ok {
 		list = append(list, p)
 	}
 	return list
@@ -125,7 +125,7 @@
 
 // tellPause returns how long after telling of the window under way a router does so again.
 func (d *duties) tellPause() time.Duration {
-	if d.fleet.Before(time.Now(), "") <= deputies {
+	if d.fleet.RankExcept(time.Now(), "") <= deputies {
 		return tellEvery
 	}
 	return max(tellEvery, time.Duration(d.fleet.Len())*time.Second/toldPerSecond)
@@ -160,25 +160,25 @@
 }
 
 // heard takes over the report of another router.
-func (d *duties) heard(r peers.UsageReport) (peers.UsageAnswer, bool) {
-	d.clock.Observe(r.Reporter.Router, r.Clock)
+func (d *duties) heard(r peers.UsageReport) (peers.UsageAck, bool) {
+	d.clock.Observe(r.Reporter.Router, r.LocalTime)
 	now, own := d.clock.Now(), d.clock.Local()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.book.Merge(r.Report, d.windows.At(now))
-	d.machine.ReceiveGossip(own, r.Reporter.Router, r.Word)
-	return peers.UsageAnswer{
-		Router: d.self.Router, Life: r.Reporter.Incarnation, Window: r.Window, Complete: d.book.Complete(r.Reporter, r.Window), Word: d.machine.Gossip(own), Clock: now,
+	d.machine.ReceiveGossip(own, r.Reporter.Router, r.Gossip)
+	return peers.UsageAck{
+		Router: d.self.Router, Incarnation: r.Reporter.Incarnation, Window: r.Window, Complete: d.book.Complete(r.Reporter, r.Window), Gossip: d.machine.Gossip(own), TrueTime: now,
 	}, true
 }
 
 // answered takes over the answer of another router.
-func (d *duties) answered(a peers.UsageAnswer) {
-	d.clock.Observe(a.Router, a.Clock)
+func (d *duties) answered(a peers.UsageAck) {
+	d.clock.Observe(a.Router, a.TrueTime)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.machine.ReceiveGossip(d.clock.Local(), a.Router, a.Word)
-	if t := d.told[tellKey{a.Router, a.Window}]; t != nil && a.Complete && a.Life == d.self.Incarnation {
+	d.machine.ReceiveGossip(d.clock.Local(), a.Router, a.Gossip)
+	if t := d.told[tellKey{a.Router, a.Window}]; t != nil && a.Complete && a.Incarnation == d.self.Incarnation {
 		t.complete = true
 	}
 }
