--- a/internal/peers/pack.go
+++ b/internal/peers/compress.go
@@ -18,59 +18,59 @@
 )
 
 const (
-	// packFrom is the size, in bytes, from which on a specification is sent
+	// minCompressedSpec is the size, in bytes, from which on a specification is sent
 	// compressed: a configuration of many routes has over a hundred thousand,
 	// and the slowest links of the users' VMs take 10 Mbit/s.
-	packFrom = 4 << 10
-	// packsKept bounds the compressed specifications that are kept. Almost all
+	minCompressedSpec = 4 << 10
+	// cacheCapacity bounds the compressed specifications that are kept. Almost all
 	// of it is the configuration.
-	packsKept = 16
+	cacheCapacity = 16
 )
 
-// packs keeps specifications compressed, as most peers ask for the same. The zero
+// compressionCache keeps specifications compressed, as most peers ask for the same. The zero
 // value is ready for use.
-type packs struct {
-	mu   sync.Mutex
-	kept map[string]pack
+type compressionCache struct {
+	mu      sync.Mutex
+	entries map[string]cacheEntry
 }
 
-type pack struct {
+type cacheEntry struct {
 	revision int64
 	bytes    []byte
 }
 
-// of returns the specification of an object compressed; nil if it is small.
-func (p *packs) of(kind string, o *mirror.Object) []byte {
-	if len(o.Spec) < packFrom {
+// spec returns the specification spec an object compressed; nil if it is small.
+func (p *compressionCache) spec(kind string, o *mirror.Object) []byte {
+	if len(o.Spec) < minCompressedSpec {
 		return nil
 	}
 	name := kind + "/" + o.Name
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k, ok := p.kept[name]; ok && k.revision == o.Revision {
+	if k, ok := p.entries[name]; ok && k.revision == o.Revision {
 		return k.bytes
 	}
-	if p.kept == nil || len(p.kept) >= packsKept {
-		p.kept = make(map[string]pack)
+	if p.entries == nil || len(p.entries) >= cacheCapacity {
+		p.entries = make(map[string]cacheEntry)
 	}
 	text, err := compress(o.Spec)
 	if err != nil {
 		// It goes as it is.
 		return nil
 	}
-	p.kept[name] = pack{o.Revision, text}
+	p.entries[name] = cacheEntry{o.Revision, text}
 	return text
 }
 
-// packsFrom is how many objects a list has that is sent compressed: a starting router takes
+// minCompressedList is how many objects a list has that is sent compressed: a starting router takes
 // all, and objects are much alike.
-const packsFrom = 8
+const minCompressedList = 8
 
 // list returns a whole list of a kind compressed; nil if that fails.
-func (p *packs) list(kind string, d mirror.Delta) []byte {
+func (p *compressionCache) list(kind string, d mirror.Delta) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k, ok := p.kept[kind]; ok && k.revision == d.Revision {
+	if k, ok := p.entries[kind]; ok && k.revision == d.Revision {
 		return k.bytes
 	}
 	objects := make([]mirror.Object, 0, len(d.Changes))
@@ -86,16 +86,16 @@
 	if text, err = compress(text); err != nil {
 		return nil
 	}
-	if p.kept == nil || len(p.kept) >= packsKept {
-		p.kept = make(map[string]pack)
+	if p.entries == nil || len(p.entries) >= cacheCapacity {
+		p.entries = make(map[string]cacheEntry)
 	}
-	p.kept[kind] = pack{d.Revision, text}
+	p.entries[kind] = cacheEntry{d.Revision, text}
 	return text
 }
 
-// unpackList returns the changes of a whole list that was compressed.
-func unpackList(b []byte) ([]mirror.Change, error) {
-	text, err := unpack(b)
+// decompressList returns the changes of a whole list that was compressed.
+func decompressList(b []byte) ([]mirror.Change, error) {
+	text, err := decompress(b)
 	if err != nil {
 		return nil, err
 	}
@@ -126,18 +126,18 @@
 	return buf.Bytes(), nil
 }
 
-// unpack returns what was compressed, answerMost bytes at most.
-func unpack(b []byte) (json.RawMessage, error) {
+// decompress returns what was compressed, answerMost bytes at most.
+func decompress(b []byte) (json.RawMessage, error) {
 	r, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
-	text, err := io.ReadAll(io.LimitReader(r, answerMost+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxResponseBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
-	if len(text) > answerMost {
-		return nil, errors.Newf("peers: a specification has more than %d bytes", answerMost)
+	if len(text) > maxResponseBytes {
+		return nil, errors.Newf("peers: a specification has more than %d bytes", maxResponseBytes)
 	}
 	return text, nil
 }
--- a/internal/peers/pack_test.go
+++ b/internal/peers/compress_test.go
@@ -23,16 +23,16 @@
 	return json.RawMessage(`{"routes":[` + strings.Join(list, ",") + `]}`)
 }
 
-func TestLongSpecificationsArePacked(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
+func TestLongSpecificationsAreCompressed(t *testing.T) {
+	p := startPeer(t, "p")
+	a := newTestPuller(p)
 	now := time.Now()
 	spec := longSpec()
 	p.mirror.List("config", []mirror.Object{{Name: "a", Revision: 5, Spec: spec}}, 5, now, time.Time{})
 	p.mirror.List("k", nil, 5, now, time.Time{})
 	d, _ := p.mirror.Since("config", -1)
-	var ps packs
-	sent := encode("config", d, now.Sub(d.ProvenAt), now, &ps, false)
+	var ps compressionCache
+	sent := encodeDelta("config", d, now.Sub(d.ProvenAt), now, &ps, false)
 	text, err := json.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
@@ -40,8 +40,8 @@
 	if got, most := len(text), len(spec)/5; got > most {
 		t.Errorf("sent: got %d bytes of %d, want at most %d", got, len(spec), most)
 	}
-	again := encode("config", d, now.Sub(d.ProvenAt), now, &ps, false)
-	if &sent.Changes[0].Packed[0] != &again.Changes[0].Packed[0] {
+	again := encodeDelta("config", d, now.Sub(d.ProvenAt), now, &ps, false)
+	if &sent.Changes[0].Compressed[0] != &again.Changes[0].Compressed[0] {
 		t.Error("sent again: packed anew, want what was kept")
 	}
 	var got mirror.Object
@@ -50,7 +50,7 @@
 			got = c.Object
 		}
 	}
-	if !a.ask(context.Background(), p.Peer, true) {
+	if !a.pull(context.Background(), p.Peer, true) {
 		t.Fatal("ask: got false, want true")
 	}
 	if string(got.Spec) != string(spec) {
@@ -58,8 +58,8 @@
 	}
 }
 
-func TestBrokenPackIsRefused(t *testing.T) {
-	k := kindAnswer{Changes: []wireChange{{Object: mirror.Object{Name: "a", Revision: 1}, Packed: []byte("no gzip")}}}
+func TestInvalidCompressionIsRejected(t *testing.T) {
+	k := kindChanges{Changes: []wireChange{{Object: mirror.Object{Name: "a", Revision: 1}, Compressed: []byte("no gzip")}}}
 	if got, err := k.decode(time.Now()); err == nil {
 		t.Errorf("got %v, want an error", got)
 	}
--- a/internal/peers/crash.go
+++ b/internal/peers/crash.go
@@ -30,42 +30,42 @@
 }
 
 const (
-	// keepersMost is how many routers hear which endpoints crashed under one request: the
+	// maxCollectors is how many routers hear which endpoints crashed under one request: the
 	// same ones from all routers, so that they know all of it. With eight, one hears it
 	// though a tenth of the datagrams are lost and a zone's routers are gone.
-	keepersMost = 8
-	// againTo is how many routers, drawn anew each time, verdicts are told again to: with
+	maxCollectors = 8
+	// resendFanout is how many routers, drawn anew each time, verdicts are told again to: with
 	// each router doing so once a second all know after two or three.
-	againTo = 3
-	// verdictsMost is how many verdicts one datagram takes, and crashesTold how many crashes
+	resendFanout = 3
+	// maxVerdictsPerDatagram is how many verdicts one datagram takes, and crashesTold how many crashes
 	// of each.
-	verdictsMost = 6
-	crashesTold  = poison.MaxReportedCrashes
+	maxVerdictsPerDatagram = 6
+	maxCrashesPerVerdict   = poison.MaxReportedCrashes
 )
 
 // MaxResentVerdicts is how many verdicts are worth telling again at a time.
-const MaxResentVerdicts = 3 * verdictsMost
+const MaxResentVerdicts = 3 * maxVerdictsPerDatagram
 
 // verdictHead begins an encoded verdict; its crashes follow.
 type verdictHead struct {
 	Fingerprint poison.Fingerprint
 	Round       uint32
-	// LeftMs is how much longer it holds, in milliseconds.
-	LeftMs  uint32
-	Crashes uint8
+	// RemainingMs is how much longer it holds, in milliseconds.
+	RemainingMs uint32
+	Crashes     uint8
 }
 
 // verdictCrash is a crash as it is told.
 type verdictCrash struct {
 	Endpoint uint64
-	// AgoMs is how long ago it was, in milliseconds.
-	AgoMs uint32
+	// AgeMs is how long ago it was, in milliseconds.
+	AgeMs uint32
 }
 
 // encodeVerdicts appends verdicts as they are told at now.
 func encodeVerdicts(dst []byte, list []poison.Verdict, now time.Time) ([]byte, error) {
 	for _, v := range list {
-		crashes := v.Crashes[:min(len(v.Crashes), crashesTold)]
+		crashes := v.Crashes[:min(len(v.Crashes), maxCrashesPerVerdict)]
 		parts := []any{verdictHead{v.Fingerprint, uint32(v.Round), millisOf(v.Until.Sub(now)), uint8(len(crashes))}}
 		for _, e := range crashes {
 			parts = append(parts, verdictCrash{e.Endpoint, millisOf(now.Sub(e.At))})
@@ -93,13 +93,13 @@
 		if err := binary.Read(in, binary.BigEndian, &h); err != nil {
 			return nil, errors.Wrap(err, "peers")
 		}
-		v := poison.Verdict{Fingerprint: h.Fingerprint, Round: int(h.Round), Until: now.Add(time.Duration(h.LeftMs) * time.Millisecond)}
+		v := poison.Verdict{Fingerprint: h.Fingerprint, Round: int(h.Round), Until: now.Add(time.Duration(h.RemainingMs) * time.Millisecond)}
 		crashes := make([]verdictCrash, h.Crashes)
 		if err := binary.Read(in, binary.BigEndian, crashes); err != nil {
 			return nil, errors.Wrap(err, "peers")
 		}
 		for _, e := range crashes {
-			v.Crashes = append(v.Crashes, poison.Crash{Endpoint: e.Endpoint, At: now.Add(-time.Duration(e.AgoMs) * time.Millisecond)})
+			v.Crashes = append(v.Crashes, poison.Crash{Endpoint: e.Endpoint, At: now.Add(-time.Duration(e.AgeMs) * time.Millisecond)})
 		}
 		list = append(list, v)
 	}
@@ -107,47 +107,47 @@
 }
 
 // SendCrashReport tells the routers that keep which endpoints crashed under the request.
-func (n *Transport) SendCrashReport(s CrashReport) {
-	buf, err := binary.Append(datagram(kindCrash, crashBytes), binary.BigEndian, s)
+func (t *Transport) SendCrashReport(s CrashReport) {
+	buf, err := binary.Append(newDatagram(kindCrashReport, crashReportBytes), binary.BigEndian, s)
 	if err != nil {
-		n.Log.Error("peers: A crash report could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A crash report could not be encoded.", logs.Err(err))
 		return
 	}
-	n.Traffic.Quarantines.Add(n.sendTo(n.fleet.keepers(s.Fingerprint), buf))
+	t.Traffic.Quarantines.Add(t.sendToPeers(t.fleet.collectors(s.Fingerprint), buf))
 }
 
-// crashBytes is the length of an encoded CrashReport.
-const crashBytes = poison.FingerprintBytes + 8 + 4 + 1
+// crashReportBytes is the length of an encoded CrashReport.
+const crashReportBytes = poison.FingerprintBytes + 8 + 4 + 1
 
 // SendVerdicts tells all other routers of verdicts that are new or changed.
-func (n *Transport) SendVerdicts(list []poison.Verdict) { n.sendVerdicts(list, n.fleet.others()) }
+func (t *Transport) SendVerdicts(list []poison.Verdict) { t.sendVerdicts(list, t.fleet.others()) }
 
 // ResendVerdicts tells a few other routers of verdicts that they may have missed.
-func (n *Transport) ResendVerdicts(list []poison.Verdict) {
-	n.sendVerdicts(list, some(n.fleet.others(), againTo))
+func (t *Transport) ResendVerdicts(list []poison.Verdict) {
+	t.sendVerdicts(list, sample(t.fleet.others(), resendFanout))
 }
 
-// startingTo is how many routers one that has just started asks for what they know of requests that crash
+// stateQueryFanout is how many routers one that has just started asks for what they know of requests that crash
 // endpoints: in a fleet of nine each knows all of it, and an answer takes up to 30 KB after a wave of
 // crashes.
-const startingTo = 4
+const stateQueryFanout = 4
 
 // QueryState asks some routers for what a router that starts should know, to be told under its token.
-func (n *Transport) QueryState(token string) {
+func (t *Transport) QueryState(token string) {
 	if len(token) < tokenBytes {
 		return
 	}
-	n.Traffic.Quarantines.Add(n.sendTo(some(n.fleet.others(), startingTo), append(datagram(kindStarting, tokenBytes), token[:tokenBytes]...)))
+	t.Traffic.Quarantines.Add(t.sendToPeers(sample(t.fleet.others(), stateQueryFanout), append(newDatagram(kindStateQuery, tokenBytes), token[:tokenBytes]...)))
 }
 
-func (n *Transport) sendVerdicts(list []poison.Verdict, to []Peer) {
-	for part := range slices.Chunk(list, verdictsMost) {
-		buf, err := encodeVerdicts(datagram(kindVerdicts, datagramMost-bodyAt), part, time.Now())
+func (t *Transport) sendVerdicts(list []poison.Verdict, to []Peer) {
+	for part := range slices.Chunk(list, maxVerdictsPerDatagram) {
+		buf, err := encodeVerdicts(newDatagram(kindVerdicts, maxDatagramBytes-bodyAt), part, time.Now())
 		if err != nil {
-			n.Log.Error("peers: Verdicts could not be encoded.", logs.Err(err))
+			t.Log.Error("peers: Verdicts could not be encoded.", logs.Err(err))
 			return
 		}
-		n.Traffic.Quarantines.Add(n.sendTo(to, buf))
+		t.Traffic.Quarantines.Add(t.sendToPeers(to, buf))
 	}
 }
 
@@ -163,26 +163,26 @@
 	return list
 }
 
-// place returns where a router stands in the order in which routers keep a request's crashes, the
+// collectorHash returns where a router stands in the order in which routers keep a request's crashes, the
 // same at all routers (rendezvous hashing: Thaler and Ravishankar, 1998).
-func place(name string, p poison.Fingerprint) uint64 {
+func collectorHash(name string, p poison.Fingerprint) uint64 {
 	return mixer.Mix(xxhash.Sum64String(name) ^ binary.BigEndian.Uint64(p[:]))
 }
 
-// keepers returns the other routers that keep which endpoints crashed under a request.
-func (f *Fleet) keepers(p poison.Fingerprint) []Peer {
+// collectors returns the other routers that keep which endpoints crashed under a request.
+func (f *Fleet) collectors(p poison.Fingerprint) []Peer {
 	list := f.others()
-	slices.SortFunc(list, func(a, b Peer) int { return cmp.Compare(place(a.Name, p), place(b.Name, p)) })
-	return list[:min(len(list), keepersMost)]
+	slices.SortFunc(list, func(a, b Peer) int { return cmp.Compare(collectorHash(a.Name, p), collectorHash(b.Name, p)) })
+	return list[:min(len(list), maxCollectors)]
 }
 
 // CollectorRank returns how many routers come before this one for a request.
 func (f *Fleet) CollectorRank(p poison.Fingerprint) (rank int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	own := place(f.self, p)
+	own := collectorHash(f.self, p)
 	for name := range f.byName {
-		if place(name, p) < own {
+		if collectorHash(name, p) < own {
 			rank++
 		}
 	}
--- a/internal/peers/crash_test.go
+++ b/internal/peers/crash_test.go
@@ -19,7 +19,7 @@
 	"github.com/traildrift/traildrift/pkg/poison"
 )
 
-func TestVerdictsComeThrough(t *testing.T) {
+func TestVerdictsRoundTrip(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	list := []poison.Verdict{
 		{Fingerprint: poison.Fingerprint{1, 2}, Round: 3, Until: now.Add(time.Minute), Crashes: []poison.Crash{{Endpoint: 7, At: now.Add(-time.Second)}, {Endpoint: 8, At: now}}},
@@ -43,24 +43,24 @@
 
 // The largest datagram of verdicts passes any link in one piece.
 func TestVerdictsFitTheDatagram(t *testing.T) {
-	v := poison.Verdict{Round: 1, Crashes: make([]poison.Crash, 2*crashesTold)}
-	list := make([]poison.Verdict, verdictsMost)
+	v := poison.Verdict{Round: 1, Crashes: make([]poison.Crash, 2*maxCrashesPerVerdict)}
+	list := make([]poison.Verdict, maxVerdictsPerDatagram)
 	for i := range list {
 		list[i] = v
 	}
 	b, err := encodeVerdicts(make([]byte, bodyAt), list, time.Now())
-	if err != nil || len(b) > datagramMost {
-		t.Errorf("got %d bytes, %v, want %d at most", len(b), err, datagramMost)
+	if err != nil || len(b) > maxDatagramBytes {
+		t.Errorf("got %d bytes, %v, want %d at most", len(b), err, maxDatagramBytes)
 	}
 	s, err := binary.Append(nil, binary.BigEndian, CrashReport{})
-	if err != nil || len(s) != crashBytes {
-		t.Errorf("CrashReport: got %d bytes, %v, want %d", len(s), err, crashBytes)
+	if err != nil || len(s) != crashReportBytes {
+		t.Errorf("CrashReport: got %d bytes, %v, want %d", len(s), err, crashReportBytes)
 	}
 }
 
-// twoNotes returns the notes of two routers that do not know each other, and what they would be
+// twoTransports returns the notes of two routers that do not know each other, and what they would be
 // registered as.
-func twoNotes(t *testing.T) (list [2]*Transport, all [2]Peer) {
+func twoTransports(t *testing.T) (list [2]*Transport, all [2]Peer) {
 	for i := range list {
 		all[i] = Peer{Name: fmt.Sprint(i), Token: fmt.Sprintf("%016d-and-more", i)}
 		n, err := NewTransport(zap.NewNop(), NewFleet(all[i].Name), netip.MustParseAddrPort("127.0.0.1:0"), secretOf(all[i].Token), func(AttemptReport) {})
@@ -73,8 +73,8 @@
 	return list, all
 }
 
-// runNotes has them hear until end is called.
-func runNotes(t *testing.T, list [2]*Transport) (end func()) {
+// runTransports has them hear until end is called.
+func runTransports(t *testing.T, list [2]*Transport) (end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, len(list))
 	for _, n := range list {
@@ -92,15 +92,15 @@
 
 // A router that has just started asks some others, and is told by them alone; who does not show its
 // token is told nothing.
-func TestStartingRouterIsTold(t *testing.T) {
+func TestStateQueryIsAnswered(t *testing.T) {
 	want := poison.Verdict{Fingerprint: poison.Fingerprint{7}, Crashes: []poison.Crash{{Endpoint: 9}}}
 	heard := make(chan poison.Verdict, 1)
-	list, all := twoNotes(t)
+	list, all := twoTransports(t)
 	starting, other := list[0], list[1]
 	other.Verdicts = func() []poison.Verdict { return []poison.Verdict{want} }
 	starting.OnVerdicts = func(list []poison.Verdict) { heard <- list[0] }
 	starting.fleet.Put(all[1])
-	end := runNotes(t, list)
+	end := runTransports(t, list)
 	starting.QueryState(strings.Repeat("?", tokenBytes))
 	starting.QueryState(all[0].Token)
 	select {
@@ -108,7 +108,7 @@
 		if got.Fingerprint != want.Fingerprint || len(got.Crashes) != 1 || got.Crashes[0].Endpoint != 9 {
 			t.Errorf("told: got %+v, want %+v", got, want)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("nothing was told")
 	}
 	end()
@@ -144,7 +144,7 @@
 }
 
 // Routers agree on who keeps a request's crashes, and each request has others.
-func TestKeepersAreTheSame(t *testing.T) {
+func TestCollectorsAgree(t *testing.T) {
 	const routers = 40
 	fleets := make([]*Fleet, routers)
 	for i := range fleets {
@@ -160,16 +160,16 @@
 		for i, f := range fleets {
 			rank := f.CollectorRank(p)
 			ranks[rank] = true
-			if rank < keepersMost {
+			if rank < maxCollectors {
 				kept[fmt.Sprint("vm-", i)]++
 			}
-			for _, k := range f.keepers(p) {
+			for _, k := range f.collectors(p) {
 				var j int
 				if _, err := fmt.Sscanf(k.Name, "vm-%d", &j); err != nil {
 					t.Fatal(err)
 				}
 				// A keeper's own list has the next one in its place.
-				if got := fleets[j].CollectorRank(p); got > keepersMost {
+				if got := fleets[j].CollectorRank(p); got > maxCollectors {
 					t.Errorf("request %d: %s is told of its ends and has rank %d", n, k.Name, got)
 				}
 			}
--- a/internal/peers/fleet.go
+++ b/internal/peers/fleet.go
@@ -20,59 +20,59 @@
 	mu   sync.Mutex
 	// byName holds the registered routers, this one too.
 	byName map[string]Peer
-	// order holds them by rank; nil after a change. See rank.
-	order []Peer
+	// byRank holds them by rank; nil after a change. See rank.
+	byRank []Peer
 	// generation grows whenever a router that may send comes or goes; see Hashes.
 	generation uint64
-	// removed holds until when a router that is not registered any more may still send.
-	removed map[string]time.Time
+	// removedUntil holds until when a router that is not registered any more may still send.
+	removedUntil map[string]time.Time
 	// Now is the clock.
 	Now func() time.Time
-	// shunned holds until when a peer that did not answer well is not asked.
-	shunned map[string]time.Time
+	// backoffUntil holds until when a peer that did not answer well is not asked.
+	backoffUntil map[string]time.Time
 	// leaving says that this router stops and leaves the store to the others.
 	leaving bool
-	// silent holds since when a peer gives no answer at all.
-	silent map[string]time.Time
+	// noAnswerSince holds since when a peer gives no answer at all.
+	noAnswerSince map[string]time.Time
 }
 
 const (
-	// askersLeast is how many routers the others ask at least, and how many ask the store: two,
+	// minSources is how many routers the others ask at least, and how many ask the store: two,
 	// so that one can fail without any other noticing more than a second.
-	askersLeast = 2
-	// askedBy is how many routers one of them answers at most on average. In
+	minSources = 2
+	// maxPullersPerSource is how many routers one of them answers at most on average. In
 	// a sweep of 300 routers, two that answered all used 16 % of
 	// a core where the others used 3 %.
-	askedBy = 40
+	maxPullersPerSource = 40
 )
 
-// askers returns how many of n routers the others ask.
-func askers(n int) int { return max(askersLeast, n/askedBy) }
+// sourceCount returns how many of n routers the others ask.
+func sourceCount(n int) int { return max(minSources, n/maxPullersPerSource) }
 
-// readers returns how many of n routers ask the store. Where more routers are asked, these are
-// relays, which ask the readers: what is called of the store does not grow with the fleet.
-func readers(n int) int { return max(askersLeast, askers(n)/askedBy) }
+// readerCount returns how many of n routers ask the store. Where more routers are asked, these are
+// relays, which ask the readerCount: what is called of the store does not grow with the fleet.
+func readerCount(n int) int { return max(minSources, sourceCount(n)/maxPullersPerSource) }
 
-// relays returns how many of n routers pass on what the readers know; 0 where the others ask the
+// relayCount returns how many of n routers pass on what the readers know; 0 where the others ask the
 // readers themselves.
-func relays(n int) int {
-	if askers(n) <= readers(n) {
+func relayCount(n int) int {
+	if sourceCount(n) <= readerCount(n) {
 		return 0
 	}
-	return askers(n)
+	return sourceCount(n)
 }
 
 const (
-	// shunFor is how long a peer that gave no answer is not asked, illFor one that
+	// noAnswerBackoff is how long a peer that gave no answer is not asked, illFor one that
 	// was ill informed: it may be well informed soon, as one that begins to ask the
 	// store.
-	shunFor = 3 * time.Second
-	illFor  = time.Second
+	noAnswerBackoff = 3 * time.Second
+	staleBackoff    = time.Second
 )
 
 // NewFleet returns a fleet of one.
 func NewFleet(self string) *Fleet {
-	return &Fleet{self: self, byName: make(map[string]Peer), shunned: make(map[string]time.Time), silent: make(map[string]time.Time), removed: make(map[string]time.Time), Now: time.Now}
+	return &Fleet{self: self, byName: make(map[string]Peer), backoffUntil: make(map[string]time.Time), noAnswerSince: make(map[string]time.Time), removedUntil: make(map[string]time.Time), Now: time.Now}
 }
 
 // Put takes over a registered router.
@@ -80,15 +80,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, listed := f.byName[p.Name]
-	_, sends := f.removed[p.Name]
+	_, sends := f.removedUntil[p.Name]
 	if !listed && !sends {
 		f.generation++
 	}
-	delete(f.removed, p.Name)
+	delete(f.removedUntil, p.Name)
 	f.byName[p.Name] = p
-	f.order = nil
-	delete(f.shunned, p.Name)
-	delete(f.silent, p.Name)
+	f.byRank = nil
+	delete(f.backoffUntil, p.Name)
+	delete(f.noAnswerSince, p.Name)
 }
 
 // Remove forgets a router.
@@ -96,24 +96,24 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.byName[name]; ok {
-		f.removed[name] = f.Now().Add(sendsOn)
+		f.removedUntil[name] = f.Now().Add(removedSenderTTL)
 	}
 	delete(f.byName, name)
-	f.order = nil
+	f.byRank = nil
 }
 
 // ranked returns the routers by rank; mu is held.
 func (f *Fleet) ranked() []Peer {
-	if f.order == nil {
-		f.order = rank(slices.Collect(maps.Values(f.byName)))
+	if f.byRank == nil {
+		f.byRank = sortByRank(slices.Collect(maps.Values(f.byName)))
 	}
-	return f.order
+	return f.byRank
 }
 
-// rank orders routers, the same way everywhere: first the most able one of each
+// sortByRank orders routers, the same way everywhere: first the most able one of each
 // availability zone, then the second of each, so that the few that read the store and
 // answer the others are spread over the zones, on the VMs that bear it best.
-func rank(list []Peer) []Peer {
+func sortByRank(list []Peer) []Peer {
 	hash := make(map[string]uint64, len(list))
 	for _, p := range list {
 		hash[p.Name] = xxhash.Sum64String(p.Name)
@@ -131,25 +131,25 @@
 	return list
 }
 
-// sendsOn is how long a router that is not registered any more counts among those that may send:
+// removedSenderTTL is how long a router that is not registered any more counts among those that may send:
 // one that stops answers for some seconds more, and one that others removed as silent may be well
 // and only not reach them, until it has registered again.
-const sendsOn = 15 * time.Second
+const removedSenderTTL = 15 * time.Second
 
 // Generation returns a number that grows whenever a router that may send comes or goes.
 func (f *Fleet) Generation() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgetRemoved()
+	f.expireRemoved()
 	return f.generation
 }
 
-// forgetRemoved forgets the routers that send no more; mu is held.
-func (f *Fleet) forgetRemoved() {
+// expireRemoved forgets the routers that send no more; mu is held.
+func (f *Fleet) expireRemoved() {
 	now := f.Now()
-	for name, until := range f.removed {
+	for name, until := range f.removedUntil {
 		if !now.Before(until) {
-			delete(f.removed, name)
+			delete(f.removedUntil, name)
 			f.generation++
 		}
 	}
@@ -159,8 +159,8 @@
 func (f *Fleet) SenderCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgetRemoved()
-	return len(f.byName) + len(f.removed)
+	f.expireRemoved()
+	return len(f.byName) + len(f.removedUntil)
 }
 
 // SenderHashes returns what the routers are known by where each works out for itself what its part
@@ -168,9 +168,9 @@
 func (f *Fleet) SenderHashes() (self uint64, all []uint64, generation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgetRemoved()
-	all = make([]uint64, 0, len(f.byName)+len(f.removed))
-	for _, names := range []iter.Seq[string]{maps.Keys(f.byName), maps.Keys(f.removed)} {
+	f.expireRemoved()
+	all = make([]uint64, 0, len(f.byName)+len(f.removedUntil))
+	for _, names := range []iter.Seq[string]{maps.Keys(f.byName), maps.Keys(f.removedUntil)} {
 		for name := range names {
 			all = append(all, xxhash.Sum64String(name))
 		}
@@ -189,24 +189,24 @@
 func (f *Fleet) PullAttempts(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.relay(now) {
-		return readers(len(f.byName))
+	if f.isRelay(now) {
+		return readerCount(len(f.byName))
 	}
-	return askers(len(f.byName))
+	return sourceCount(len(f.byName))
 }
 
 // IsRelay reports whether this router is one of those that pass on what the readers know.
 func (f *Fleet) IsRelay(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.relay(now)
+	return f.isRelay(now)
 }
 
-// relay is Relay; mu is held.
-func (f *Fleet) relay(now time.Time) bool {
+// isRelay is Relay; mu is held.
+func (f *Fleet) isRelay(now time.Time) bool {
 	n := len(f.byName)
-	rank, ok := f.rankOf(now)
-	return ok && rank >= readers(n) && rank < readers(n)+relays(n)
+	rank, ok := f.currentRank(now)
+	return ok && rank >= readerCount(n) && rank < readerCount(n)+relayCount(n)
 }
 
 // Registered reports whether this router is among the registered ones.
@@ -222,24 +222,26 @@
 func (f *Fleet) ReadsStore(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rank, ok := f.rankOf(now)
+	rank, ok := f.currentRank(now)
 	if ok {
-		return rank < readers(len(f.byName))
+		return rank < readerCount(len(f.byName))
 	}
 	return !f.leaving || rank == 0
 }
 
-// rankOf returns how many others that are not shunned come before this router, or if it
+// currentRank returns how many others that are not shunned come before this router, or if it
 // is not registered, how many there are; mu is held.
-func (f *Fleet) rankOf(now time.Time) (rank int, registered bool) { return f.rankBut(now, "") }
+func (f *Fleet) currentRank(now time.Time) (rank int, registered bool) {
+	return f.currentRankExcept(now, "")
+}
 
-// rankBut is rankOf, but for one of the others; mu is held.
-func (f *Fleet) rankBut(now time.Time, but string) (rank int, registered bool) {
+// currentRankExcept is rankOf, but for one of the others; mu is held.
+func (f *Fleet) currentRankExcept(now time.Time, except string) (rank int, registered bool) {
 	for _, p := range f.ranked() {
 		if p.Name == f.self {
 			return rank, true
 		}
-		if p.Name != but && now.After(f.shunned[p.Name]) {
+		if p.Name != except && now.After(f.backoffUntil[p.Name]) {
 			rank++
 		}
 	}
@@ -250,8 +252,8 @@
 func (f *Fleet) IsPrimaryReader() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rank, ok := f.rankOf(farFuture)
-	return ok && rank < readers(len(f.byName))
+	rank, ok := f.currentRank(farFuture)
+	return ok && rank < readerCount(len(f.byName))
 }
 
 // farFuture is when nobody is shunned any more.
@@ -270,42 +272,42 @@
 func (f *Fleet) PickPeer(now time.Time, draw uint64, all bool) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var open []Peer
+	var candidates []Peer
 	if all {
-		open = f.open(now, len(f.byName))
+		candidates = f.available(now, len(f.byName))
 	} else {
-		open = f.near(f.asked(now))
+		candidates = f.sameZone(f.sources(now))
 	}
-	if len(open) == 0 {
+	if len(candidates) == 0 {
 		return Peer{}, false
 	}
-	return open[draw%uint64(len(open))], true
+	return candidates[draw%uint64(len(candidates))], true
 }
 
-// open returns the first so many of the other routers by rank that are not shunned; mu is held.
-func (f *Fleet) open(now time.Time, most int) (list []Peer) {
+// available returns the first so many of the other routers by rank that are not shunned; mu is held.
+func (f *Fleet) available(now time.Time, limit int) (list []Peer) {
 	for _, p := range f.ranked() {
-		if len(list) >= most {
+		if len(list) >= limit {
 			break
 		}
-		if p.Name != f.self && now.After(f.shunned[p.Name]) {
+		if p.Name != f.self && now.After(f.backoffUntil[p.Name]) {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// asked returns the open routers that this one asks: the readers if it is one of the first or there
+// sources returns the open routers that this one asks: the readers if it is one of the first or there
 // are no relays, and otherwise the relays; mu is held.
-func (f *Fleet) asked(now time.Time) []Peer {
+func (f *Fleet) sources(now time.Time) []Peer {
 	n := len(f.byName)
-	first := readers(n) + relays(n)
-	open := f.open(now, first)
-	rank, ok := f.rankOf(now)
-	if relays(n) == 0 || ok && rank < first || len(open) <= readers(n) {
-		return open[:min(len(open), readers(n))]
+	first := readerCount(n) + relayCount(n)
+	available := f.available(now, first)
+	rank, ok := f.currentRank(now)
+	if relayCount(n) == 0 || ok && rank < first || len(available) <= readerCount(n) {
+		return available[:min(len(available), readerCount(n))]
 	}
-	return open[readers(n):]
+	return available[readerCount(n):]
 }
 
 // PickPrimary returns one of the first routers, whatever became of it; draw spreads the load over
@@ -313,16 +315,16 @@
 func (f *Fleet) PickPrimary(draw uint64) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list := f.asked(farFuture)
+	list := f.sources(farFuture)
 	if len(list) == 0 {
 		return Peer{}, false
 	}
 	return list[draw%uint64(len(list))], true
 }
 
-// near returns those of a list that are in this router's availability zone; the whole list
+// sameZone returns those of a list that are in this router's availability zone; the whole list
 // if there are none, or if that zone is not known. mu is held.
-func (f *Fleet) near(list []Peer) []Peer {
+func (f *Fleet) sameZone(list []Peer) []Peer {
 	zone := f.byName[f.self].Zone
 	if zone == "" {
 		return list
@@ -343,21 +345,21 @@
 func (f *Fleet) BackOff(name string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shunned[name] = until
+	f.backoffUntil[name] = until
 }
 
 // RecordStale leaves a peer alone for a while that was ill informed.
 func (f *Fleet) RecordStale(name string, now time.Time) {
-	f.BackOff(name, now.Add(illFor))
+	f.BackOff(name, now.Add(staleBackoff))
 }
 
 // RecordNoAnswer notes that a peer gave no answer; it is left alone for a while.
 func (f *Fleet) RecordNoAnswer(name string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shunned[name] = now.Add(shunFor)
-	if f.silent[name].IsZero() {
-		f.silent[name] = now
+	f.backoffUntil[name] = now.Add(noAnswerBackoff)
+	if f.noAnswerSince[name].IsZero() {
+		f.noAnswerSince[name] = now
 	}
 }
 
@@ -365,21 +367,21 @@
 func (f *Fleet) RecordAnswer(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.silent, name)
+	delete(f.noAnswerSince, name)
 }
 
-// goneAfter is how long a peer must be silent for its registration to be
+// unresponsiveAfter is how long a peer must be silent for its registration to be
 // removed. A killed one is back and registered anew within seconds.
-const goneAfter = 12 * time.Second
+const unresponsiveAfter = 12 * time.Second
 
 // Unresponsive returns the registered peers that have been silent for long.
-func (f *Fleet) Unresponsive(now time.Time) (gone []Peer) {
+func (f *Fleet) Unresponsive(now time.Time) (list []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.ranked() {
-		if since := f.silent[p.Name]; !since.IsZero() && now.Sub(since) > goneAfter {
-			gone = append(gone, p)
+		if since := f.noAnswerSince[p.Name]; !since.IsZero() && now.Sub(since) > unresponsiveAfter {
+			list = append(list, p)
 		}
 	}
-	return gone
+	return list
 }
--- a/internal/peers/known.go
+++ b/internal/peers/members.go
@@ -10,10 +10,10 @@
 )
 
 // TopRanked returns the first so many of the other routers by rank that are not left alone now.
-func (f *Fleet) TopRanked(now time.Time, most int) []Peer {
+func (f *Fleet) TopRanked(now time.Time, limit int) []Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.open(now, most)
+	return f.available(now, limit)
 }
 
 // Get returns a registered router.
@@ -32,9 +32,9 @@
 }
 
 // RankExcept returns how many other routers in touch come before this one by rank, but for one.
-func (f *Fleet) RankExcept(now time.Time, but string) int {
+func (f *Fleet) RankExcept(now time.Time, except string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rank, _ := f.rankBut(now, but)
+	rank, _ := f.currentRankExcept(now, except)
 	return rank
 }
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -41,86 +41,86 @@
 	Token [tokenBytes]byte
 }
 
-// noticeBytes and questionBytes are the lengths of an encoded Notice and LimitQuestion.
+// noticeBytes and limitQueryBytes are the lengths of an encoded Notice and LimitQuestion.
 const (
-	noticeBytes   = 8 + 8 + 1 + 8 + 1 + 1 + 1 + 4
-	questionBytes = 8 + 8 + 8 + tokenBytes
+	noticeBytes     = 8 + 8 + 1 + 8 + 1 + 1 + 1 + 4
+	limitQueryBytes = 8 + 8 + 8 + tokenBytes
 )
 
 // SendNotice tells other routers what an endpoint said: some of them, or all.
-func (n *Transport) SendNotice(l Notice, all bool) {
-	buf := n.encode(kindNotice, l, noticeBytes)
+func (t *Transport) SendNotice(l Notice, all bool) {
+	buf := t.encodeFixed(kindNotice, l, noticeBytes)
 	if all {
-		n.Traffic.Notices.Add(n.sendTo(n.fleet.others(), buf))
+		t.Traffic.Notices.Add(t.sendToPeers(t.fleet.others(), buf))
 		return
 	}
-	n.Traffic.Notices.Add(n.send(buf, everybody))
+	t.Traffic.Notices.Add(t.sendToRecipients(buf, allZones))
 }
 
 // sendNotices tells a router that starts what endpoints said.
-func (n *Transport) sendNotices(list []Notice, to Peer) {
+func (t *Transport) sendNotices(list []Notice, to Peer) {
 	for _, l := range list {
-		n.Traffic.Notices.Add(n.sendOne(to, n.encode(kindNotice, l, noticeBytes)))
+		t.Traffic.Notices.Add(t.sendToPeer(to, t.encodeFixed(kindNotice, l, noticeBytes)))
 	}
 }
 
 // SendLimitQuery asks one of the routers that share an endpoint's limit, of which there are so many; draw
 // chooses. The answer comes under this router's token.
-func (n *Transport) SendLimitQuery(q LimitQuery, holders int, draw uint64) {
-	list := n.fleet.holders(q.Endpoint, holders)
-	if len(list) == 0 || !n.secret.copyTo(q.Token[:]) {
+func (t *Transport) SendLimitQuery(q LimitQuery, sharers int, draw uint64) {
+	list := t.fleet.limitSharers(q.Endpoint, sharers)
+	if len(list) == 0 || !t.secret.copyTo(q.Token[:]) {
 		return
 	}
 	to := list[draw%uint64(len(list))]
-	n.Traffic.Notices.Add(n.sendOne(to, n.encode(kindQuestion, q, questionBytes)))
+	t.Traffic.Notices.Add(t.sendToPeer(to, t.encodeFixed(kindLimitQuery, q, limitQueryBytes)))
 }
 
-// datagram returns the start of one of a kind, with room for the hearer's token, whose body has so many
+// newDatagram returns the start of one of a kind, with room for the hearer's token, whose body has so many
 // bytes at most.
-func datagram(kind byte, most int) []byte {
-	b := make([]byte, bodyAt, bodyAt+most)
+func newDatagram(kind byte, maxBody int) []byte {
+	b := make([]byte, bodyAt, bodyAt+maxBody)
 	b[kindAt] = kind
 	return b
 }
 
-// encode returns a datagram with a body of fixed length.
-func (n *Transport) encode(kind byte, body any, size int) []byte {
-	buf, err := binary.Append(datagram(kind, size), binary.BigEndian, body)
+// encodeFixed returns a datagram with a body of fixed length.
+func (t *Transport) encodeFixed(kind byte, body any, size int) []byte {
+	buf, err := binary.Append(newDatagram(kind, size), binary.BigEndian, body)
 	if err != nil {
-		n.Log.Error("peers: A datagram could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A datagram could not be encoded.", logs.Err(err))
 	}
 	return buf
 }
 
-// hearNotice decodes a Notice.
-func (n *Transport) hearNotice(b []byte, from netip.AddrPort) {
-	if l, ok := decodeFixed[Notice](n, b, from, "peers: What an endpoint said could not be decoded."); ok {
-		n.OnNotice(from.Addr(), l)
+// receiveNotice decodes a Notice.
+func (t *Transport) receiveNotice(b []byte, from netip.AddrPort) {
+	if l, ok := decodeFixed[Notice](t, b, from, "peers: What an endpoint said could not be decoded."); ok {
+		t.OnNotice(from.Addr(), l)
 	}
 }
 
-// hearQuestion decodes a LimitQuestion and answers it.
-func (n *Transport) hearQuestion(b []byte, from netip.AddrPort) {
-	q, ok := decodeFixed[LimitQuery](n, b, from, "peers: A question about a limit could not be decoded.")
+// receiveLimitQuery decodes a LimitQuestion and answers it.
+func (t *Transport) receiveLimitQuery(b []byte, from netip.AddrPort) {
+	q, ok := decodeFixed[LimitQuery](t, b, from, "peers: A question about a limit could not be decoded.")
 	if !ok {
 		return
 	}
-	l, ok := n.OnLimitQuery(q)
+	l, ok := t.OnLimitQuery(q)
 	if !ok {
 		return
 	}
-	asker := Peer{Name: from.String(), Addr: from, Token: string(q.Token[:])}
-	n.Traffic.Notices.Add(n.sendOne(asker, n.encode(kindNotice, l, noticeBytes)))
+	sender := Peer{Name: from.String(), Addr: from, Token: string(q.Token[:])}
+	t.Traffic.Notices.Add(t.sendToPeer(sender, t.encodeFixed(kindNotice, l, noticeBytes)))
 }
 
-// holders returns the other routers among those that share an endpoint's limit, of which there are
+// limitSharers returns the other routers among those that share an endpoint's limit, of which there are
 // so many: the first by rendezvous hash, as each of them finds for itself.
-func (f *Fleet) holders(endpoint uint64, most int) []Peer {
+func (f *Fleet) limitSharers(endpoint uint64, sharers int) []Peer {
 	f.mu.Lock()
 	list := slices.Clone(f.ranked())
 	f.mu.Unlock()
 	weight := func(p Peer) uint64 { return pool.Weight(endpoint, xxhash.Sum64String(p.Name)) }
 	slices.SortFunc(list, func(a, b Peer) int { return cmp.Compare(weight(b), weight(a)) })
-	list = list[:min(len(list), most)]
+	list = list[:min(len(list), sharers)]
 	return slices.DeleteFunc(list, func(p Peer) bool { return p.Name == f.self })
 }
--- a/internal/peers/notices_test.go
+++ b/internal/peers/notices_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		body any
 		want int
-	}{{Notice{}, noticeBytes}, {LimitQuery{}, questionBytes}} {
+	}{{Notice{}, noticeBytes}, {LimitQuery{}, limitQueryBytes}} {
 		if got := binary.Size(c.body); got != c.want {
 			t.Errorf("%T: got %d bytes, want %d", c.body, got, c.want)
 		}
@@ -26,7 +26,7 @@
 }
 
 // The routers that are asked for a grant are those that find for themselves that they have a share.
-func TestHoldersAreThoseThatHaveAShare(t *testing.T) {
+func TestLimitSharersHaveAShare(t *testing.T) {
 	const routers, endpoints, most = 12, 20, 4
 	fleets := make([]*Fleet, routers)
 	for i := range fleets {
@@ -55,7 +55,7 @@
 			t.Errorf("%s: %d find that they have a share, want %d", id, len(share), most)
 		}
 		for _, f := range fleets {
-			for _, p := range f.holders(pool.HashOf(id), most) {
+			for _, p := range f.limitSharers(pool.HashOf(id), most) {
 				if !share[p.Name] || p.Name == f.self {
 					t.Errorf("%s: %s would ask %s (%x), which has no share", id, f.self, p.Name, xxhash.Sum64String(p.Name))
 				}
@@ -66,8 +66,8 @@
 
 // A question is answered under the asker's token, word of a limit comes through, and a question
 // without an answer gets none.
-func TestLimitQuestionIsAnswered(t *testing.T) {
-	list, all := twoNotes(t)
+func TestLimitQueryIsAnswered(t *testing.T) {
+	list, all := twoTransports(t)
 	heard := make(chan Notice, 4)
 	asker, holder := list[0], list[1]
 	asker.OnNotice = func(_ netip.Addr, l Notice) { heard <- l }
@@ -75,27 +75,27 @@
 	holder.OnLimitQuery = func(q LimitQuery) (Notice, bool) {
 		return want, q.Incarnation == want.Incarnation && q.PerSecond == want.PerSecond
 	}
-	told := Notice{Endpoint: 7, Incarnation: 8, Limit: uint8(pool.Limited), PerSecond: 3, Leaving: true}
-	holder.Notices = func() []Notice { return []Notice{told} }
+	stored := Notice{Endpoint: 7, Incarnation: 8, Limit: uint8(pool.Limited), PerSecond: 3, Leaving: true}
+	holder.Notices = func() []Notice { return []Notice{stored} }
 	for _, n := range list {
 		n.fleet.Put(all[0])
 		n.fleet.Put(all[1])
 	}
-	end := runNotes(t, list)
+	end := runTransports(t, list)
 	asker.SendLimitQuery(LimitQuery{Endpoint: 7, Incarnation: 9, PerSecond: 2.5}, 2, 0)
 	asker.SendLimitQuery(LimitQuery{Endpoint: 7, Incarnation: 8, PerSecond: 2.5}, 2, 1)
 	if got := <-heard; got != want {
 		t.Errorf("answer: got %+v, want %+v", got, want)
 	}
 	for _, all := range []bool{true, false} {
-		holder.SendNotice(told, all)
-		if got := <-heard; got != told {
-			t.Errorf("told to all: %v: got %+v, want %+v", all, got, told)
+		holder.SendNotice(stored, all)
+		if got := <-heard; got != stored {
+			t.Errorf("told to all: %v: got %+v, want %+v", all, got, stored)
 		}
 	}
 	asker.QueryState(all[0].Token)
-	if got := <-heard; got != told {
-		t.Errorf("told a router that starts: got %+v, want %+v", got, told)
+	if got := <-heard; got != stored {
+		t.Errorf("told a router that starts: got %+v, want %+v", got, stored)
 	}
 	end()
 }
@@ -118,7 +118,7 @@
 		t.Errorf("registered again: got %d routers, generation %d, want 2 and %d", len(all), generation, before)
 	}
 	f.Remove("vm-2")
-	now = now.Add(sendsOn)
+	now = now.Add(removedSenderTTL)
 	if _, all, generation := f.SenderHashes(); len(all) != 1 || generation == before {
 		t.Errorf("later: got %d routers, generation %d, want 1 and another", len(all), generation)
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -24,19 +24,19 @@
 	"github.com/traildrift/traildrift/internal/tasks"
 )
 
-// patience bounds the waits of tests.
-const patience = 20 * time.Second
+// waitTimeout bounds the waits of tests.
+const waitTimeout = 20 * time.Second
 
-// served is a peer with a mirror of its own.
-type served struct {
+// testPeer is a peer with a mirror of its own.
+type testPeer struct {
 	Peer
 	mirror *mirror.Mirror
 	srv    *httptest.Server
 }
 
-func serve(t *testing.T, name string) *served {
+func startPeer(t *testing.T, name string) *testPeer {
 	m := mirror.New("config", "k")
-	p := &served{mirror: m, Peer: Peer{Name: name, Token: "token-of-" + name + "-0123456789"}}
+	p := &testPeer{mirror: m, Peer: Peer{Name: name, Token: "token-of-" + name + "-0123456789"}}
 	p.srv = httptest.NewServer(NewServer(zap.NewNop(), m, "config", secretOf(p.Token)))
 	t.Cleanup(p.srv.Close)
 	p.Addr = p.srv.Listener.Addr().(*net.TCPAddr).AddrPort()
@@ -49,7 +49,7 @@
 	return &s
 }
 
-func asker(list ...*served) *Puller {
+func newTestPuller(list ...*testPeer) *Puller {
 	f := NewFleet("self")
 	for _, p := range list {
 		f.Put(p.Peer)
@@ -57,58 +57,58 @@
 	return NewPuller(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
 }
 
-func put(m *mirror.Mirror, revision int64, at time.Time) {
+func putRevision(m *mirror.Mirror, revision int64, at time.Time) {
 	for _, kind := range []string{"config", "k"} {
 		m.List(kind, []mirror.Object{{Name: "a", Revision: revision, Spec: json.RawMessage(`{}`)}}, revision, at, time.Time{})
 	}
 }
 
-func TestAskTakesChangesAndTheirAge(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
+func TestPullAppliesChangesAndTheirAge(t *testing.T) {
+	p := startPeer(t, "p")
+	a := newTestPuller(p)
 	proven := time.Now().Add(-time.Second)
-	put(p.mirror, 5, proven)
-	if !a.ask(context.Background(), p.Peer, true) {
+	putRevision(p.mirror, 5, proven)
+	if !a.pull(context.Background(), p.Peer, true) {
 		t.Fatal("ask: got false, want true")
 	}
 	if got := a.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5", got)
 	}
 	got := a.Mirror.Proven("config")
-	if got.After(proven.Add(time.Millisecond)) || got.Before(proven.Add(-patience)) {
+	if got.After(proven.Add(time.Millisecond)) || got.Before(proven.Add(-waitTimeout)) {
 		t.Errorf("proven at: got %v, want at most %v", got, proven)
 	}
 }
 
-func TestAskHearsOfAChangeWhileHeld(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
-	put(p.mirror, 5, time.Now())
-	a.ask(context.Background(), p.Peer, true)
+func TestHeldRequestReturnsAChange(t *testing.T) {
+	p := startPeer(t, "p")
+	a := newTestPuller(p)
+	putRevision(p.mirror, 5, time.Now())
+	a.pull(context.Background(), p.Peer, true)
 	got := make(chan bool)
-	go func() { got <- a.ask(context.Background(), p.Peer, true) }()
-	put(p.mirror, 6, time.Now())
+	go func() { got <- a.pull(context.Background(), p.Peer, true) }()
+	putRevision(p.mirror, 6, time.Now())
 	if !<-got || a.Mirror.Revision("k") != 6 {
 		t.Errorf("revision: got %d, want 6", a.Mirror.Revision("k"))
 	}
 }
 
-func TestWrongTokenGetsNothing(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now())
-	a := asker(p)
-	thief := p.Peer
-	thief.Token = "guessed"
-	if a.ask(context.Background(), thief, true) || a.Mirror.Revision("k") != -1 {
+func TestWrongTokenIsRejected(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now())
+	a := newTestPuller(p)
+	intruder := p.Peer
+	intruder.Token = "guessed"
+	if a.pull(context.Background(), intruder, true) || a.Mirror.Revision("k") != -1 {
 		t.Error("an asker without the token got an answer")
 	}
 }
 
-func TestIllInformedPeerIsLeft(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now().Add(-time.Minute))
-	a := asker(p)
-	if a.ask(context.Background(), p.Peer, true) {
+func TestStalePeerIsBackedOff(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
+	a := newTestPuller(p)
+	if a.pull(context.Background(), p.Peer, true) {
 		t.Error("ask: got true of a peer that heard nothing for a minute")
 	}
 	if _, ok := a.Fleet.PickPeer(time.Now(), 0, true); ok {
@@ -120,22 +120,22 @@
 }
 
 // Removed objects that only lapsed stay usable for as long at the asker.
-func TestLapsesArePassedOn(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
-	put(p.mirror, 5, time.Now())
-	a.ask(context.Background(), p.Peer, true)
+func TestLapseTimesArePropagated(t *testing.T) {
+	p := startPeer(t, "p")
+	a := newTestPuller(p)
+	putRevision(p.mirror, 5, time.Now())
+	a.pull(context.Background(), p.Peer, true)
 	lapsesAt := time.Now().Add(time.Hour)
 	p.mirror.List("k", nil, 6, time.Now(), lapsesAt)
 	var got mirror.Change
 	a.Mirror.OnChange = func(_ string, c mirror.Change) { got = c }
-	a.ask(context.Background(), p.Peer, true)
-	if !got.Gone || got.LapsesAt.Before(lapsesAt.Add(-patience)) || got.LapsesAt.After(lapsesAt.Add(patience)) {
+	a.pull(context.Background(), p.Peer, true)
+	if !got.Gone || got.LapsesAt.Before(lapsesAt.Add(-waitTimeout)) || got.LapsesAt.After(lapsesAt.Add(waitTimeout)) {
 		t.Errorf("change: got %+v, want gone, lapsing at about %v", got, lapsesAt)
 	}
 }
 
-func TestFirstTwoAskTheStore(t *testing.T) {
+func TestTwoRoutersReadTheStore(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	now := time.Now()
 	count := func(shunned string) (n int) {
@@ -153,18 +153,18 @@
 		}
 		return n
 	}
-	if got := count(""); got != askersLeast {
-		t.Errorf("routers that ask the store: got %d, want %d", got, askersLeast)
+	if got := count(""); got != minSources {
+		t.Errorf("routers that ask the store: got %d, want %d", got, minSources)
 	}
 	for _, name := range names {
-		if got := count(name); got != askersLeast {
-			t.Errorf("with %s silent: got %d, want %d", name, got, askersLeast)
+		if got := count(name); got != minSources {
+			t.Errorf("with %s silent: got %d, want %d", name, got, minSources)
 		}
 	}
 }
 
 // A router that stops has no registration any more and is up for seconds.
-func TestLeavingRouterLeavesTheStore(t *testing.T) {
+func TestLeavingRouterDoesNotReadTheStore(t *testing.T) {
 	f := NewFleet("self")
 	now := time.Now()
 	f.Put(Peer{Name: "self"})
@@ -180,24 +180,24 @@
 	}
 }
 
-func TestSilentPeerIsGoneLater(t *testing.T) {
+func TestSilentPeerBecomesUnresponsive(t *testing.T) {
 	f := NewFleet("self")
 	f.Put(Peer{Name: "a"})
 	now := time.Now()
 	f.RecordNoAnswer("a", now)
-	if got := f.Unresponsive(now.Add(goneAfter)); len(got) != 0 {
+	if got := f.Unresponsive(now.Add(unresponsiveAfter)); len(got) != 0 {
 		t.Errorf("gone too soon: got %v", got)
 	}
-	if got := f.Unresponsive(now.Add(goneAfter + time.Second)); len(got) != 1 {
+	if got := f.Unresponsive(now.Add(unresponsiveAfter + time.Second)); len(got) != 1 {
 		t.Errorf("gone: got %v, want a", got)
 	}
 	f.RecordAnswer("a")
-	if got := f.Unresponsive(now.Add(goneAfter + time.Second)); len(got) != 0 {
+	if got := f.Unresponsive(now.Add(unresponsiveAfter + time.Second)); len(got) != 0 {
 		t.Errorf("gone after it was heard: got %v", got)
 	}
 }
 
-func TestNotesReachTheOthers(t *testing.T) {
+func TestAttemptReportsReachAllRouters(t *testing.T) {
 	heard := make(chan AttemptReport, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 3)
@@ -225,14 +225,14 @@
 		}
 	}
 	want := AttemptReport{From: netip.MustParseAddr("127.0.0.1"), Endpoint: 77, Busy: 1500 * time.Millisecond, Failed: true, Prefix: 99}
-	list[0].SendAttemptReport(want, everybody)
+	list[0].SendAttemptReport(want, allZones)
 	for range 2 {
 		select {
 		case got := <-heard:
 			if got != want {
 				t.Errorf("note: got %+v, want %+v", got, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatal("a note was not heard")
 		}
 	}
@@ -246,7 +246,7 @@
 
 // Of routers that start together the first ones read the store; the others wait for these,
 // but not for ever, and after that leave the store to them.
-func TestFirstRoutersReadTheStore(t *testing.T) {
+func TestPrimaryReadersReadTheStoreAtStart(t *testing.T) {
 	names := []string{"self"}
 	for i := range 9 {
 		names = append(names, fmt.Sprint("p", i))
@@ -263,76 +263,76 @@
 		a.SetPeersKnown()
 		if f.IsPrimaryReader() {
 			first++
-			if !a.may("k", now) {
+			if !a.shouldReadStore("k", now) {
 				t.Errorf("%s, one of the first: got false, want the store's turn", self)
 			}
 			continue
 		}
-		if a.may("k", before.Add(time.Duration(readsAfter)-1)) {
+		if a.shouldReadStore("k", before.Add(time.Duration(startReadDelay)-1)) {
 			t.Errorf("%s, not one of the first: got the store's turn, want the peers'", self)
 		}
-		if !a.may("k", now.Add(time.Duration(readsAfter)+readsSpread)) {
+		if !a.shouldReadStore("k", now.Add(time.Duration(startReadDelay)+startReadJitter)) {
 			t.Errorf("%s, told nothing by its peers: got false, want the store's turn", self)
 		}
-		put(a.Mirror, 5, now)
-		if a.may("k", now.Add(time.Second)) {
+		putRevision(a.Mirror, 5, now)
+		if a.shouldReadStore("k", now.Add(time.Second)) {
 			t.Errorf("%s, after its first read: got the store's turn, want the peers'", self)
 		}
 	}
-	if first != askersLeast {
-		t.Errorf("routers that read the store: got %d, want %d", first, askersLeast)
+	if first != minSources {
+		t.Errorf("routers that read the store: got %d, want %d", first, minSources)
 	}
 }
 
 // Each starting router knows other peers: one that is taken for one of the first reads the
 // store at once, so that none waits for one that waits for a third.
-func TestRouterThatIsAskedReadsTheStore(t *testing.T) {
-	asked := serve(t, "p")
-	a := asker()
+func TestStartingRouterReadsTheStoreWhenPulledFrom(t *testing.T) {
+	asked := startPeer(t, "p")
+	a := newTestPuller()
 	a.Fleet.Put(Peer{Name: "self"})
 	for i := range 9 {
 		a.Fleet.Put(Peer{Name: fmt.Sprint("before-", i), Millicores: 800})
 	}
 	a.SetPeersKnown()
-	if a.may("k", time.Now()) {
+	if a.shouldReadStore("k", time.Now()) {
 		t.Fatal("not one of the first: got the store's turn, want the peers'")
 	}
 	asked.srv.Config.Handler.(*Server).OnStartingPeer = a.RecordStartingPeer
-	starting := asker(asked)
-	starting.ask(context.Background(), asked.Peer, false)
-	if !a.may("k", time.Now()) {
+	starting := newTestPuller(asked)
+	starting.pull(context.Background(), asked.Peer, false)
+	if !a.shouldReadStore("k", time.Now()) {
 		t.Error("asked by a starting router: got false, want the store's turn")
 	}
-	b := asker()
+	b := newTestPuller()
 	asked.srv.Config.Handler.(*Server).OnStartingPeer = b.RecordStartingPeer
-	put(starting.Mirror, 5, time.Now())
-	starting.ask(context.Background(), asked.Peer, false)
-	if b.wanted.Load() {
+	putRevision(starting.Mirror, 5, time.Now())
+	starting.pull(context.Background(), asked.Peer, false)
+	if b.pulledByStarting.Load() {
 		t.Error("asked by a router that knows all: got wanted, want not")
 	}
 }
 
 // A router that knows no peers yet leaves the store alone until it was registered, or that
 // takes too long: then it tries one kind.
-func TestRouterThatIsNotIntroducedTriesOneKind(t *testing.T) {
-	a := asker()
+func TestUnregisteredRouterReadsOneKind(t *testing.T) {
+	a := newTestPuller()
 	now := time.Now()
-	if a.may("config", now) || a.may("k", now) {
+	if a.shouldReadStore("config", now) || a.shouldReadStore("k", now) {
 		t.Error("just started: got the store's turn, want it to register first")
 	}
-	late := now.Add(time.Duration(readsAfter) + readsSpread)
-	if !a.may("config", late) || a.may("k", late) {
-		t.Errorf("not registered in time: got %v for the watched kind and %v for another, want true and false", a.may("config", late), a.may("k", late))
+	late := now.Add(time.Duration(startReadDelay) + startReadJitter)
+	if !a.shouldReadStore("config", late) || a.shouldReadStore("k", late) {
+		t.Errorf("not registered in time: got %v for the watched kind and %v for another, want true and false", a.shouldReadStore("config", late), a.shouldReadStore("k", late))
 	}
 	a.Fleet.Put(Peer{Name: "self"})
 	a.SetPeersKnown()
-	if !a.may("k", now) {
+	if !a.shouldReadStore("k", now) {
 		t.Error("registered, alone: got false, want the store's turn")
 	}
 }
 
-// zoned is a fleet of 240 routers in six zones, of which 36 are able, and a router of zone a.
-func zoned() *Fleet {
+// zonedFleet is a fleet of 240 routers in six zones, of which 36 are able, and a router of zone a.
+func zonedFleet() *Fleet {
 	f := NewFleet("a-9")
 	for i := range 240 {
 		zone, ability := string("abcdef"[i%6]), 144
@@ -348,7 +348,7 @@
 // The few that read the store are the most able ones of each availability zone in turn.
 func TestRanksAreSpreadOverZones(t *testing.T) {
 	zones, able := make(map[string]bool), 0
-	for _, p := range zoned().ranked()[:6] {
+	for _, p := range zonedFleet().ranked()[:6] {
 		zones[p.Zone] = true
 		able += p.Millicores
 	}
@@ -358,8 +358,8 @@
 }
 
 // Routers ask the one of their own zone while it answers.
-func TestTheOwnZoneIsAsked(t *testing.T) {
-	f := zoned()
+func TestPeerInOwnZoneIsPicked(t *testing.T) {
+	f := zonedFleet()
 	for draw := range uint64(20) {
 		if p, ok := f.PickPeer(time.Now(), draw, false); !ok || p.Zone != "a" {
 			t.Fatalf("draw %d: got %v, want one of the own zone", draw, p)
@@ -387,15 +387,15 @@
 		p, _ := f.PickPeer(time.Now(), draw, false)
 		asked[p.Name] = true
 	}
-	if got, want := len(asked), 370/askedBy; got != want {
+	if got, want := len(asked), 370/maxPullersPerSource; got != want {
 		t.Errorf("routers that are asked: got %d, want %d", got, want)
 	}
 	told := make(map[string]bool)
 	for range 200 {
 		n := 0
-		f.each(everybody, func(p Peer) { n++; told[p.Name] = true })
-		if n != toldMost {
-			t.Fatalf("routers that hear a note: got %d, want %d", n, toldMost)
+		f.forEachRecipient(allZones, func(p Peer) { n++; told[p.Name] = true })
+		if n != maxRecipients {
+			t.Fatalf("routers that hear a note: got %d, want %d", n, maxRecipients)
 		}
 	}
 	if got, want := len(told), 369; got != want {
@@ -404,14 +404,14 @@
 }
 
 // How busy an endpoint is concerns the routers of its availability zone.
-func TestNotesGoToAZone(t *testing.T) {
+func TestRecipientsByZone(t *testing.T) {
 	f := NewFleet("r-0")
 	for i := range 9 {
 		f.Put(Peer{Name: fmt.Sprint("r-", i), Zone: []string{"a", "b", ""}[i%3]})
 	}
 	tell := func(to Recipients) string {
 		var told []string
-		f.each(to, func(p Peer) { told = append(told, p.Name) })
+		f.forEachRecipient(to, func(p Peer) { told = append(told, p.Name) })
 		slices.Sort(told)
 		return fmt.Sprint(told)
 	}
@@ -421,64 +421,64 @@
 	if got, want := tell(Recipients{Zone: "b", OtherZones: true}), "[r-1 r-2 r-3 r-4 r-5 r-6 r-7 r-8]"; got != want {
 		t.Errorf("those and the others: got %s, want %s", got, want)
 	}
-	large := zoned()
+	large := zonedFleet()
 	zone := 0
-	large.each(Recipients{Zone: "b", OtherZones: true}, func(p Peer) {
+	large.forEachRecipient(Recipients{Zone: "b", OtherZones: true}, func(p Peer) {
 		if p.Zone == "b" {
 			zone++
 		}
 	})
-	if zone != toldMost {
-		t.Errorf("routers of b that hear of what is new there, of 40: got %d, want %d", zone, toldMost)
+	if zone != maxRecipients {
+		t.Errorf("routers of b that hear of what is new there, of 40: got %d, want %d", zone, maxRecipients)
 	}
 }
 
 // While the store is not heard of, one kind alone is asked for.
-func TestOneKindTriesADeadStore(t *testing.T) {
-	a := asker()
+func TestOneKindProbesALostStore(t *testing.T) {
+	a := newTestPuller()
 	a.SetPeersKnown()
-	put(a.Mirror, 5, time.Now().Add(-unheardAfter-time.Second))
+	putRevision(a.Mirror, 5, time.Now().Add(-storeLostAfter-time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
 	if !a.WaitToReadStore(ctx, "config") {
 		t.Error("watched kind: got false, want the store's turn")
 	}
-	time.AfterFunc(5*time.Duration(turnPoll), cancel)
+	time.AfterFunc(5*time.Duration(storePollInterval), cancel)
 	if a.WaitToReadStore(ctx, "k") {
 		t.Error("another kind: got the store's turn, want none before the store is heard of")
 	}
-	put(a.Mirror, 6, time.Now())
+	putRevision(a.Mirror, 6, time.Now())
 	if !a.WaitToReadStore(context.Background(), "k") {
 		t.Error("another kind after the store was heard of: got false, want its turn")
 	}
 }
 
-// TestUninformedRouterFindsTheInformedPeerAtOnce has both routers that ask the store
+// TestStaleRouterFindsTheFreshPeerAtOnce has both routers that ask the store
 // cut off from it: those that asked them must not wait at one uninformed peer after
 // the other.
-func TestUninformedRouterFindsTheInformedPeerAtOnce(t *testing.T) {
-	var list []*served
+func TestStaleRouterFindsTheFreshPeerAtOnce(t *testing.T) {
+	var list []*testPeer
 	for i := range 8 {
-		p := serve(t, fmt.Sprint("p", i))
-		put(p.mirror, 5, time.Now().Add(-time.Minute))
+		p := startPeer(t, fmt.Sprint("p", i))
+		putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
 		list = append(list, p)
 	}
-	put(list[5].mirror, 9, time.Now())
-	a := asker(list...)
+	putRevision(list[5].mirror, 9, time.Now())
+	a := newTestPuller(list...)
 	a.Fleet.Put(Peer{Name: "self"})
 	a.SetPeersKnown()
-	put(a.Mirror, 5, time.Now().Add(-time.Minute))
-	ctx := running(t, a)
+	putRevision(a.Mirror, 5, time.Now().Add(-time.Minute))
+	ctx := runPuller(t, a)
 	began := time.Now()
-	for a.Mirror.Revision("config") < 9 && time.Since(began) < patience {
+	for a.Mirror.Revision("config") < 9 && time.Since(began) < waitTimeout {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
-	if took := time.Since(began); took > time.Duration(askWait) {
-		t.Errorf("the change was known after %v, want less than one held question (%v)", took, time.Duration(askWait))
+	if took := time.Since(began); took > time.Duration(longPollWait) {
+		t.Errorf("the change was known after %v, want less than one held question (%v)", took, time.Duration(longPollWait))
 	}
 }
 
-// running runs an asker until the test ends, and checks how it ends.
-func running(t *testing.T, a *Puller) context.Context {
+// runPuller runs an asker until the test ends, and checks how it ends.
+func runPuller(t *testing.T, a *Puller) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
@@ -492,53 +492,53 @@
 }
 
 // A peer whose copy grows too old answers at once, so that it is left.
-func TestHeldQuestionEndsWhenTheCopyIsOld(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
-	put(p.mirror, 5, time.Now().Add(-time.Duration(agedAfter)+50*time.Millisecond))
-	put(a.Mirror, 5, time.Now())
+func TestHeldRequestEndsWhenTheCopyIsStale(t *testing.T) {
+	p := startPeer(t, "p")
+	a := newTestPuller(p)
+	putRevision(p.mirror, 5, time.Now().Add(-time.Duration(staleAfter)+50*time.Millisecond))
+	putRevision(a.Mirror, 5, time.Now())
 	began := time.Now()
-	a.ask(context.Background(), p.Peer, true)
-	if took := time.Since(began); took > time.Duration(askWait)/2 {
+	a.pull(context.Background(), p.Peer, true)
+	if took := time.Since(began); took > time.Duration(longPollWait)/2 {
 		t.Errorf("answer after %v, want about 50 ms", took)
 	}
 }
 
 // All routers lost the store: each asks few others, and waits at the first ones for word that
 // it is back.
-func TestRoutersThatLostTheStoreWaitForWord(t *testing.T) {
-	var list []*served
+func TestRoutersThatLostTheStoreAwaitItsRecovery(t *testing.T) {
+	var list []*testPeer
 	for i := range 12 {
-		p := serve(t, fmt.Sprint("p", i))
-		put(p.mirror, 5, time.Now().Add(-time.Minute))
+		p := startPeer(t, fmt.Sprint("p", i))
+		putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
 		list = append(list, p)
 	}
-	a := asker(list...)
+	a := newTestPuller(list...)
 	a.Fleet.Put(Peer{Name: "self"})
 	a.SetPeersKnown()
-	put(a.Mirror, 5, time.Now().Add(-time.Minute))
-	ctx := running(t, a)
-	for deadline := time.Now().Add(patience); !a.direct.Load() && time.Now().Before(deadline); {
+	putRevision(a.Mirror, 5, time.Now().Add(-time.Minute))
+	ctx := runPuller(t, a)
+	for deadline := time.Now().Add(waitTimeout); !a.fallback.Load() && time.Now().Before(deadline); {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
 	leader, _ := a.Fleet.PickPrimary(xxhash.Sum64String("self"))
 	for _, p := range list {
 		if p.Name == leader.Name {
-			put(p.mirror, 5, time.Now())
+			putRevision(p.mirror, 5, time.Now())
 		}
 	}
 	back := time.Now()
-	for a.direct.Load() && time.Since(back) < patience {
+	for a.fallback.Load() && time.Since(back) < waitTimeout {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
-	if took := time.Since(back); took > time.Duration(askWait) {
-		t.Errorf("word that the store is back came after %v, want under %v", took, time.Duration(askWait))
+	if took := time.Since(back); took > time.Duration(longPollWait) {
+		t.Errorf("word that the store is back came after %v, want under %v", took, time.Duration(longPollWait))
 	}
 }
 
 // Whole lists are long where there are many endpoints; changes are not.
 func TestWholeListsAreCompressed(t *testing.T) {
-	p := serve(t, "p")
+	p := startPeer(t, "p")
 	var objects []mirror.Object
 	for i := range 3000 {
 		spec := fmt.Sprintf(`{"service":"s","address":"10.6.64.%d:8580","zone":"zone-a","version":"v1","capacity":24,"state":"ready","sequence":%d}`, i%250, i)
@@ -548,8 +548,8 @@
 	p.mirror.List("config", nil, 1, time.Now(), time.Time{})
 	var traffic Traffic
 	p.srv.Config.Handler.(*Server).Traffic = &traffic
-	a := asker(p)
-	if !a.ask(context.Background(), p.Peer, false) || a.Mirror.Revision("k") != 3000 {
+	a := newTestPuller(p)
+	if !a.pull(context.Background(), p.Peer, false) || a.Mirror.Revision("k") != 3000 {
 		t.Fatalf("revision: got %d, want 3000", a.Mirror.Revision("k"))
 	}
 	if got, _ := a.Mirror.Since("k", -1); len(got.Changes) != 3000 || string(got.Changes[0].Spec) == "" {
@@ -562,25 +562,25 @@
 
 // While all routers start, a peer knows one kind a few milliseconds before the others. An
 // answer without the watched kind makes it no ill informed one: it is asked again at once.
-func TestPeerThatStartsTooIsAskedAgainAtOnce(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
+func TestStartingPeerIsRetriedAtOnce(t *testing.T) {
+	p := startPeer(t, "p")
+	a := newTestPuller(p)
 	at := time.Now()
 	p.mirror.List("k", []mirror.Object{{Name: "a", Revision: 5, Spec: json.RawMessage(`{}`)}}, 5, at, time.Time{})
-	if a.ask(context.Background(), p.Peer, true) {
+	if a.pull(context.Background(), p.Peer, true) {
 		t.Fatal("ask of a peer that has not read the watched kind: got true, want false")
 	}
-	if _, ok := a.Fleet.PickPeer(time.Now().Add(2*time.Duration(startPoll)), 0, false); !ok {
+	if _, ok := a.Fleet.PickPeer(time.Now().Add(2*time.Duration(startPollInterval)), 0, false); !ok {
 		t.Error("next peer, a moment later: got none, want the one that starts too")
 	}
 }
 
 // A router that lacks a kind asks its peers for that, also where it is one of the first and
 // the kind by which it is well informed came early.
-func TestRouterThatLacksAKindGoesOnAsking(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now())
-	a := asker(p)
+func TestRouterThatLacksAKindGoesOnPulling(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now())
+	a := newTestPuller(p)
 	a.Fleet.Put(Peer{Name: "self"})
 	a.Mirror.List("config", nil, 5, time.Now(), time.Time{})
 	if !a.Fleet.ReadsStore(time.Now()) {
@@ -595,7 +595,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = a.Run(ctx) }()
-	deadline := time.Now().Add(readsAfterLeast)
+	deadline := time.Now().Add(minStartReadDelay)
 	for a.Mirror.Revision("k") < 0 && time.Now().Before(deadline) {
 		<-time.After(time.Millisecond)
 	}
@@ -604,16 +604,16 @@
 	}
 }
 
-// readsAfterLeast is the least time after which a starting router reads the store itself.
-const readsAfterLeast = 700 * time.Millisecond
+// minStartReadDelay is the least time after which a starting router reads the store itself.
+const minStartReadDelay = 700 * time.Millisecond
 
 // A VM without power takes no connection and refuses none. That a starting router meets one
 // may not cost the second after which the kernel tries again.
-func TestPeerWithoutPowerIsLeftSoon(t *testing.T) {
-	a := asker()
-	dark := Peer{Name: "dark", Addr: deaf(t), Token: "t"}
+func TestUnreachablePeerIsSkippedSoon(t *testing.T) {
+	a := newTestPuller()
+	unreachable := Peer{Name: "dark", Addr: addrWithFullBacklog(t), Token: "t"}
 	began := time.Now()
-	a.ask(context.Background(), dark, true)
+	a.pull(context.Background(), unreachable, true)
 	if took := time.Since(began); took > 600*time.Millisecond {
 		t.Errorf("ask: got an answer after %v, want one within 600ms", took)
 	}
@@ -621,20 +621,20 @@
 
 // A peer whose connection comes up late has not asked in vain: its answer is taken over though
 // others were asked meanwhile.
-func TestLateAnswerIsTakenOver(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now())
-	a := asker(p)
+func TestLateResponseIsApplied(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now())
+	a := newTestPuller(p)
 	up := make(chan struct{})
 	a.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-up
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}}}
-	if a.ask(context.Background(), p.Peer, false) {
+	if a.pull(context.Background(), p.Peer, false) {
 		t.Fatal("ask without a connection: got true, want false")
 	}
 	close(up)
-	if len(a.late) != 1 || !<-a.late[0] {
+	if len(a.background) != 1 || !<-a.background[0] {
 		t.Fatal("the late question: got no good answer, want one")
 	}
 	if got := a.Mirror.Revision("k"); got != 5 {
@@ -656,10 +656,10 @@
 }
 
 // A kept connection that has gone makes the client take another one for the same question.
-func TestQuestionTakesAnotherConnection(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now())
-	a := asker(p)
+func TestRequestIsRetriedOnANewConnection(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now())
+	a := newTestPuller(p)
 	dialed := 0
 	a.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialed++
@@ -667,7 +667,7 @@
 		return &brokenOnReuse{Conn: c}, err
 	}}}
 	for i := range 2 {
-		if !a.ask(context.Background(), p.Peer, false) {
+		if !a.pull(context.Background(), p.Peer, false) {
 			t.Errorf("question %d: got no good answer, want one", i+1)
 		}
 	}
@@ -676,8 +676,8 @@
 	}
 }
 
-// deaf returns an address whose queue of connections is full.
-func deaf(t *testing.T) netip.AddrPort {
+// addrWithFullBacklog returns an address whose queue of connections is full.
+func addrWithFullBacklog(t *testing.T) netip.AddrPort {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -35,7 +35,7 @@
 // Pattern: hundreds of routers, of which one in forty asked the store for all that it holds, so that
 // the calls grew with the fleet. Two ask it now, up to 3,200 routers, and none is asked by
 // many.
-func TestStoreReadersDoNotGrow(t *testing.T) {
+func TestStoreReadersDoNotGrowWithTheFleet(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct{ routers, readers, relays int }{
 		{2, 2, 0}, {30, 2, 0}, {119, 2, 0}, {120, 2, 3}, {384, 2, 9}, {768, 2, 19}, {1600, 2, 40}, {4000, 2, 100},
@@ -67,8 +67,8 @@
 			t.Errorf("%d routers: got %d that ask the store and %d relays, want %d and %d", c.routers, ask, pass, c.readers, c.relays)
 		}
 		for name, n := range asked {
-			if n *= c.routers / len(some); n > 3*askedBy {
-				t.Errorf("%d routers: %s is asked by %d, want %d at most", c.routers, name, n, 3*askedBy)
+			if n *= c.routers / len(some); n > 3*maxPullersPerSource {
+				t.Errorf("%d routers: %s is asked by %d, want %d at most", c.routers, name, n, 3*maxPullersPerSource)
 			}
 		}
 	}
@@ -76,10 +76,10 @@
 
 // chain is a reader, a relay that asks it and a follower that asks the relay, of 384 routers.
 type chain struct {
-	reader, relay, follower *mirror.Mirror
-	asks, follows           *Puller
-	// reads says that the reader hears from the store.
-	reads atomic.Bool
+	reader, relay, follower     *mirror.Mirror
+	relayPuller, followerPuller *Puller
+	// storeUp says that the reader hears from the store.
+	storeUp atomic.Bool
 }
 
 func newChain(t *testing.T) *chain {
@@ -106,13 +106,13 @@
 		}
 		return NewPuller(zap.NewNop(), f, m, "config", "config", "k")
 	}
-	c.asks, c.follows = asker(order[2].Name, c.relay), asker(order[200].Name, c.follower)
+	c.relayPuller, c.followerPuller = asker(order[2].Name, c.relay), asker(order[200].Name, c.follower)
 	for _, m := range []*mirror.Mirror{c.reader, c.relay, c.follower} {
 		m.List("k", nil, 5, time.Now(), time.Time{})
 		m.List("config", nil, 5, time.Now(), time.Time{})
 	}
-	c.reads.Store(true)
-	for _, run := range []func(context.Context) error{c.watch, c.asks.Run, c.follows.Run} {
+	c.storeUp.Store(true)
+	for _, run := range []func(context.Context) error{c.watch, c.relayPuller.Run, c.followerPuller.Run} {
 		done := make(chan error, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { done <- run(ctx) }()
@@ -126,9 +126,9 @@
 	for ctx.Err() == nil {
 		sent := time.Now()
 		<-time.After(500 * time.Millisecond)
-		if c.reads.Load() {
+		if c.storeUp.Load() {
 			c.reader.Apply("config", nil, 5, sent)
-		} else if c.asks.may("config", time.Now()) {
+		} else if c.relayPuller.shouldReadStore("config", time.Now()) {
 			c.relay.Apply("config", nil, 5, sent)
 		}
 	}
@@ -137,25 +137,25 @@
 
 // A follower of a relay is as sure of its copy as it is of a reader's, and where the readers lose
 // the store the relay takes their place before its followers all turn to the store.
-func TestRelaysAreInformed(t *testing.T) {
+func TestRelayReplacesReadersThatLoseTheStore(t *testing.T) {
 	c := newChain(t)
 	oldest := time.Duration(0)
-	look := func(lasts time.Duration) {
-		for end := time.Now().Add(lasts); time.Now().Before(end); {
+	observe := func(d time.Duration) {
+		for end := time.Now().Add(d); time.Now().Before(end); {
 			<-time.After(10 * time.Millisecond)
 			oldest = max(oldest, time.Since(c.follower.Proven("config")))
-			if c.follows.direct.Load() {
+			if c.followerPuller.fallback.Load() {
 				t.Fatalf("the follower turned to the store; its copy was %v old", oldest)
 			}
 		}
 	}
-	look(3 * time.Second)
-	if !c.asks.Fleet.IsRelay(time.Now()) {
+	observe(3 * time.Second)
+	if !c.relayPuller.Fleet.IsRelay(time.Now()) {
 		t.Error("with readers that answer: got no relay, want one")
 	}
-	c.reads.Store(false)
-	look(4 * time.Second)
-	if oldest > unheardAfter {
-		t.Errorf("age of the follower's copy: got %v, want %v at most", oldest, unheardAfter)
+	c.storeUp.Store(false)
+	observe(4 * time.Second)
+	if oldest > storeLostAfter {
+		t.Errorf("age of the follower's copy: got %v, want %v at most", oldest, storeLostAfter)
 	}
 }
--- a/internal/peers/report_test.go
+++ b/internal/peers/report_test.go
@@ -24,53 +24,53 @@
 
 func TestReportsFitIntoADatagram(t *testing.T) {
 	want := fullReport()
-	b, err := encodeReport(make([]byte, bodyAt), want)
+	b, err := encodeTrialReport(make([]byte, bodyAt), want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(b) > datagramMost {
-		t.Errorf("encoded: got %d bytes, want at most %d", len(b), datagramMost)
+	if len(b) > maxDatagramBytes {
+		t.Errorf("encoded: got %d bytes, want at most %d", len(b), maxDatagramBytes)
 	}
-	got, err := decodeReport(b[bodyAt:])
+	got, err := decodeTrialReport(b[bodyAt:])
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("decoded: got %+v and %v, want %+v", got, err, want)
 	}
 }
 
-func TestBrokenReportsAreRefused(t *testing.T) {
-	b, err := encodeReport(nil, fullReport())
+func TestInvalidReportsAreRejected(t *testing.T) {
+	b, err := encodeTrialReport(nil, fullReport())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range b {
-		if _, err := decodeReport(b[:n]); err == nil {
+		if _, err := decodeTrialReport(b[:n]); err == nil {
 			t.Fatalf("%d bytes of %d: got no error, want one", n, len(b))
 		}
 	}
-	if _, err := decodeReport(append(b, 0)); err == nil {
+	if _, err := decodeTrialReport(append(b, 0)); err == nil {
 		t.Error("a byte too many: got no error, want one")
 	}
 	tooMany := fullReport()
 	tooMany.Routes = append(tooMany.Routes, roll.RouteCounts{})
-	if _, err := encodeReport(nil, tooMany); err == nil {
+	if _, err := encodeTrialReport(nil, tooMany); err == nil {
 		t.Error("a route too many: got no error, want one")
 	}
 }
 
 // FuzzReport decodes any bytes without a panic, and what it decodes encodes to the same.
 func FuzzReport(f *testing.F) {
-	b, err := encodeReport(nil, fullReport())
+	b, err := encodeTrialReport(nil, fullReport())
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		r, err := decodeReport(in)
+		r, err := decodeTrialReport(in)
 		if err != nil {
 			return
 		}
-		out, err := encodeReport(nil, r)
+		out, err := encodeTrialReport(nil, r)
 		if err != nil || string(out) != string(in) {
 			t.Errorf("got %x and %v, want %x", out, err, in)
 		}
--- a/internal/peers/secret.go
+++ b/internal/peers/secret.go
@@ -15,14 +15,14 @@
 // Set changes the token.
 func (s *Secret) Set(token string) { s.text.Store(&token) }
 
-// is reports whether a peer showed the token.
-func (s *Secret) is(shown string) bool {
+// matches reports whether a peer showed the token.
+func (s *Secret) matches(token string) bool {
 	want := s.text.Load()
-	return want != nil && *want != "" && subtle.ConstantTimeCompare([]byte(shown), []byte(*want)) == 1
+	return want != nil && *want != "" && subtle.ConstantTimeCompare([]byte(token), []byte(*want)) == 1
 }
 
-// begins reports whether a datagram begins with the first bytes of the token.
-func (s *Secret) begins(b []byte) bool {
+// matchesPrefix reports whether a datagram matchesPrefix with the first bytes of the token.
+func (s *Secret) matchesPrefix(b []byte) bool {
 	want := s.text.Load()
 	return want != nil && len(*want) >= tokenBytes && len(b) >= tokenBytes && subtle.ConstantTimeCompare(b[:tokenBytes], []byte((*want)[:tokenBytes])) == 1
 }
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -22,7 +22,7 @@
 	Log    *zap.Logger
 	Mirror *mirror.Mirror
 	Secret *Secret
-	packs  packs
+	cache  compressionCache
 	// FreshnessKind is the kind whose age says how well this router is informed.
 	FreshnessKind string
 	// OnStartingPeer is called where a peer that knows nothing yet asks this router; set before
@@ -40,27 +40,27 @@
 }
 
 const (
-	// heldMost bounds the questions that are held at a time; a fleet of the
+	// maxHeld bounds the questions that are held at a time; a fleet of the
 	// users' size has 370 routers, of which most ask other ones.
-	heldMost = 512
-	// waitMost bounds how long a question is held.
-	waitMost = 2 * time.Second
-	// questionMost bounds a question, in bytes.
-	questionMost = 4 << 10
+	maxHeld = 512
+	// maxHold bounds how long a question is held.
+	maxHold = 2 * time.Second
+	// maxRequestBytes bounds a question, in bytes.
+	maxRequestBytes = 4 << 10
 )
 
 // NewServer returns a server that answers those who show the token.
 func NewServer(log *zap.Logger, m *mirror.Mirror, watched string, secret *Secret) *Server {
-	return &Server{Log: log, Mirror: m, FreshnessKind: watched, Secret: secret, OnStartingPeer: func() {}, Age: func(at, now time.Time) time.Duration { return now.Sub(at) }, Verdicts: func() []poison.Verdict { return nil }, Traffic: &Traffic{}, slots: make(chan struct{}, heldMost)}
+	return &Server{Log: log, Mirror: m, FreshnessKind: watched, Secret: secret, OnStartingPeer: func() {}, Age: func(at, now time.Time) time.Duration { return now.Sub(at) }, Verdicts: func() []poison.Verdict { return nil }, Traffic: &Traffic{}, slots: make(chan struct{}, maxHeld)}
 }
 
 // ServeHTTP answers one question.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if shown, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); !ok || !s.Secret.is(shown) {
+	if shown, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); !ok || !s.Secret.matches(shown) {
 		w.WriteHeader(http.StatusUnauthorized)
 		return
 	}
-	if r.URL.Path != path {
+	if r.URL.Path != pullPath {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -71,29 +71,29 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	var q question
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, questionMost)).Decode(&q); err != nil {
+	var q pullRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&q); err != nil {
 		s.Log.Warn("peers: A question could not be read.", zap.String("from", r.RemoteAddr), zap.Error(err))
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if q.starting() {
+	if q.hasNothing() {
 		s.OnStartingPeer()
 	}
-	asked := time.Now()
-	s.hold(r.Context(), &q, asked)
+	receivedAt := time.Now()
+	s.hold(r.Context(), &q, receivedAt)
 	now := time.Now()
-	a := answer{Kinds: make(map[string]kindAnswer), HeldMs: now.Sub(asked).Milliseconds()}
+	a := pullResponse{Kinds: make(map[string]kindChanges), HeldMs: now.Sub(receivedAt).Milliseconds()}
 	for kind, revision := range q.Have {
 		if d, ok := s.Mirror.Since(kind, revision); ok {
-			a.Kinds[kind] = encode(kind, d, s.Age(d.ProvenAt, now), now, &s.packs, q.Packs)
+			a.Kinds[kind] = encodeDelta(kind, d, s.Age(d.ProvenAt, now), now, &s.cache, q.AcceptsCompressed)
 		}
 	}
-	if q.starting() {
+	if q.hasNothing() {
 		a.Verdicts = s.verdicts(now)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if err := a.write(countingWriter{w, &s.Traffic.PullResponses}); err != nil {
+	if err := a.encode(countingWriter{w, &s.Traffic.PullResponses}); err != nil {
 		s.Log.Debug("peers: A peer left before its answer.", zap.Error(err))
 	}
 }
@@ -111,20 +111,20 @@
 // hold returns when this copy knows more than the asker, or at the time that the question
 // may be held for. Where the copy grows too old, an asker learns that at once, unless it
 // waits for word that the store is back.
-func (s *Server) hold(ctx context.Context, q *question, asked time.Time) {
-	until := asked.Add(min(time.Duration(q.WaitMs)*time.Millisecond, waitMost))
-	if q.Proof {
-		s.Mirror.AwaitProof(ctx, s.FreshnessKind, asked.Add(-time.Duration(agedAfter)), until)
+func (s *Server) hold(ctx context.Context, q *pullRequest, receivedAt time.Time) {
+	until := receivedAt.Add(min(time.Duration(q.WaitMs)*time.Millisecond, maxHold))
+	if q.AwaitFresh {
+		s.Mirror.AwaitProof(ctx, s.FreshnessKind, receivedAt.Add(-time.Duration(staleAfter)), until)
 		return
 	}
-	proven, most := s.Mirror.Proven(s.FreshnessKind), agedAfter
-	if q.Follows {
-		most = relayAgedAfter
+	proven, maxAge := s.Mirror.Proven(s.FreshnessKind), staleAfter
+	if q.FromRelay {
+		maxAge = relayStaleAfter
 	}
-	if aged := most.After(proven); aged.Before(until) {
+	if aged := maxAge.After(proven); aged.Before(until) {
 		until = aged
 	}
-	if q.Follows {
+	if q.FromRelay {
 		s.Mirror.AwaitNews(ctx, q.Have, s.FreshnessKind, proven, until)
 		return
 	}
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -21,13 +21,13 @@
 	AttemptReports, TrialReports, Quarantines, Notices, Usage, PullRequests, PullResponses atomic.Int64
 }
 
-// toldEvery is how often the log tells what was sent since the line before.
-const toldEvery = config.Span(10 * time.Second)
+// logInterval is how often the log tells what was sent since the line before.
+const logInterval = config.Span(10 * time.Second)
 
 // Run tells the log what was sent until ctx is done.
 func (t *Traffic) Run(ctx context.Context, log *zap.Logger) error {
 	for ctx.Err() == nil {
-		tasks.Pause(ctx, toldEvery.After(time.Now()))
+		tasks.Pause(ctx, logInterval.After(time.Now()))
 		log.Info("peers: Bytes were sent to other routers.", zap.Int64("notesBytes", t.AttemptReports.Swap(0)), zap.Int64("reportsBytes", t.TrialReports.Swap(0)), zap.Int64("crashesBytes", t.Quarantines.Swap(0)), zap.Int64("noticesBytes", t.Notices.Swap(0)), zap.Int64("usageBytes", t.Usage.Swap(0)),
 			zap.Int64("questionsBytes", t.PullRequests.Swap(0)), zap.Int64("answersBytes", t.PullResponses.Swap(0)))
 	}
--- a/internal/peers/notes.go
+++ b/internal/peers/transport.go
@@ -70,32 +70,32 @@
 	// tokenBytes is how much of the hearer's token a note begins with.
 	tokenBytes = 16
 	// kindAt is where a byte tells what follows the token.
-	kindAt   = tokenBytes
-	bodyAt   = kindAt + 1
-	kindNote = 1
-	// kindReport is followed by a report; see encodeReport.
-	kindReport = 2
-	// kindCrash is followed by a CrashReport, kindVerdicts by verdicts; see encodeVerdicts.
-	kindCrash    = 3
-	kindVerdicts = 4
-	// kindStarting is followed by the token of a router that has just started and wants to know
+	kindAt            = tokenBytes
+	bodyAt            = kindAt + 1
+	kindAttemptReport = 1
+	// kindTrialReport is followed by a report; see encodeReport.
+	kindTrialReport = 2
+	// kindCrashReport is followed by a CrashReport, kindVerdicts by verdicts; see encodeVerdicts.
+	kindCrashReport = 3
+	kindVerdicts    = 4
+	// kindStateQuery is followed by the token of a router that has just started and wants to know
 	// what others do of such requests.
-	kindStarting = 5
+	kindStateQuery = 5
 	// kindNotice is followed by a Notice, kindQuestion by a LimitQuestion.
-	kindNotice   = 6
-	kindQuestion = 7
-	// kindUsage is followed by a UsageReport, kindUsageAnswer by a UsageAnswer.
-	kindUsage       = 8
-	kindUsageAnswer = 9
+	kindNotice     = 6
+	kindLimitQuery = 7
+	// kindUsageReport is followed by a UsageReport, kindUsageAnswer by a UsageAnswer.
+	kindUsageReport = 8
+	kindUsageAck    = 9
 	// A note is the endpoint, the milliseconds that it is busy, a byte of flags, and
 	// the prefix, which routers of an earlier release leave out.
-	flagsAt   = bodyAt + 8 + 4
-	prefixAt  = flagsAt + 1
-	noteBytes = prefixAt + 8
+	flagsAt            = bodyAt + 8 + 4
+	prefixAt           = flagsAt + 1
+	attemptReportBytes = prefixAt + 8
 	// flagFailed is the flag of a failure.
 	flagFailed = 1
-	// busyMost bounds what a note may claim.
-	busyMost = 30 * time.Second
+	// maxBusy bounds what a note may claim.
+	maxBusy = 30 * time.Second
 )
 
 // NewTransport listens for notes where the router answers its peers.
@@ -110,106 +110,106 @@
 }
 
 // Run hears notes until ctx is done.
-func (n *Transport) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = n.conn.Close() })
+func (t *Transport) Run(ctx context.Context) error {
+	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() })
 	defer stop()
-	buf := make([]byte, datagramMost)
+	buf := make([]byte, maxDatagramBytes)
 	for {
-		size, from, err := n.conn.ReadFromUDPAddrPort(buf)
+		size, from, err := t.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
 			return errors.Wrap(err, "peers")
 		}
-		if size < bodyAt || !n.secret.begins(buf[:size]) {
+		if size < bodyAt || !t.secret.matchesPrefix(buf[:size]) {
 			continue
 		}
-		n.hear(buf[:size], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		t.receive(buf[:size], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
 
-// hear decodes a datagram with the right token.
-func (n *Transport) hear(b []byte, from netip.AddrPort) {
+// receive decodes a datagram with the right token.
+func (t *Transport) receive(b []byte, from netip.AddrPort) {
 	body := b[bodyAt:]
 	switch b[kindAt] {
-	case kindNote:
-		n.hearNote(b, from)
-	case kindReport:
-		n.hearReport(body, from)
-	case kindCrash:
-		n.hearCrash(body, from)
+	case kindAttemptReport:
+		t.receiveAttemptReport(b, from)
+	case kindTrialReport:
+		t.receiveTrialReport(body, from)
+	case kindCrashReport:
+		t.receiveCrashReport(body, from)
 	case kindVerdicts:
-		n.hearVerdicts(body, from)
+		t.receiveVerdicts(body, from)
 	case kindNotice:
-		n.hearNotice(body, from)
-	case kindQuestion:
-		n.hearQuestion(body, from)
-	case kindStarting:
-		n.hearStarting(body, from)
-	case kindUsage:
-		n.hearUsage(body, from)
-	case kindUsageAnswer:
-		n.hearUsageAnswer(body, from)
+		t.receiveNotice(body, from)
+	case kindLimitQuery:
+		t.receiveLimitQuery(body, from)
+	case kindStateQuery:
+		t.receiveStateQuery(body, from)
+	case kindUsageReport:
+		t.receiveUsageReport(body, from)
+	case kindUsageAck:
+		t.receiveUsageAck(body, from)
 	}
 }
 
-// hearNote decodes a Note from a whole datagram.
-func (n *Transport) hearNote(b []byte, from netip.AddrPort) {
+// receiveAttemptReport decodes a Note from a whole datagram.
+func (t *Transport) receiveAttemptReport(b []byte, from netip.AddrPort) {
 	if len(b) < prefixAt {
 		return
 	}
 	ms := binary.BigEndian.Uint32(b[bodyAt+8:])
-	note := AttemptReport{From: from.Addr(), Endpoint: binary.BigEndian.Uint64(b[bodyAt:]), Busy: min(time.Duration(ms)*time.Millisecond, busyMost), Failed: b[flagsAt]&flagFailed != 0}
-	if len(b) >= noteBytes {
+	note := AttemptReport{From: from.Addr(), Endpoint: binary.BigEndian.Uint64(b[bodyAt:]), Busy: min(time.Duration(ms)*time.Millisecond, maxBusy), Failed: b[flagsAt]&flagFailed != 0}
+	if len(b) >= attemptReportBytes {
 		note.Prefix = binary.BigEndian.Uint64(b[prefixAt:])
 	}
-	n.OnAttemptReport(note)
+	t.OnAttemptReport(note)
 }
 
-// hearReport decodes a report on a trial.
-func (n *Transport) hearReport(b []byte, from netip.AddrPort) {
-	if r, err := decodeReport(b); n.sound(err, from, "peers: A report could not be decoded.") {
-		n.OnTrialReport(r)
+// receiveTrialReport decodes a report on a trial.
+func (t *Transport) receiveTrialReport(b []byte, from netip.AddrPort) {
+	if r, err := decodeTrialReport(b); t.decoded(err, from, "peers: A report could not be decoded.") {
+		t.OnTrialReport(r)
 	}
 }
 
-// hearCrash decodes a CrashReport.
-func (n *Transport) hearCrash(b []byte, from netip.AddrPort) {
-	if s, ok := decodeFixed[CrashReport](n, b, from, "peers: A crash report could not be decoded."); ok {
-		n.OnCrashReport(s)
+// receiveCrashReport decodes a CrashReport.
+func (t *Transport) receiveCrashReport(b []byte, from netip.AddrPort) {
+	if s, ok := decodeFixed[CrashReport](t, b, from, "peers: A crash report could not be decoded."); ok {
+		t.OnCrashReport(s)
 	}
 }
 
 // decodeFixed decodes a body of fixed length; one that is too short is logged as the message says.
 func decodeFixed[T any](n *Transport, b []byte, from netip.AddrPort, message string) (v T, ok bool) {
 	_, err := binary.Decode(b, binary.BigEndian, &v)
-	return v, n.sound(err, from, message)
+	return v, n.decoded(err, from, message)
 }
 
-// sound reports whether a datagram could be decoded; one that could not is logged as the message says.
-func (n *Transport) sound(err error, from netip.AddrPort, message string) bool {
+// decoded reports whether a datagram could be decoded; one that could not is logged as the message says.
+func (t *Transport) decoded(err error, from netip.AddrPort, message string) bool {
 	if err != nil {
-		n.Log.Warn(message, zap.Stringer("from", from), logs.Err(err))
+		t.Log.Warn(message, zap.Stringer("from", from), logs.Err(err))
 	}
 	return err == nil
 }
 
-// hearVerdicts decodes verdicts.
-func (n *Transport) hearVerdicts(b []byte, from netip.AddrPort) {
-	if list, err := decodeVerdicts(b, time.Now()); n.sound(err, from, "peers: Verdicts could not be decoded.") {
-		n.OnVerdicts(list)
+// receiveVerdicts decodes verdicts.
+func (t *Transport) receiveVerdicts(b []byte, from netip.AddrPort) {
+	if list, err := decodeVerdicts(b, time.Now()); t.decoded(err, from, "peers: Verdicts could not be decoded.") {
+		t.OnVerdicts(list)
 	}
 }
 
-// hearStarting tells a router that has just started, whose token follows, what it should know.
-func (n *Transport) hearStarting(token []byte, from netip.AddrPort) {
+// receiveStateQuery tells a router that has just started, whose token follows, what it should know.
+func (t *Transport) receiveStateQuery(token []byte, from netip.AddrPort) {
 	if len(token) != tokenBytes {
 		return
 	}
 	to := Peer{Name: from.String(), Addr: from, Token: string(token)}
-	n.sendVerdicts(n.Verdicts(), []Peer{to})
-	n.sendNotices(n.Notices(), to)
+	t.sendVerdicts(t.Verdicts(), []Peer{to})
+	t.sendNotices(t.Notices(), to)
 }
 
 // Recipients says which routers hear a note: those of an availability zone first, and with
@@ -219,70 +219,70 @@
 	OtherZones bool
 }
 
-// everybody is the audience of what concerns all alike.
-var everybody = Recipients{OtherZones: true}
+// allZones is the audience of what concerns all alike.
+var allZones = Recipients{OtherZones: true}
 
 // SendAttemptReport tells other routers.
-func (n *Transport) SendAttemptReport(note AttemptReport, to Recipients) {
-	var buf [noteBytes]byte
-	buf[kindAt] = kindNote
+func (t *Transport) SendAttemptReport(note AttemptReport, to Recipients) {
+	var buf [attemptReportBytes]byte
+	buf[kindAt] = kindAttemptReport
 	binary.BigEndian.PutUint64(buf[bodyAt:], note.Endpoint)
 	binary.BigEndian.PutUint32(buf[bodyAt+8:], uint32(note.Busy.Milliseconds()))
 	if note.Failed {
 		buf[flagsAt] = flagFailed
 	}
 	binary.BigEndian.PutUint64(buf[prefixAt:], note.Prefix)
-	n.Traffic.AttemptReports.Add(n.send(buf[:], to))
+	t.Traffic.AttemptReports.Add(t.sendToRecipients(buf[:], to))
 }
 
 // SendTrialReport tells all other routers what this one saw of a trial.
-func (n *Transport) SendTrialReport(r roll.Report) {
-	buf, err := encodeReport(datagram(kindReport, datagramMost-bodyAt), r)
+func (t *Transport) SendTrialReport(r roll.Report) {
+	buf, err := encodeTrialReport(newDatagram(kindTrialReport, maxDatagramBytes-bodyAt), r)
 	if err != nil {
-		n.Log.Error("peers: A report could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A report could not be encoded.", logs.Err(err))
 		return
 	}
-	n.Traffic.TrialReports.Add(n.send(buf, everybody))
+	t.Traffic.TrialReports.Add(t.sendToRecipients(buf, allZones))
 }
 
-// send sends a datagram, which begins with room for the hearer's token, and returns the
+// sendToRecipients sends a datagram, which begins with room for the hearer's token, and returns the
 // bytes that were sent to all.
-func (n *Transport) send(buf []byte, to Recipients) (bytes int64) {
-	n.fleet.each(to, func(p Peer) { bytes += n.sendOne(p, buf) })
+func (t *Transport) sendToRecipients(buf []byte, to Recipients) (bytes int64) {
+	t.fleet.forEachRecipient(to, func(p Peer) { bytes += t.sendToPeer(p, buf) })
 	return bytes
 }
 
-// sendTo is send to named routers.
-func (n *Transport) sendTo(list []Peer, buf []byte) (bytes int64) {
+// sendToPeers is send to named routers.
+func (t *Transport) sendToPeers(list []Peer, buf []byte) (bytes int64) {
 	for _, p := range list {
-		bytes += n.sendOne(p, buf)
+		bytes += t.sendToPeer(p, buf)
 	}
 	return bytes
 }
 
-// sendOne sends a datagram to one router and returns its bytes.
-func (n *Transport) sendOne(p Peer, buf []byte) int64 {
+// sendToPeer sends a datagram to one router and returns its bytes.
+func (t *Transport) sendToPeer(p Peer, buf []byte) int64 {
 	copy(buf[:tokenBytes], p.Token)
-	if _, err := n.conn.WriteToUDPAddrPort(buf, p.Addr); err != nil {
-		n.Log.Debug("peers: A note was not sent.", zap.String("peer", p.Name), logs.Err(err))
+	if _, err := t.conn.WriteToUDPAddrPort(buf, p.Addr); err != nil {
+		t.Log.Debug("peers: A note was not sent.", zap.String("peer", p.Name), logs.Err(err))
 		return 0
 	}
 	return int64(len(buf))
 }
 
-// toldMost bounds the routers that hear one note, so that notes do not grow with
+// maxRecipients bounds the routers that hear one note, so that notes do not grow with
 // the square of the fleet. Where there are more, each note goes to others.
-const toldMost = 32
+const maxRecipients = 32
 
-// each calls do for the routers of an audience that are not shunned, for toldMost of them at
-// most. Routers that do not tell their zone are in each.
-func (f *Fleet) each(to Recipients, do func(Peer)) {
+// forEachRecipient calls do for the routers of an audience that are not shunned, for toldMost of them at
+// most. Routers that do not tell their zone are in forEachRecipient.
+func (f *Fleet) forEachRecipient(to Recipients, do func(Peer)) {
 	now := time.Now()
 	f.mu.Lock()
 	var zone, others []Peer
 	for _, p := range f.ranked() {
 		switch {
-		case p.Name == f.self || !now.After(f.shunned[p.Name]):
+		case p.Name == f.self || !now.After(f.backoffUntil[p.Name]):
 		case to.Zone != "" && (p.Zone == to.Zone || p.Zone == ""):
 			zone = append(zone, p)
 		case to.OtherZones:
@@ -290,16 +290,16 @@
 		}
 	}
 	f.mu.Unlock()
-	for _, p := range append(some(zone, toldMost), some(others, toldMost-len(zone))...) {
+	for _, p := range append(sample(zone, maxRecipients), sample(others, maxRecipients-len(zone))...) {
 		do(p)
 	}
 }
 
-// some returns at most so many of a list, drawn at random if there are more.
-func some(list []Peer, most int) []Peer {
-	if len(list) <= most {
+// sample returns at most so many of a list, drawn at random if there are more.
+func sample(list []Peer, limit int) []Peer {
+	if len(list) <= limit {
 		return list
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:max(most, 0)]
+	return list[:max(limit, 0)]
 }
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -43,10 +43,10 @@
 }
 
 const (
-	// nameMost bounds a name, in bytes; its length takes one byte.
-	nameMost = 255
-	// entryBytes is what a workspace's count takes beside its name.
-	entryBytes = 1 + 4
+	// maxNameBytes bounds a name, in bytes; its length takes one byte.
+	maxNameBytes = 255
+	// countBytes is what a workspace's count takes beside its name.
+	countBytes = 1 + 4
 )
 
 // The flags of reports and answers.
@@ -56,50 +56,50 @@
 	flagResigned = 2
 )
 
-// usageHead is the fixed part of a report.
-type usageHead struct {
-	Token  [tokenBytes]byte
-	Clock  int64
-	Life   uint64
-	Window int64
-	Total  uint64
-	Flags  uint8
+// usageReportHead is the fixed part of a report.
+type usageReportHead struct {
+	Token       [tokenBytes]byte
+	LocalTimeMs int64
+	Incarnation uint64
+	Window      int64
+	Total       uint64
+	Flags       uint8
 }
 
-// answerHead is the fixed part of an answer.
-type answerHead struct {
-	Clock  int64
-	Life   uint64
-	Window int64
-	Flags  uint8
+// usageAckHead is the fixed part of an answer.
+type usageAckHead struct {
+	TrueTimeMs  int64
+	Incarnation uint64
+	Window      int64
+	Flags       uint8
 }
 
-// wordHead is the fixed part of a word.
-type wordHead struct {
-	Life     uint64
-	Revision int64
-	Settled  int64
-	Flags    uint8
+// gossipHead is the fixed part of a word.
+type gossipHead struct {
+	Incarnation uint64
+	Revision    int64
+	Settled     int64
+	Flags       uint8
 }
 
 // appendName appends a name and its length; one that is too long is cut.
 func appendName(b []byte, name string) []byte {
-	name = name[:min(len(name), nameMost)]
+	name = name[:min(len(name), maxNameBytes)]
 	return append(append(b, byte(len(name))), name...)
 }
 
-// appendWord appends a word.
-func appendWord(b []byte, w duty.Gossip) ([]byte, error) {
-	h := wordHead{Life: w.Incarnation, Revision: w.Revision, Settled: int64(w.Settled)}
-	if w.Resigned {
+// appendGossip appends a word.
+func appendGossip(b []byte, g duty.Gossip) ([]byte, error) {
+	h := gossipHead{Incarnation: g.Incarnation, Revision: g.Revision, Settled: int64(g.Settled)}
+	if g.Resigned {
 		h.Flags = flagResigned
 	}
 	b, err := binary.Append(b, binary.BigEndian, h)
-	return appendName(b, w.Holder), err
+	return appendName(b, g.Holder), err
 }
 
-// fixed reads a part of fixed length from the start of b.
-func fixed[T any](b []byte) (v T, rest []byte, err error) {
+// decodeFixedPart reads a part of decodeFixedPart length from the start of b.
+func decodeFixedPart[T any](b []byte) (v T, rest []byte, err error) {
 	n, err := binary.Decode(b, binary.BigEndian, &v)
 	if err != nil {
 		return v, nil, errors.Wrap(err, "peers")
@@ -107,47 +107,47 @@
 	return v, b[n:], nil
 }
 
-// errShort says that a datagram ends too soon.
-var errShort = errors.New("peers: the datagram ends too soon")
+// errTruncated says that a datagram ends too soon.
+var errTruncated = errors.New("peers: the datagram ends too soon")
 
 // readName reads what appendName appended.
 func readName(b []byte) (name string, rest []byte, err error) {
 	if len(b) == 0 || len(b) < 1+int(b[0]) {
-		return "", nil, errShort
+		return "", nil, errTruncated
 	}
 	n := 1 + int(b[0])
 	return string(b[1:n]), b[n:], nil
 }
 
-// readWord reads what appendWord appended.
-func readWord(b []byte) (w duty.Gossip, rest []byte, err error) {
-	h, b, err := fixed[wordHead](b)
+// readGossip reads what appendWord appended.
+func readGossip(b []byte) (g duty.Gossip, rest []byte, err error) {
+	h, b, err := decodeFixedPart[gossipHead](b)
 	if err != nil {
-		return w, nil, err
+		return g, nil, err
 	}
-	w = duty.Gossip{Incarnation: h.Life, Revision: h.Revision, Settled: usage.Window(h.Settled), Resigned: h.Flags&flagResigned != 0}
-	w.Holder, rest, err = readName(b)
-	return w, rest, err
+	g = duty.Gossip{Incarnation: h.Incarnation, Revision: h.Revision, Settled: usage.Window(h.Settled), Resigned: h.Flags&flagResigned != 0}
+	g.Holder, rest, err = readName(b)
+	return g, rest, err
 }
 
-// encodeUsage returns the datagrams that hold a report, each with a part of the counts.
-func encodeUsage(r *UsageReport) (list [][]byte, err error) {
-	h := usageHead{Clock: r.LocalTime.UnixMilli(), Life: r.Reporter.Incarnation, Window: int64(r.Window), Total: r.Total}
+// encodeUsageReport returns the datagrams that hold a report, each with a part of the counts.
+func encodeUsageReport(r *UsageReport) (list [][]byte, err error) {
+	h := usageReportHead{LocalTimeMs: r.LocalTime.UnixMilli(), Incarnation: r.Reporter.Incarnation, Window: int64(r.Window), Total: r.Total}
 	copy(h.Token[:], r.token)
 	if r.Final {
 		h.Flags = flagFinal
 	}
-	head, err := binary.Append(datagram(kindUsage, datagramMost-bodyAt), binary.BigEndian, h)
+	head, err := binary.Append(newDatagram(kindUsageReport, maxDatagramBytes-bodyAt), binary.BigEndian, h)
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
 	head = appendName(head, r.Reporter.Router)
-	if head, err = appendWord(head, r.Gossip); err != nil {
+	if head, err = appendGossip(head, r.Gossip); err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
 	buf := slices.Clone(head)
 	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
-		if len(buf)+len(name)+entryBytes > datagramMost {
+		if len(buf)+len(name)+countBytes > maxDatagramBytes {
 			list, buf = append(list, buf), slices.Clone(head)
 		}
 		buf = appendName(buf, name)
@@ -156,18 +156,18 @@
 	return append(list, buf), nil
 }
 
-// decodeUsage decodes the body of a datagram of encodeUsage.
-func decodeUsage(b []byte) (*UsageReport, error) {
-	h, b, err := fixed[usageHead](b)
+// decodeUsageReport decodes the body of a datagram of encodeUsage.
+func decodeUsageReport(b []byte) (*UsageReport, error) {
+	h, b, err := decodeFixedPart[usageReportHead](b)
 	if err != nil {
 		return nil, err
 	}
-	r := &UsageReport{LocalTime: time.UnixMilli(h.Clock), token: h.Token[:]}
-	r.Reporter.Incarnation, r.Window, r.Total, r.Final = h.Life, usage.Window(h.Window), h.Total, h.Flags&flagFinal != 0
+	r := &UsageReport{LocalTime: time.UnixMilli(h.LocalTimeMs), token: h.Token[:]}
+	r.Reporter.Incarnation, r.Window, r.Total, r.Final = h.Incarnation, usage.Window(h.Window), h.Total, h.Flags&flagFinal != 0
 	if r.Reporter.Router, b, err = readName(b); err != nil {
 		return nil, err
 	}
-	if r.Gossip, b, err = readWord(b); err != nil {
+	if r.Gossip, b, err = readGossip(b); err != nil {
 		return nil, err
 	}
 	r.Counts = make(usage.Counts)
@@ -177,7 +177,7 @@
 			return nil, err
 		}
 		if len(b) < 4 {
-			return nil, errShort
+			return nil, errTruncated
 		}
 		r.Counts[name] = uint64(binary.BigEndian.Uint32(b))
 		b = b[4:]
@@ -185,71 +185,71 @@
 	return r, nil
 }
 
-// encodeAnswer returns the datagram that holds an answer.
-func encodeAnswer(a UsageAck) ([]byte, error) {
-	h := answerHead{Clock: a.TrueTime.UnixMilli(), Life: a.Incarnation, Window: int64(a.Window)}
+// encodeUsageAck returns the datagram that holds an answer.
+func encodeUsageAck(a UsageAck) ([]byte, error) {
+	h := usageAckHead{TrueTimeMs: a.TrueTime.UnixMilli(), Incarnation: a.Incarnation, Window: int64(a.Window)}
 	if a.Complete {
 		h.Flags = flagComplete
 	}
-	b, err := binary.Append(datagram(kindUsageAnswer, datagramMost-bodyAt), binary.BigEndian, h)
+	b, err := binary.Append(newDatagram(kindUsageAck, maxDatagramBytes-bodyAt), binary.BigEndian, h)
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
-	b, err = appendWord(appendName(b, a.Router), a.Gossip)
+	b, err = appendGossip(appendName(b, a.Router), a.Gossip)
 	return b, errors.Wrap(err, "peers")
 }
 
-// decodeAnswer decodes the body of a datagram of encodeAnswer.
-func decodeAnswer(b []byte) (a UsageAck, err error) {
-	h, b, err := fixed[answerHead](b)
+// decodeUsageAck decodes the body of a datagram of encodeAnswer.
+func decodeUsageAck(b []byte) (a UsageAck, err error) {
+	h, b, err := decodeFixedPart[usageAckHead](b)
 	if err != nil {
 		return a, err
 	}
-	a = UsageAck{Incarnation: h.Life, Window: usage.Window(h.Window), Complete: h.Flags&flagComplete != 0, TrueTime: time.UnixMilli(h.Clock)}
+	a = UsageAck{Incarnation: h.Incarnation, Window: usage.Window(h.Window), Complete: h.Flags&flagComplete != 0, TrueTime: time.UnixMilli(h.TrueTimeMs)}
 	if a.Router, b, err = readName(b); err != nil {
 		return a, err
 	}
-	a.Gossip, _, err = readWord(b)
+	a.Gossip, _, err = readGossip(b)
 	return a, err
 }
 
 // SendUsageReport tells a router what this one counted; the answer comes under this router's token.
-func (n *Transport) SendUsageReport(r UsageReport, to Peer) {
+func (t *Transport) SendUsageReport(r UsageReport, to Peer) {
 	r.token = make([]byte, tokenBytes)
-	if !n.secret.copyTo(r.token) {
+	if !t.secret.copyTo(r.token) {
 		return
 	}
-	list, err := encodeUsage(&r)
+	list, err := encodeUsageReport(&r)
 	if err != nil {
-		n.Log.Error("peers: A report of usage could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A report of usage could not be encoded.", logs.Err(err))
 		return
 	}
 	for _, b := range list {
-		n.Traffic.Usage.Add(n.sendOne(to, b))
+		t.Traffic.Usage.Add(t.sendToPeer(to, b))
 	}
 }
 
-// hearUsage decodes a UsageReport and answers it.
-func (n *Transport) hearUsage(b []byte, from netip.AddrPort) {
-	r, err := decodeUsage(b)
-	if !n.sound(err, from, "peers: A report of usage could not be decoded.") {
+// receiveUsageReport decodes a UsageReport and answers it.
+func (t *Transport) receiveUsageReport(b []byte, from netip.AddrPort) {
+	r, err := decodeUsageReport(b)
+	if !t.decoded(err, from, "peers: A report of usage could not be decoded.") {
 		return
 	}
-	a, ok := n.OnUsageReport(*r)
+	a, ok := t.OnUsageReport(*r)
 	if !ok {
 		return
 	}
-	answer, err := encodeAnswer(a)
+	ack, err := encodeUsageAck(a)
 	if err != nil {
-		n.Log.Error("peers: An answer about usage could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: An answer about usage could not be encoded.", logs.Err(err))
 		return
 	}
-	n.Traffic.Usage.Add(n.sendOne(Peer{Name: r.Reporter.Router, Addr: from, Token: string(r.token)}, answer))
+	t.Traffic.Usage.Add(t.sendToPeer(Peer{Name: r.Reporter.Router, Addr: from, Token: string(r.token)}, ack))
 }
 
-// hearUsageAnswer decodes a UsageAnswer.
-func (n *Transport) hearUsageAnswer(b []byte, from netip.AddrPort) {
-	if a, err := decodeAnswer(b); n.sound(err, from, "peers: An answer about usage could not be decoded.") {
-		n.OnUsageAck(a)
+// receiveUsageAck decodes a UsageAnswer.
+func (t *Transport) receiveUsageAck(b []byte, from netip.AddrPort) {
+	if a, err := decodeUsageAck(b); t.decoded(err, from, "peers: An answer about usage could not be decoded.") {
+		t.OnUsageAck(a)
 	}
 }
--- a/internal/peers/usage_test.go
+++ b/internal/peers/usage_test.go
@@ -30,16 +30,16 @@
 func TestUsageInDatagrams(t *testing.T) {
 	for _, n := range []int{0, 1, 60, 333, 1000} {
 		want := usageOf(n)
-		list, err := encodeUsage(&want)
+		list, err := encodeUsageReport(&want)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := make(usage.Counts)
 		for _, b := range list {
-			if len(b) > datagramMost {
-				t.Errorf("%d workspaces: got a datagram of %d bytes, want %d at most", n, len(b), datagramMost)
+			if len(b) > maxDatagramBytes {
+				t.Errorf("%d workspaces: got a datagram of %d bytes, want %d at most", n, len(b), maxDatagramBytes)
 			}
-			r, err := decodeUsage(b[bodyAt:])
+			r, err := decodeUsageReport(b[bodyAt:])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -55,13 +55,13 @@
 	}
 }
 
-func TestUsageAnswer(t *testing.T) {
+func TestUsageAckRoundTrip(t *testing.T) {
 	want := UsageAck{Router: "vm-b", Incarnation: 9, Window: 42, Complete: true, TrueTime: time.UnixMilli(1_800_000_000_123), Gossip: duty.Gossip{Holder: strings.Repeat("h", 200), Revision: 8}}
-	b, err := encodeAnswer(want)
+	b, err := encodeUsageAck(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decodeAnswer(b[bodyAt:])
+	got, err := decodeUsageAck(b[bodyAt:])
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
@@ -70,11 +70,11 @@
 // What other routers send is decoded without harm, whatever it is.
 func FuzzUsage(f *testing.F) {
 	r := usageOf(3)
-	list, err := encodeUsage(&r)
+	list, err := encodeUsageReport(&r)
 	if err != nil {
 		f.Fatal(err)
 	}
-	a, err := encodeAnswer(UsageAck{Router: "vm-b"})
+	a, err := encodeUsageAck(UsageAck{Router: "vm-b"})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -82,11 +82,11 @@
 	f.Add(a[bodyAt:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := decodeUsage(b); err == nil {
-			if _, err := encodeUsage(r); err != nil {
+		if r, err := decodeUsageReport(b); err == nil {
+			if _, err := encodeUsageReport(r); err != nil {
 				t.Errorf("decoded, but not encoded again: %v", err)
 			}
 		}
-		_, _ = decodeAnswer(b)
+		_, _ = decodeUsageAck(b)
 	})
 }
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -41,27 +41,27 @@
 	return old.Name == p.Name && old.Addr == p.Addr && old.Zone == p.Zone && old.Millicores == p.Millicores && len(old.Token) >= tokenBytes
 }
 
-// path is where peers ask.
-const path = "/changes"
+// pullPath is where peers ask.
+const pullPath = "/changes"
 
-// question asks for what a copy lacks.
-type question struct {
+// pullRequest asks for what a copy lacks.
+type pullRequest struct {
 	// Have holds the revision of each kind that is asked for.
 	Have map[string]int64 `json:"have"`
 	// WaitMs is how long to wait for a change, in milliseconds.
 	WaitMs int64 `json:"waitMs"`
-	// Proof says that the asker knows of no well informed peer: one that is ill informed
+	// AwaitFresh says that the asker knows of no well informed peer: one that is ill informed
 	// too answers once it is not.
-	Proof bool `json:"proof,omitempty"`
-	// Follows says that the asker passes on what it learns: it is answered as soon as the copy was
+	AwaitFresh bool `json:"proof,omitempty"`
+	// FromRelay says that the asker passes on what it learns: it is answered as soon as the copy was
 	// proven anew.
-	Follows bool `json:"follows,omitempty"`
-	// Packs says that the asker reads whole lists compressed.
-	Packs bool `json:"packs,omitempty"`
+	FromRelay bool `json:"follows,omitempty"`
+	// AcceptsCompressed says that the asker reads whole lists compressed.
+	AcceptsCompressed bool `json:"packs,omitempty"`
 }
 
-// starting reports whether the asker has no copy of anything.
-func (q *question) starting() bool {
+// hasNothing reports whether the asker has no copy of anything.
+func (q *pullRequest) hasNothing() bool {
 	for _, revision := range q.Have {
 		if revision >= 0 {
 			return false
@@ -70,9 +70,9 @@
 	return true
 }
 
-// answer is what a copy lacks.
-type answer struct {
-	Kinds map[string]kindAnswer `json:"kinds"`
+// pullResponse is what a copy lacks.
+type pullResponse struct {
+	Kinds map[string]kindChanges `json:"kinds"`
 	// HeldMs is how long the question was held, in milliseconds, rounded down.
 	HeldMs int64 `json:"heldMs"`
 	// Verdicts are what the store may lack of the requests that crash endpoints, for a peer
@@ -80,7 +80,7 @@
 	Verdicts []byte `json:"verdicts,omitempty"`
 }
 
-type kindAnswer struct {
+type kindChanges struct {
 	Revision int64 `json:"revision"`
 	// AgeMs is how long before the answer the copy was proven to be the
 	// newest, in milliseconds, rounded up.
@@ -89,52 +89,52 @@
 	Changes []wireChange `json:"changes,omitempty"`
 	// Bytes is how many bytes behind the answer hold the changes compressed, where they
 	// are a whole list that is long; packed holds them.
-	Bytes  int `json:"bytes,omitempty"`
-	packed []byte
+	Bytes      int `json:"bytes,omitempty"`
+	compressed []byte
 }
 
 type wireChange struct {
 	mirror.Object
-	// Packed is the specification compressed, where it is long; Spec is empty
+	// Compressed is the specification compressed, where it is long; Spec is empty
 	// then.
-	Packed []byte `json:"packed,omitempty"`
-	Gone   bool   `json:"gone,omitempty"`
+	Compressed []byte `json:"packed,omitempty"`
+	Gone       bool   `json:"gone,omitempty"`
 	// LapseMs is how much longer a removed object may be used.
 	LapseMs int64 `json:"lapseMs,omitempty"`
 }
 
-// write writes an answer: a line of JSON, and behind it what is compressed, in the order of
+// encode writes an answer: a line of JSON, and behind it what is compressed, in the order of
 // the kinds' names.
-func (a *answer) write(w io.Writer) error {
+func (a *pullResponse) encode(w io.Writer) error {
 	if err := json.NewEncoder(w).Encode(a); err != nil {
 		return errors.Wrap(err, "peers")
 	}
 	for _, kind := range slices.Sorted(maps.Keys(a.Kinds)) {
-		if _, err := w.Write(a.Kinds[kind].packed); err != nil {
+		if _, err := w.Write(a.Kinds[kind].compressed); err != nil {
 			return errors.Wrap(err, "peers")
 		}
 	}
 	return nil
 }
 
-// readAnswer reads what write wrote.
-func readAnswer(r io.Reader) (*answer, error) {
+// decodeResponse reads what write wrote.
+func decodeResponse(r io.Reader) (*pullResponse, error) {
 	in := bufio.NewReader(r)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
-	var a answer
+	var a pullResponse
 	if err := json.Unmarshal(line, &a); err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
 	for _, kind := range slices.Sorted(maps.Keys(a.Kinds)) {
 		k := a.Kinds[kind]
-		if k.Bytes < 0 || k.Bytes > answerMost {
+		if k.Bytes < 0 || k.Bytes > maxResponseBytes {
 			return nil, errors.Newf("peers: a list of %d bytes", k.Bytes)
 		}
-		k.packed = make([]byte, k.Bytes)
-		if _, err := io.ReadFull(in, k.packed); err != nil {
+		k.compressed = make([]byte, k.Bytes)
+		if _, err := io.ReadFull(in, k.compressed); err != nil {
 			return nil, errors.Wrap(err, "peers")
 		}
 		a.Kinds[kind] = k
@@ -142,19 +142,19 @@
 	return &a, nil
 }
 
-// encode returns a delta of a kind, whose proof is so old, as it is sent at now; whole lists are
+// encodeDelta returns a delta of a kind, whose proof is so old, as it is sent at now; whole lists are
 // compressed if the asker reads that.
-func encode(kind string, d mirror.Delta, age time.Duration, now time.Time, p *packs, packed bool) kindAnswer {
-	a := kindAnswer{Revision: d.Revision, AgeMs: ceilMs(age), Whole: d.Whole}
-	if packed && d.Whole && len(d.Changes) >= packsFrom {
-		if a.packed = p.list(kind, d); a.packed != nil {
-			a.Bytes = len(a.packed)
+func encodeDelta(kind string, d mirror.Delta, age time.Duration, now time.Time, p *compressionCache, compress bool) kindChanges {
+	a := kindChanges{Revision: d.Revision, AgeMs: ceilMs(age), Whole: d.Whole}
+	if compress && d.Whole && len(d.Changes) >= minCompressedList {
+		if a.compressed = p.list(kind, d); a.compressed != nil {
+			a.Bytes = len(a.compressed)
 			return a
 		}
 	}
 	for _, c := range d.Changes {
 		w := wireChange{Object: c.Object, Gone: c.Gone, LapseMs: max(c.LapsesAt.Sub(now).Milliseconds(), 0)}
-		if w.Packed = p.of(kind, &c.Object); w.Packed != nil {
+		if w.Compressed = p.spec(kind, &c.Object); w.Compressed != nil {
 			w.Spec = nil
 		}
 		a.Changes = append(a.Changes, w)
@@ -163,15 +163,15 @@
 }
 
 // decode returns the changes of an answer that came at now.
-func (a *kindAnswer) decode(now time.Time) ([]mirror.Change, error) {
+func (a *kindChanges) decode(now time.Time) ([]mirror.Change, error) {
 	if a.Bytes > 0 {
-		return unpackList(a.packed)
+		return decompressList(a.compressed)
 	}
 	list := make([]mirror.Change, 0, len(a.Changes))
 	for _, c := range a.Changes {
 		ch := mirror.Change{Object: c.Object, Gone: c.Gone}
-		if len(c.Packed) > 0 {
-			spec, err := unpack(c.Packed)
+		if len(c.Compressed) > 0 {
+			spec, err := decompress(c.Compressed)
 			if err != nil {
 				return nil, err
 			}
