--- a/internal/peers/crash_test.go
+++ b/internal/peers/crash_test.go
@@ -94,17 +94,17 @@
 // token is told nothing.
 func TestStateQueryIsAnswered(t *testing.T) {
 	want := poison.Verdict{Fingerprint: poison.Fingerprint{7}, Crashes: []poison.Crash{{Endpoint: 9}}}
-	heard := make(chan poison.Verdict, 1)
+	received := make(chan poison.Verdict, 1)
 	list, all := twoTransports(t)
 	starting, other := list[0], list[1]
 	other.Verdicts = func() []poison.Verdict { return []poison.Verdict{want} }
-	starting.OnVerdicts = func(list []poison.Verdict) { heard <- list[0] }
+	starting.OnVerdicts = func(list []poison.Verdict) { received <- list[0] }
 	starting.fleet.Put(all[1])
 	end := runTransports(t, list)
 	starting.QueryState(strings.Repeat("?", tokenBytes))
 	starting.QueryState(all[0].Token)
 	select {
-	case got := <-heard:
+	case got := <-received:
 		if got.Fingerprint != want.Fingerprint || len(got.Crashes) != 1 || got.Crashes[0].Endpoint != 9 {
 			t.Errorf("told: got %+v, want %+v", got, want)
 		}
@@ -112,7 +112,7 @@
 		t.Error("nothing was told")
 	}
 	end()
-	if len(heard) > 0 {
+	if len(received) > 0 {
 		t.Error("told more than once: the answer under a wrong token was taken")
 	}
 }
@@ -132,9 +132,9 @@
 			return
 		}
 		// Whatever it says, it may be taken over.
-		book := poison.NewDetector()
+		detector := poison.NewDetector()
 		for _, v := range list {
-			book.Merge(now, v)
+			detector.Merge(now, v)
 		}
 		again, err := encodeVerdicts(nil, list, now)
 		if err != nil || len(list) > 0 && len(again) == 0 {
@@ -153,7 +153,7 @@
 			fleets[i].Put(Peer{Name: fmt.Sprint("vm-", j), Addr: netip.MustParseAddrPort("127.0.0.1:1")})
 		}
 	}
-	kept := make(map[string]int)
+	collected := make(map[string]int)
 	for n := range byte(100) {
 		p := poison.Fingerprint{n, n}
 		ranks := make(map[int]bool)
@@ -161,7 +161,7 @@
 			rank := f.CollectorRank(p)
 			ranks[rank] = true
 			if rank < maxCollectors {
-				kept[fmt.Sprint("vm-", i)]++
+				collected[fmt.Sprint("vm-", i)]++
 			}
 			for _, k := range f.collectors(p) {
 				var j int
@@ -178,7 +178,7 @@
 			t.Errorf("request %d: %d different ranks, want %d", n, len(ranks), routers)
 		}
 	}
-	if len(kept) != routers {
-		t.Errorf("routers that keep the ends of some request: got %d, want %d", len(kept), routers)
+	if len(collected) != routers {
+		t.Errorf("routers that keep the ends of some request: got %d, want %d", len(collected), routers)
 	}
 }
--- a/internal/peers/notices_test.go
+++ b/internal/peers/notices_test.go
@@ -68,33 +68,33 @@
 // without an answer gets none.
 func TestLimitQueryIsAnswered(t *testing.T) {
 	list, all := twoTransports(t)
-	heard := make(chan Notice, 4)
-	asker, holder := list[0], list[1]
-	asker.OnNotice = func(_ netip.Addr, l Notice) { heard <- l }
+	received := make(chan Notice, 4)
+	borrower, lender := list[0], list[1]
+	borrower.OnNotice = func(_ netip.Addr, l Notice) { received <- l }
 	want := Notice{Endpoint: 7, Incarnation: 8, Limit: uint8(pool.Limited), PerSecond: 2.5, IsAnswer: true, Granted: true, WaitMs: 400}
-	holder.OnLimitQuery = func(q LimitQuery) (Notice, bool) {
+	lender.OnLimitQuery = func(q LimitQuery) (Notice, bool) {
 		return want, q.Incarnation == want.Incarnation && q.PerSecond == want.PerSecond
 	}
 	stored := Notice{Endpoint: 7, Incarnation: 8, Limit: uint8(pool.Limited), PerSecond: 3, Leaving: true}
-	holder.Notices = func() []Notice { return []Notice{stored} }
+	lender.Notices = func() []Notice { return []Notice{stored} }
 	for _, n := range list {
 		n.fleet.Put(all[0])
 		n.fleet.Put(all[1])
 	}
 	end := runTransports(t, list)
-	asker.SendLimitQuery(LimitQuery{Endpoint: 7, Incarnation: 9, PerSecond: 2.5}, 2, 0)
-	asker.SendLimitQuery(LimitQuery{Endpoint: 7, Incarnation: 8, PerSecond: 2.5}, 2, 1)
-	if got := <-heard; got != want {
+	borrower.SendLimitQuery(LimitQuery{Endpoint: 7, Incarnation: 9, PerSecond: 2.5}, 2, 0)
+	borrower.SendLimitQuery(LimitQuery{Endpoint: 7, Incarnation: 8, PerSecond: 2.5}, 2, 1)
+	if got := <-received; got != want {
 		t.Errorf("answer: got %+v, want %+v", got, want)
 	}
 	for _, all := range []bool{true, false} {
-		holder.SendNotice(stored, all)
-		if got := <-heard; got != stored {
+		lender.SendNotice(stored, all)
+		if got := <-received; got != stored {
 			t.Errorf("told to all: %v: got %+v, want %+v", all, got, stored)
 		}
 	}
-	asker.QueryState(all[0].Token)
-	if got := <-heard; got != stored {
+	borrower.QueryState(all[0].Token)
+	if got := <-received; got != stored {
 		t.Errorf("told a router that starts: got %+v, want %+v", got, stored)
 	}
 	end()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -198,7 +198,7 @@
 }
 
 func TestAttemptReportsReachAllRouters(t *testing.T) {
-	heard := make(chan AttemptReport, 10)
+	received := make(chan AttemptReport, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 3)
 	var list []*Transport
@@ -212,7 +212,7 @@
 		_ = c.Close()
 		all = append(all, Peer{Name: fmt.Sprint(i), Addr: addr, Token: fmt.Sprintf("%016d-and-more", i)})
 		f := NewFleet(all[i].Name)
-		n, err := NewTransport(zap.NewNop(), f, addr, secretOf(all[i].Token), func(n AttemptReport) { heard <- n })
+		n, err := NewTransport(zap.NewNop(), f, addr, secretOf(all[i].Token), func(n AttemptReport) { received <- n })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +228,7 @@
 	list[0].SendAttemptReport(want, allZones)
 	for range 2 {
 		select {
-		case got := <-heard:
+		case got := <-received:
 			if got != want {
 				t.Errorf("note: got %+v, want %+v", got, want)
 			}
@@ -251,7 +251,7 @@
 	for i := range 9 {
 		names = append(names, fmt.Sprint("p", i))
 	}
-	first := 0
+	readers := 0
 	for _, self := range names {
 		f := NewFleet(self)
 		for _, name := range names {
@@ -262,7 +262,7 @@
 		now := time.Now() // It waits from some moment between these two on.
 		a.SetPeersKnown()
 		if f.IsPrimaryReader() {
-			first++
+			readers++
 			if !a.shouldReadStore("k", now) {
 				t.Errorf("%s, one of the first: got false, want the store's turn", self)
 			}
@@ -279,8 +279,8 @@
 			t.Errorf("%s, after its first read: got the store's turn, want the peers'", self)
 		}
 	}
-	if first != minSources {
-		t.Errorf("routers that read the store: got %d, want %d", first, minSources)
+	if readers != minSources {
+		t.Errorf("routers that read the store: got %d, want %d", readers, minSources)
 	}
 }
 
@@ -390,15 +390,15 @@
 	if got, want := len(asked), 370/maxPullersPerSource; got != want {
 		t.Errorf("routers that are asked: got %d, want %d", got, want)
 	}
-	told := make(map[string]bool)
+	reached := make(map[string]bool)
 	for range 200 {
 		n := 0
-		f.forEachRecipient(allZones, func(p Peer) { n++; told[p.Name] = true })
+		f.forEachRecipient(allZones, func(p Peer) { n++; reached[p.Name] = true })
 		if n != maxRecipients {
 			t.Fatalf("routers that hear a note: got %d, want %d", n, maxRecipients)
 		}
 	}
-	if got, want := len(told), 369; got != want {
+	if got, want := len(reached), 369; got != want {
 		t.Errorf("routers that hear some note: got %d, want %d", got, want)
 	}
 }
@@ -409,16 +409,16 @@
 	for i := range 9 {
 		f.Put(Peer{Name: fmt.Sprint("r-", i), Zone: []string{"a", "b", ""}[i%3]})
 	}
-	tell := func(to Recipients) string {
-		var told []string
-		f.forEachRecipient(to, func(p Peer) { told = append(told, p.Name) })
-		slices.Sort(told)
-		return fmt.Sprint(told)
+	recipients := func(to Recipients) string {
+		var names []string
+		f.forEachRecipient(to, func(p Peer) { names = append(names, p.Name) })
+		slices.Sort(names)
+		return fmt.Sprint(names)
 	}
-	if got, want := tell(Recipients{Zone: "b"}), "[r-1 r-2 r-4 r-5 r-7 r-8]"; got != want {
+	if got, want := recipients(Recipients{Zone: "b"}), "[r-1 r-2 r-4 r-5 r-7 r-8]"; got != want {
 		t.Errorf("routers of b, and of no zone that is known: got %s, want %s", got, want)
 	}
-	if got, want := tell(Recipients{Zone: "b", OtherZones: true}), "[r-1 r-2 r-3 r-4 r-5 r-6 r-7 r-8]"; got != want {
+	if got, want := recipients(Recipients{Zone: "b", OtherZones: true}), "[r-1 r-2 r-3 r-4 r-5 r-6 r-7 r-8]"; got != want {
 		t.Errorf("those and the others: got %s, want %s", got, want)
 	}
 	large := zonedFleet()
--- a/internal/peers/puller.go
+++ b/internal/peers/puller.go
@@ -118,10 +118,10 @@
 )
 
 // NewPuller returns an asker that has found no peer yet.
-func NewPuller(log *zap.Logger, f *Fleet, m *mirror.Mirror, watched string, kinds ...string) *Puller {
+func NewPuller(log *zap.Logger, f *Fleet, m *mirror.Mirror, freshnessKind string, kinds ...string) *Puller {
 	now := time.Now()
 	a := &Puller{
-		Log: log, Fleet: f, Mirror: m, Kinds: kinds, FreshnessKind: watched, Traffic: &Traffic{}, OnVerdicts: func([]poison.Verdict) {}, sweepSize: maxSweepSize,
+		Log: log, Fleet: f, Mirror: m, Kinds: kinds, FreshnessKind: freshnessKind, Traffic: &Traffic{}, OnVerdicts: func([]poison.Verdict) {}, sweepSize: maxSweepSize,
 		readStoreAt: startReadDelay.After(now).Add(rand.N(startReadJitter)), readStoreBy: maxStartReadDelay.After(now),
 	}
 	a.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true}}
@@ -131,7 +131,7 @@
 // Run asks peers until ctx is done: always if the store is not asked, and when
 // the store leaves this router without word.
 func (pl *Puller) Run(ctx context.Context) error {
-	primary := xxhash.Sum64String(pl.Fleet.self)
+	selfHash := xxhash.Sum64String(pl.Fleet.self)
 	defer func() {
 		for _, done := range pl.background {
 			<-done
@@ -140,14 +140,14 @@
 	for ctx.Err() == nil {
 		now := time.Now()
 		pl.background = slices.DeleteFunc(pl.background, isDone)
-		informed := now.Sub(pl.Mirror.Proven(pl.FreshnessKind)) <= time.Duration(pl.staleAge(now))
+		fresh := now.Sub(pl.Mirror.Proven(pl.FreshnessKind)) <= time.Duration(pl.staleAge(now))
 		switch {
 		case !pl.hasAllKinds() && (!pl.peersKnown.Load() || pl.isStartReader()):
 			tasks.Pause(ctx, startPollInterval.After(now))
-		case pl.hasAllKinds() && pl.Fleet.ReadsStore(now) && informed:
+		case pl.hasAllKinds() && pl.Fleet.ReadsStore(now) && fresh:
 			tasks.Pause(ctx, readerPollInterval.After(now))
 		default:
-			pl.pullNext(ctx, primary, informed)
+			pl.pullNext(ctx, selfHash, fresh)
 		}
 	}
 	return nil
@@ -166,15 +166,15 @@
 // pullNext asks the first peers. If they are ill informed it waits at the next in rank, which
 // take over from them, then asks some others at once, turns to the store, and waits at the
 // first ones for word that it is back.
-func (pl *Puller) pullNext(ctx context.Context, primary uint64, informed bool) {
-	hold := informed || !pl.hasAllKinds()
+func (pl *Puller) pullNext(ctx context.Context, selfHash uint64, fresh bool) {
+	hold := fresh || !pl.hasAllKinds()
 	for range pl.Fleet.PullAttempts(time.Now()) {
-		if pl.tryNextPeer(ctx, primary, false, func(p Peer) bool { return pl.pull(ctx, p, hold) }) {
+		if pl.tryNextPeer(ctx, selfHash, false, func(p Peer) bool { return pl.pull(ctx, p, hold) }) {
 			return
 		}
 		hold = false
 	}
-	if pl.tryNextPeer(ctx, primary, false, func(p Peer) bool { return pl.pullFresh(ctx, p, takeoverWait) }) {
+	if pl.tryNextPeer(ctx, selfHash, false, func(p Peer) bool { return pl.pullFresh(ctx, p, takeoverWait) }) {
 		return
 	}
 	for range pl.sweepSize {
@@ -184,7 +184,7 @@
 	}
 	pl.sweepSize = max(pl.sweepSize/2, 1)
 	pl.setFallback(true)
-	pl.awaitStoreRecovery(ctx, primary)
+	pl.awaitStoreRecovery(ctx, selfHash)
 }
 
 // tryNextPeer asks the next peer and reports whether it answered well.
@@ -198,10 +198,10 @@
 }
 
 // awaitStoreRecovery waits at one of the first routers for word that the store is back.
-func (pl *Puller) awaitStoreRecovery(ctx context.Context, primary uint64) {
+func (pl *Puller) awaitStoreRecovery(ctx context.Context, selfHash uint64) {
 	until := retryPeersInterval.After(time.Now())
 	for time.Now().Before(until) && ctx.Err() == nil {
-		if p, ok := pl.Fleet.PickPrimary(primary); ok && pl.pullFresh(ctx, p, longPollWait) {
+		if p, ok := pl.Fleet.PickPrimary(selfHash); ok && pl.pullFresh(ctx, p, longPollWait) {
 			pl.recordFresh(p.Name)
 			return
 		}
@@ -234,23 +234,23 @@
 // on the connection would lose the answers of peers whose links are full.
 func (pl *Puller) exchangeOrDefer(ctx context.Context, p Peer, q pullRequest, sent time.Time) bool {
 	// The client takes another connection for the same question where a kept one has gone.
-	up := make(chan struct{}, 1)
+	connected := make(chan struct{}, 1)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		select {
-		case up <- struct{}{}:
+		case connected <- struct{}{}:
 		default:
 		}
 	}}
 	done := make(chan bool, 1)
 	go func() { done <- pl.exchange(httptrace.WithClientTrace(ctx, trace), p, q, sent) }()
-	late := time.NewTimer(connectTimeout)
-	defer late.Stop()
+	timer := time.NewTimer(connectTimeout)
+	defer timer.Stop()
 	select {
 	case ok := <-done:
 		return ok
-	case <-up:
+	case <-connected:
 		return <-done
-	case <-late.C:
+	case <-timer.C:
 		pl.Fleet.BackOff(p.Name, time.Now().Add(listAnswerTimeout))
 		pl.background = append(pl.background, done)
 		return false
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -41,33 +41,33 @@
 		{2, 2, 0}, {30, 2, 0}, {119, 2, 0}, {120, 2, 3}, {384, 2, 9}, {768, 2, 19}, {1600, 2, 40}, {4000, 2, 100},
 	} {
 		f := fleetOf(c.routers)
-		ask, pass := 0, 0
+		readers, relays := 0, 0
 		for _, p := range f.ranked()[:min(c.routers, 2*(c.readers+c.relays))] {
 			f.self = p.Name
 			if f.ReadsStore(now) {
-				ask++
+				readers++
 			}
 			if f.IsRelay(now) {
-				pass++
+				relays++
 			}
 		}
-		// Of large fleets some stand for all.
-		asked, some := make(map[string]int), rand.New(rand.NewPCG(1, 2)).Perm(c.routers)
-		some = some[:min(c.routers, 384)]
-		for _, i := range some {
+		// Of large fleets sampled stand for all.
+		pullers, sampled := make(map[string]int), rand.New(rand.NewPCG(1, 2)).Perm(c.routers)
+		sampled = sampled[:min(c.routers, 384)]
+		for _, i := range sampled {
 			f.self = fmt.Sprint("r-", i)
 			if f.ReadsStore(now) {
 				continue
 			}
 			if p, ok := f.PickPeer(now, mixer.Mix(uint64(i)), false); ok {
-				asked[p.Name]++
+				pullers[p.Name]++
 			}
 		}
-		if ask != c.readers || pass != c.relays {
-			t.Errorf("%d routers: got %d that ask the store and %d relays, want %d and %d", c.routers, ask, pass, c.readers, c.relays)
+		if readers != c.readers || relays != c.relays {
+			t.Errorf("%d routers: got %d that ask the store and %d relays, want %d and %d", c.routers, readers, relays, c.readers, c.relays)
 		}
-		for name, n := range asked {
-			if n *= c.routers / len(some); n > 3*maxPullersPerSource {
+		for name, n := range pullers {
+			if n *= c.routers / len(sampled); n > 3*maxPullersPerSource {
 				t.Errorf("%d routers: %s is asked by %d, want %d at most", c.routers, name, n, 3*maxPullersPerSource)
 			}
 		}
@@ -91,22 +91,22 @@
 		t.Cleanup(srv.CloseClientConnections)
 		return Peer{Addr: srv.Listener.Addr().(*net.TCPAddr).AddrPort(), Token: token}
 	}
-	read, passed := server(c.reader), server(c.relay)
+	readerPeer, relayPeer := server(c.reader), server(c.relay)
 	order := fleetOf(384).ranked()
-	asker := func(self string, m *mirror.Mirror) *Puller {
+	newPuller := func(self string, m *mirror.Mirror) *Puller {
 		f := fleetOf(384)
 		f.self = self
 		for i, p := range order[:11] {
-			at := passed
+			at := relayPeer
 			if i < 2 {
-				at = read
+				at = readerPeer
 			}
 			p.Addr, p.Token = at.Addr, at.Token
 			f.Put(p)
 		}
 		return NewPuller(zap.NewNop(), f, m, "config", "config", "k")
 	}
-	c.relayPuller, c.followerPuller = asker(order[2].Name, c.relay), asker(order[200].Name, c.follower)
+	c.relayPuller, c.followerPuller = newPuller(order[2].Name, c.relay), newPuller(order[200].Name, c.follower)
 	for _, m := range []*mirror.Mirror{c.reader, c.relay, c.follower} {
 		m.List("k", nil, 5, time.Now(), time.Time{})
 		m.List("config", nil, 5, time.Now(), time.Time{})
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -50,8 +50,8 @@
 )
 
 // NewServer returns a server that answers those who show the token.
-func NewServer(log *zap.Logger, m *mirror.Mirror, watched string, secret *Secret) *Server {
-	return &Server{Log: log, Mirror: m, FreshnessKind: watched, Secret: secret, OnStartingPeer: func() {}, Age: func(at, now time.Time) time.Duration { return now.Sub(at) }, Verdicts: func() []poison.Verdict { return nil }, Traffic: &Traffic{}, slots: make(chan struct{}, maxHeld)}
+func NewServer(log *zap.Logger, m *mirror.Mirror, freshnessKind string, secret *Secret) *Server {
+	return &Server{Log: log, Mirror: m, FreshnessKind: freshnessKind, Secret: secret, OnStartingPeer: func() {}, Age: func(at, now time.Time) time.Duration { return now.Sub(at) }, Verdicts: func() []poison.Verdict { return nil }, Traffic: &Traffic{}, slots: make(chan struct{}, maxHeld)}
 }
 
 // ServeHTTP answers one question.
