--- a/internal/peers/crash.go
+++ b/internal/peers/crash.go
@@ -107,13 +107,13 @@
 }
 
 // SendCrashReport tells the routers that keep which endpoints crashed under the request.
-func (t *Transport) SendCrashReport(s CrashReport) {
-	buf, err := binary.Append(newDatagram(kindCrashReport, crashReportBytes), binary.BigEndian, s)
+func (t *Transport) SendCrashReport(r CrashReport) {
+	buf, err := binary.Append(newDatagram(kindCrashReport, crashReportBytes), binary.BigEndian, r)
 	if err != nil {
 		t.Log.Error("peers: A crash report could not be encoded.", logs.Err(err))
 		return
 	}
-	t.Traffic.Quarantines.Add(t.sendToPeers(t.fleet.collectors(s.Fingerprint), buf))
+	t.Traffic.Quarantines.Add(t.sendToPeers(t.fleet.collectors(r.Fingerprint), buf))
 }
 
 // crashReportBytes is the length of an encoded CrashReport.
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -48,8 +48,8 @@
 )
 
 // SendNotice tells other routers what an endpoint said: some of them, or all.
-func (t *Transport) SendNotice(l Notice, all bool) {
-	buf := t.encodeFixed(kindNotice, l, noticeBytes)
+func (t *Transport) SendNotice(n Notice, all bool) {
+	buf := t.encodeFixed(kindNotice, n, noticeBytes)
 	if all {
 		t.Traffic.Notices.Add(t.sendToPeers(t.fleet.others(), buf))
 		return
@@ -59,8 +59,8 @@
 
 // sendNotices tells a router that starts what endpoints said.
 func (t *Transport) sendNotices(list []Notice, to Peer) {
-	for _, l := range list {
-		t.Traffic.Notices.Add(t.sendToPeer(to, t.encodeFixed(kindNotice, l, noticeBytes)))
+	for _, n := range list {
+		t.Traffic.Notices.Add(t.sendToPeer(to, t.encodeFixed(kindNotice, n, noticeBytes)))
 	}
 }
 
@@ -94,8 +94,8 @@
 
 // receiveNotice decodes a Notice.
 func (t *Transport) receiveNotice(b []byte, from netip.AddrPort) {
-	if l, ok := decodeFixed[Notice](t, b, from, "peers: What an endpoint said could not be decoded."); ok {
-		t.OnNotice(from.Addr(), l)
+	if n, ok := decodeFixed[Notice](t, b, from, "peers: What an endpoint said could not be decoded."); ok {
+		t.OnNotice(from.Addr(), n)
 	}
 }
 
@@ -105,12 +105,12 @@
 	if !ok {
 		return
 	}
-	l, ok := t.OnLimitQuery(q)
+	n, ok := t.OnLimitQuery(q)
 	if !ok {
 		return
 	}
 	sender := Peer{Name: from.String(), Addr: from, Token: string(q.Token[:])}
-	t.Traffic.Notices.Add(t.sendToPeer(sender, t.encodeFixed(kindNotice, l, noticeBytes)))
+	t.Traffic.Notices.Add(t.sendToPeer(sender, t.encodeFixed(kindNotice, n, noticeBytes)))
 }
 
 // limitSharers returns the other routers among those that share an endpoint's limit, of which there are
--- a/internal/peers/puller.go
+++ b/internal/peers/puller.go
@@ -120,12 +120,12 @@
 // NewPuller returns an asker that has found no peer yet.
 func NewPuller(log *zap.Logger, f *Fleet, m *mirror.Mirror, freshnessKind string, kinds ...string) *Puller {
 	now := time.Now()
-	a := &Puller{
+	pl := &Puller{
 		Log: log, Fleet: f, Mirror: m, Kinds: kinds, FreshnessKind: freshnessKind, Traffic: &Traffic{}, OnVerdicts: func([]poison.Verdict) {}, sweepSize: maxSweepSize,
 		readStoreAt: startReadDelay.After(now).Add(rand.N(startReadJitter)), readStoreBy: maxStartReadDelay.After(now),
 	}
-	a.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true}}
-	return a
+	pl.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true}}
+	return pl
 }
 
 // Run asks peers until ctx is done: always if the store is not asked, and when
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -71,29 +71,29 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	var q pullRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&q); err != nil {
+	var req pullRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req); err != nil {
 		s.Log.Warn("peers: A question could not be read.", zap.String("from", r.RemoteAddr), zap.Error(err))
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if q.hasNothing() {
+	if req.hasNothing() {
 		s.OnStartingPeer()
 	}
 	receivedAt := time.Now()
-	s.hold(r.Context(), &q, receivedAt)
+	s.hold(r.Context(), &req, receivedAt)
 	now := time.Now()
-	a := pullResponse{Kinds: make(map[string]kindChanges), HeldMs: now.Sub(receivedAt).Milliseconds()}
-	for kind, revision := range q.Have {
+	resp := pullResponse{Kinds: make(map[string]kindChanges), HeldMs: now.Sub(receivedAt).Milliseconds()}
+	for kind, revision := range req.Have {
 		if d, ok := s.Mirror.Since(kind, revision); ok {
-			a.Kinds[kind] = encodeDelta(kind, d, s.Age(d.ProvenAt, now), now, &s.cache, q.AcceptsCompressed)
+			resp.Kinds[kind] = encodeDelta(kind, d, s.Age(d.ProvenAt, now), now, &s.cache, req.AcceptsCompressed)
 		}
 	}
-	if q.hasNothing() {
-		a.Verdicts = s.verdicts(now)
+	if req.hasNothing() {
+		resp.Verdicts = s.verdicts(now)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if err := a.encode(countingWriter{w, &s.Traffic.PullResponses}); err != nil {
+	if err := resp.encode(countingWriter{w, &s.Traffic.PullResponses}); err != nil {
 		s.Log.Debug("peers: A peer left before its answer.", zap.Error(err))
 	}
 }
@@ -111,22 +111,22 @@
 // hold returns when this copy knows more than the asker, or at the time that the question
 // may be held for. Where the copy grows too old, an asker learns that at once, unless it
 // waits for word that the store is back.
-func (s *Server) hold(ctx context.Context, q *pullRequest, receivedAt time.Time) {
-	until := receivedAt.Add(min(time.Duration(q.WaitMs)*time.Millisecond, maxHold))
-	if q.AwaitFresh {
+func (s *Server) hold(ctx context.Context, req *pullRequest, receivedAt time.Time) {
+	until := receivedAt.Add(min(time.Duration(req.WaitMs)*time.Millisecond, maxHold))
+	if req.AwaitFresh {
 		s.Mirror.AwaitProof(ctx, s.FreshnessKind, receivedAt.Add(-time.Duration(staleAfter)), until)
 		return
 	}
 	proven, maxAge := s.Mirror.Proven(s.FreshnessKind), staleAfter
-	if q.FromRelay {
+	if req.FromRelay {
 		maxAge = relayStaleAfter
 	}
 	if aged := maxAge.After(proven); aged.Before(until) {
 		until = aged
 	}
-	if q.FromRelay {
-		s.Mirror.AwaitNews(ctx, q.Have, s.FreshnessKind, proven, until)
+	if req.FromRelay {
+		s.Mirror.AwaitNews(ctx, req.Have, s.FreshnessKind, proven, until)
 		return
 	}
-	s.Mirror.Await(ctx, q.Have, until)
+	s.Mirror.Await(ctx, req.Have, until)
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -44,17 +44,17 @@
 	secret *Secret
 	// OnAttemptReport and OnReport are called for each note and each report on a trial that
 	// is heard, by one goroutine; set OnReport before Run.
-	OnAttemptReport func(n AttemptReport)
+	OnAttemptReport func(r AttemptReport)
 	OnTrialReport   func(r roll.Report)
 	// OnCrashReport and OnVerdicts are called likewise for word of requests under which endpoints
 	// crashed; set them before Run.
-	OnCrashReport func(s CrashReport)
+	OnCrashReport func(r CrashReport)
 	OnVerdicts    func(list []poison.Verdict)
 	// OnNotice is called for what endpoints said and for answers to questions, OnQuestion for
 	// questions, with what to answer, if anything; Notices returns what a router that starts should
 	// know of that. Set them before Run.
-	OnNotice     func(by netip.Addr, l Notice)
-	OnLimitQuery func(q LimitQuery) (l Notice, ok bool)
+	OnNotice     func(from netip.Addr, n Notice)
+	OnLimitQuery func(q LimitQuery) (n Notice, ok bool)
 	Notices      func() []Notice
 	// OnUsageReport is called for reports of usage, with what to answer, if anything, and OnUsageAnswer
 	// for the answers; set them before Run.
@@ -99,12 +99,12 @@
 )
 
 // NewTransport listens for notes where the router answers its peers.
-func NewTransport(log *zap.Logger, f *Fleet, addr netip.AddrPort, secret *Secret, onNote func(AttemptReport)) (*Transport, error) {
+func NewTransport(log *zap.Logger, f *Fleet, addr netip.AddrPort, secret *Secret, onAttemptReport func(AttemptReport)) (*Transport, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
 	}
-	return &Transport{Log: log, fleet: f, conn: conn, secret: secret, OnAttemptReport: onNote, OnTrialReport: func(roll.Report) {}, OnCrashReport: func(CrashReport) {}, OnVerdicts: func([]poison.Verdict) {}, Verdicts: func() []poison.Verdict { return nil },
+	return &Transport{Log: log, fleet: f, conn: conn, secret: secret, OnAttemptReport: onAttemptReport, OnTrialReport: func(roll.Report) {}, OnCrashReport: func(CrashReport) {}, OnVerdicts: func([]poison.Verdict) {}, Verdicts: func() []poison.Verdict { return nil },
 		OnNotice: func(netip.Addr, Notice) {}, OnLimitQuery: func(LimitQuery) (l Notice, ok bool) { return l, false }, Notices: func() []Notice { return nil }, Traffic: &Traffic{},
 		OnUsageReport: func(UsageReport) (a UsageAck, ok bool) { return a, false }, OnUsageAck: func(UsageAck) {}}, nil
 }
@@ -160,11 +160,11 @@
 		return
 	}
 	ms := binary.BigEndian.Uint32(b[bodyAt+8:])
-	note := AttemptReport{From: from.Addr(), Endpoint: binary.BigEndian.Uint64(b[bodyAt:]), Busy: min(time.Duration(ms)*time.Millisecond, maxBusy), Failed: b[flagsAt]&flagFailed != 0}
+	r := AttemptReport{From: from.Addr(), Endpoint: binary.BigEndian.Uint64(b[bodyAt:]), Busy: min(time.Duration(ms)*time.Millisecond, maxBusy), Failed: b[flagsAt]&flagFailed != 0}
 	if len(b) >= attemptReportBytes {
-		note.Prefix = binary.BigEndian.Uint64(b[prefixAt:])
+		r.Prefix = binary.BigEndian.Uint64(b[prefixAt:])
 	}
-	t.OnAttemptReport(note)
+	t.OnAttemptReport(r)
 }
 
 // receiveTrialReport decodes a report on a trial.
@@ -176,15 +176,15 @@
 
 // receiveCrashReport decodes a CrashReport.
 func (t *Transport) receiveCrashReport(b []byte, from netip.AddrPort) {
-	if s, ok := decodeFixed[CrashReport](t, b, from, "peers: A crash report could not be decoded."); ok {
-		t.OnCrashReport(s)
+	if r, ok := decodeFixed[CrashReport](t, b, from, "peers: A crash report could not be decoded."); ok {
+		t.OnCrashReport(r)
 	}
 }
 
 // decodeFixed decodes a body of fixed length; one that is too short is logged as the message says.
-func decodeFixed[T any](n *Transport, b []byte, from netip.AddrPort, message string) (v T, ok bool) {
+func decodeFixed[T any](t *Transport, b []byte, from netip.AddrPort, message string) (v T, ok bool) {
 	_, err := binary.Decode(b, binary.BigEndian, &v)
-	return v, n.decoded(err, from, message)
+	return v, t.decoded(err, from, message)
 }
 
 // decoded reports whether a datagram could be decoded; one that could not is logged as the message says.
@@ -223,15 +223,15 @@
 var allZones = Recipients{OtherZones: true}
 
 // SendAttemptReport tells other routers.
-func (t *Transport) SendAttemptReport(note AttemptReport, to Recipients) {
+func (t *Transport) SendAttemptReport(r AttemptReport, to Recipients) {
 	var buf [attemptReportBytes]byte
 	buf[kindAt] = kindAttemptReport
-	binary.BigEndian.PutUint64(buf[bodyAt:], note.Endpoint)
-	binary.BigEndian.PutUint32(buf[bodyAt+8:], uint32(note.Busy.Milliseconds()))
-	if note.Failed {
+	binary.BigEndian.PutUint64(buf[bodyAt:], r.Endpoint)
+	binary.BigEndian.PutUint32(buf[bodyAt+8:], uint32(r.Busy.Milliseconds()))
+	if r.Failed {
 		buf[flagsAt] = flagFailed
 	}
-	binary.BigEndian.PutUint64(buf[prefixAt:], note.Prefix)
+	binary.BigEndian.PutUint64(buf[prefixAt:], r.Prefix)
 	t.Traffic.AttemptReports.Add(t.sendToRecipients(buf[:], to))
 }
 
