--- a/internal/peers/compress.go
+++ b/internal/peers/compress.go
@@ -18,28 +18,31 @@
 )
 
 const (
-	// minCompressedSpec is the size, in bytes, from which on a specification is sent
-	// compressed: a configuration of many routes has over a hundred thousand,
-	// and the slowest links of the users' VMs take 10 Mbit/s.
+	// minCompressedSpec is the minimum length, in bytes, of a specification that is sent
+	// compressed. A configuration with many routes has over a hundred thousand bytes, and the
+	// slowest links of VMs have 10 Mbit/s.
 	minCompressedSpec = 4 << 10
-	// cacheCapacity bounds the compressed specifications that are kept. Almost all
-	// of it is the configuration.
+	// cacheCapacity is the maximum number of entries of a compressionCache, which is emptied when
+	// it is full. Nearly all of their bytes are the configuration's.
 	cacheCapacity = 16
 )
 
-// compressionCache keeps specifications compressed, as most peers ask for the same. The zero
-// value is ready for use.
+// compressionCache holds compressed specifications and lists, as most peers pull the same ones. The
+// zero value is ready for use. It is safe for concurrent use.
 type compressionCache struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// entries are by kind for a list, and by kind and name, with a slash between, for a specification.
 	entries map[string]cacheEntry
 }
 
+// cacheEntry holds the compressed data of an object or list as of a revision.
 type cacheEntry struct {
 	revision int64
 	bytes    []byte
 }
 
-// spec returns the specification spec an object compressed; nil if it is small.
+// spec returns the compressed specification of an object; nil if it is short or cannot be
+// compressed.
 func (p *compressionCache) spec(kind string, o *mirror.Object) []byte {
 	if len(o.Spec) < minCompressedSpec {
 		return nil
@@ -55,18 +58,18 @@
 	}
 	text, err := compress(o.Spec)
 	if err != nil {
-		// It goes as it is.
+		// The specification is sent uncompressed.
 		return nil
 	}
 	p.entries[name] = cacheEntry{o.Revision, text}
 	return text
 }
 
-// minCompressedList is how many objects a list has that is sent compressed: a starting router takes
-// all, and objects are much alike.
+// minCompressedList is the minimum number of objects of a whole list that is sent compressed. A
+// starting router pulls all lists, and objects resemble each other.
 const minCompressedList = 8
 
-// list returns a whole list of a kind compressed; nil if that fails.
+// list returns the compressed whole list of a kind; nil if it cannot be encoded.
 func (p *compressionCache) list(kind string, d mirror.Delta) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +80,7 @@
 	for _, c := range d.Changes {
 		objects = append(objects, c.Object)
 	}
-	// What is alike stands together.
+	// Sorting places similar objects next to each other, which improves the compression.
 	slices.SortFunc(objects, func(a, b mirror.Object) int { return cmp.Compare(a.Name, b.Name) })
 	text, err := json.Marshal(objects)
 	if err != nil {
@@ -93,7 +96,7 @@
 	return text
 }
 
-// decompressList returns the changes of a whole list that was compressed.
+// decompressList returns the changes of a whole list that compressionCache.list compressed.
 func decompressList(b []byte) ([]mirror.Change, error) {
 	text, err := decompress(b)
 	if err != nil {
@@ -101,7 +104,7 @@
 	}
 	var objects []mirror.Object
 	if err := json.Unmarshal(text, &objects); err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: decode compressed list")
 	}
 	list := make([]mirror.Change, 0, len(objects))
 	for _, o := range objects {
@@ -110,34 +113,35 @@
 	return list, nil
 }
 
-// compress returns a text compressed.
+// compress compresses text by gzip.
 func compress(text []byte) ([]byte, error) {
 	var buf bytes.Buffer
 	w, err := gzip.NewWriterLevel(&buf, gzip.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: create compressor")
 	}
 	if _, err := w.Write(text); err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: compress")
 	}
 	if err := w.Close(); err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: finish compression")
 	}
 	return buf.Bytes(), nil
 }
 
-// decompress returns what was compressed, answerMost bytes at most.
+// decompress returns what was compressed by compress. It fails if that has more than
+// maxResponseBytes bytes.
 func decompress(b []byte) (json.RawMessage, error) {
 	r, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: open compressed data")
 	}
 	text, err := io.ReadAll(io.LimitReader(r, maxResponseBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: decompress")
 	}
 	if len(text) > maxResponseBytes {
-		return nil, errors.Newf("peers: a specification has more than %d bytes", maxResponseBytes)
+		return nil, errors.Newf("peers: decompressed data has more than %d bytes", maxResponseBytes)
 	}
 	return text, nil
 }
--- a/internal/peers/crash.go
+++ b/internal/peers/crash.go
@@ -18,51 +18,56 @@
 	"github.com/traildrift/traildrift/pkg/poison"
 )
 
-// CrashReport is word of a request under which an endpoint crashed, or that was answered whole.
+// CrashReport reports that an endpoint crashed under a request, or that the request completed. Its
+// fields are the encoding: their order, types and number must stay.
 type CrashReport struct {
 	Fingerprint poison.Fingerprint
 	// Endpoint is the hash of the endpoint's ID.
 	Endpoint uint64
-	// AgeMs is how long the request had been there, in milliseconds.
+	// AgeMs is the time for which the request had been at the endpoint when it crashed, in
+	// milliseconds.
 	AgeMs uint32
-	// Completed says that the request was answered, which clears it.
+	// Completed is set if the request got a complete answer, which clears it of suspicion.
 	Completed bool
 }
 
 const (
-	// maxCollectors is how many routers hear which endpoints crashed under one request: the
-	// same ones from all routers, so that they know all of it. With eight, one hears it
-	// though a tenth of the datagrams are lost and a zone's routers are gone.
+	// maxCollectors is the number of other routers that receive the crash reports of one request:
+	// the same ones from all routers, so that each of them has all reports. With eight, at least
+	// one receives a report although a tenth of the datagrams are lost and the routers of one zone
+	// are down.
 	maxCollectors = 8
-	// resendFanout is how many routers, drawn anew each time, verdicts are told again to: with
-	// each router doing so once a second all know after two or three.
+	// resendFanout is the number of routers, drawn anew each time, to which verdicts are sent
+	// again. With each router doing so once a second, all have them after two or three seconds.
 	resendFanout = 3
-	// maxVerdictsPerDatagram is how many verdicts one datagram takes, and crashesTold how many crashes
-	// of each.
+	// maxVerdictsPerDatagram is the maximum number of verdicts in one datagram, and
+	// maxCrashesPerVerdict that of crashes in each verdict.
 	maxVerdictsPerDatagram = 6
 	maxCrashesPerVerdict   = poison.MaxReportedCrashes
 )
 
-// MaxResentVerdicts is how many verdicts are worth telling again at a time.
+// MaxResentVerdicts is the maximum number of verdicts to pass to one call of
+// Transport.ResendVerdicts.
 const MaxResentVerdicts = 3 * maxVerdictsPerDatagram
 
-// verdictHead begins an encoded verdict; its crashes follow.
+// verdictHead is the fixed part of an encoded verdict. Its crashes follow, each a verdictCrash.
 type verdictHead struct {
 	Fingerprint poison.Fingerprint
 	Round       uint32
-	// RemainingMs is how much longer it holds, in milliseconds.
+	// RemainingMs is the time until the verdict expires, in milliseconds.
 	RemainingMs uint32
 	Crashes     uint8
 }
 
-// verdictCrash is a crash as it is told.
+// verdictCrash is the encoding of a crash.
 type verdictCrash struct {
 	Endpoint uint64
-	// AgeMs is how long ago it was, in milliseconds.
+	// AgeMs is the time since the crash was observed, in milliseconds.
 	AgeMs uint32
 }
 
-// encodeVerdicts appends verdicts as they are told at now.
+// encodeVerdicts appends the encoding of verdicts to dst. Times are encoded relative to now. Of
+// each verdict it encodes at most maxCrashesPerVerdict crashes.
 func encodeVerdicts(dst []byte, list []poison.Verdict, now time.Time) ([]byte, error) {
 	for _, v := range list {
 		crashes := v.Crashes[:min(len(v.Crashes), maxCrashesPerVerdict)]
@@ -73,30 +78,30 @@
 		for _, part := range parts {
 			var err error
 			if dst, err = binary.Append(dst, binary.BigEndian, part); err != nil {
-				return dst, errors.Wrap(err, "peers")
+				return dst, errors.Wrap(err, "peers: encode verdict")
 			}
 		}
 	}
 	return dst, nil
 }
 
-// millisOf returns a time in whole milliseconds; 0 for one that has passed.
+// millisOf returns d in whole milliseconds, limited to the range of uint32; 0 if d is negative.
 func millisOf(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), 1<<32-1))
 }
 
-// decodeVerdicts decodes what encodeVerdicts encoded, word of which came at now.
+// decodeVerdicts decodes what encodeVerdicts encoded and this router received at now.
 func decodeVerdicts(b []byte, now time.Time) ([]poison.Verdict, error) {
 	var list []poison.Verdict
 	for in := bytes.NewReader(b); in.Len() > 0; {
 		var h verdictHead
 		if err := binary.Read(in, binary.BigEndian, &h); err != nil {
-			return nil, errors.Wrap(err, "peers")
+			return nil, errors.Wrap(err, "peers: decode head of verdict")
 		}
 		v := poison.Verdict{Fingerprint: h.Fingerprint, Round: int(h.Round), Until: now.Add(time.Duration(h.RemainingMs) * time.Millisecond)}
 		crashes := make([]verdictCrash, h.Crashes)
 		if err := binary.Read(in, binary.BigEndian, crashes); err != nil {
-			return nil, errors.Wrap(err, "peers")
+			return nil, errors.Wrap(err, "peers: decode crashes of verdict")
 		}
 		for _, e := range crashes {
 			v.Crashes = append(v.Crashes, poison.Crash{Endpoint: e.Endpoint, At: now.Add(-time.Duration(e.AgeMs) * time.Millisecond)})
@@ -106,7 +111,7 @@
 	return list, nil
 }
 
-// SendCrashReport tells the routers that keep which endpoints crashed under the request.
+// SendCrashReport sends a report to the collectors of its request.
 func (t *Transport) SendCrashReport(r CrashReport) {
 	buf, err := binary.Append(newDatagram(kindCrashReport, crashReportBytes), binary.BigEndian, r)
 	if err != nil {
@@ -119,20 +124,23 @@
 // crashReportBytes is the length of an encoded CrashReport.
 const crashReportBytes = poison.FingerprintBytes + 8 + 4 + 1
 
-// SendVerdicts tells all other routers of verdicts that are new or changed.
+// SendVerdicts sends verdicts that are new or changed to all other routers.
 func (t *Transport) SendVerdicts(list []poison.Verdict) { t.sendVerdicts(list, t.fleet.others()) }
 
-// ResendVerdicts tells a few other routers of verdicts that they may have missed.
+// ResendVerdicts sends verdicts to resendFanout other routers drawn at random, which may have
+// missed them.
 func (t *Transport) ResendVerdicts(list []poison.Verdict) {
 	t.sendVerdicts(list, sample(t.fleet.others(), resendFanout))
 }
 
-// stateQueryFanout is how many routers one that has just started asks for what they know of requests that crash
-// endpoints: in a fleet of nine each knows all of it, and an answer takes up to 30 KB after a wave of
-// crashes.
+// stateQueryFanout is the number of routers to which a router that has just started sends a state
+// query. In a fleet of nine each router knows all verdicts, and an answer takes up to 30 KB after a
+// wave of crashes.
 const stateQueryFanout = 4
 
-// QueryState asks some routers for what a router that starts should know, to be told under its token.
+// QueryState sends a state query to some routers for one that has just started. They send their
+// verdicts and notices under token, which is this router's; one of fewer than 16 bytes sends
+// nothing.
 func (t *Transport) QueryState(token string) {
 	if len(token) < tokenBytes {
 		return
@@ -140,6 +148,7 @@
 	t.Traffic.Quarantines.Add(t.sendToPeers(sample(t.fleet.others(), stateQueryFanout), append(newDatagram(kindStateQuery, tokenBytes), token[:tokenBytes]...)))
 }
 
+// sendVerdicts sends verdicts to the routers in to, at most maxVerdictsPerDatagram in a datagram.
 func (t *Transport) sendVerdicts(list []poison.Verdict, to []Peer) {
 	for part := range slices.Chunk(list, maxVerdictsPerDatagram) {
 		buf, err := encodeVerdicts(newDatagram(kindVerdicts, maxDatagramBytes-bodyAt), part, time.Now())
@@ -151,7 +160,8 @@
 	}
 }
 
-// others returns all other routers, whatever became of them.
+// others returns all other registered routers, also those that are backed off from, in no
+// particular order.
 func (f *Fleet) others() (list []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,20 +173,22 @@
 	return list
 }
 
-// collectorHash returns where a router stands in the order in which routers keep a request's crashes, the
-// same at all routers (rendezvous hashing: Thaler and Ravishankar, 1998).
+// collectorHash is the rendezvous hash of a router for a request's fingerprint, the same in every
+// process: the routers with the lowest are the collectors (Thaler and Ravishankar, 1998).
 func collectorHash(name string, p poison.Fingerprint) uint64 {
 	return mixer.Mix(xxhash.Sum64String(name) ^ binary.BigEndian.Uint64(p[:]))
 }
 
-// collectors returns the other routers that keep which endpoints crashed under a request.
+// collectors returns the other routers that collect the crash reports of a request, at most
+// maxCollectors.
 func (f *Fleet) collectors(p poison.Fingerprint) []Peer {
 	list := f.others()
 	slices.SortFunc(list, func(a, b Peer) int { return cmp.Compare(collectorHash(a.Name, p), collectorHash(b.Name, p)) })
 	return list[:min(len(list), maxCollectors)]
 }
 
-// CollectorRank returns how many routers come before this one for a request.
+// CollectorRank returns the number of registered routers that precede this one as collectors of the
+// crash reports of a request.
 func (f *Fleet) CollectorRank(p poison.Fingerprint) (rank int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/peers/fleet.go
+++ b/internal/peers/fleet.go
@@ -14,47 +14,52 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fleet is what a router knows of the others. Use NewFleet.
+// Fleet holds the registered routers, ranks them, and records how they answered this router's
+// pulls. Create it with NewFleet. It is safe for concurrent use.
 type Fleet struct {
 	self string
 	mu   sync.Mutex
-	// byName holds the registered routers, this one too.
+	// byName holds the registered routers by name, including this one.
 	byName map[string]Peer
-	// byRank holds them by rank; nil after a change. See rank.
+	// byRank holds the routers of byName in the order of sortByRank; nil after a change.
 	byRank []Peer
-	// generation grows whenever a router that may send comes or goes; see Hashes.
+	// generation increases when a router that may send appears or expires; see SenderHashes.
 	generation uint64
-	// removedUntil holds until when a router that is not registered any more may still send.
+	// removedUntil holds, for routers whose registration was removed, the end of the time for which
+	// they still count as senders; see removedSenderTTL.
 	removedUntil map[string]time.Time
-	// Now is the clock.
+	// Now is the clock for the expiry of removed routers; set it before the first use.
 	Now func() time.Time
-	// backoffUntil holds until when a peer that did not answer well is not asked.
+	// backoffUntil holds until when no pull is sent to a peer, by name.
 	backoffUntil map[string]time.Time
-	// leaving says that this router stops and leaves the store to the others.
+	// leaving is set once this router stops, and leaves the store to the others.
 	leaving bool
-	// noAnswerSince holds since when a peer gives no answer at all.
+	// noAnswerSince holds the time of the first of the pulls that a peer has not answered since its
+	// last answer, by name.
 	noAnswerSince map[string]time.Time
 }
 
 const (
-	// minSources is how many routers the others ask at least, and how many ask the store: two,
-	// so that one can fail without any other noticing more than a second.
+	// minSources is the minimum number of sources, the routers from which the others pull, and of
+	// readers, those that read the store. With two, one can fail and no other router is without
+	// changes for more than a second.
 	minSources = 2
-	// maxPullersPerSource is how many routers one of them answers at most on average. In
-	// a sweep of 300 routers, two that answered all used 16 % of
-	// a core where the others used 3 %.
+	// maxPullersPerSource is the maximum average number of routers that pull from one source. In a
+	// measurement with 300 routers, two sources for all of them used 16 % of a core, the others 3
+	// %.
 	maxPullersPerSource = 40
 )
 
-// sourceCount returns how many of n routers the others ask.
+// sourceCount returns the number of sources in a fleet of n routers.
 func sourceCount(n int) int { return max(minSources, n/maxPullersPerSource) }
 
-// readerCount returns how many of n routers ask the store. Where more routers are asked, these are
-// relays, which ask the readerCount: what is called of the store does not grow with the fleet.
+// readerCount returns the number of readers in a fleet of n routers. If there are more sources than
+// readers, the sources are relays, which pull from the readers, so that the calls to the store do
+// not grow with the fleet.
 func readerCount(n int) int { return max(minSources, sourceCount(n)/maxPullersPerSource) }
 
-// relayCount returns how many of n routers pass on what the readers know; 0 where the others ask the
-// readers themselves.
+// relayCount returns the number of relays in a fleet of n routers; 0 if all routers pull from the
+// readers.
 func relayCount(n int) int {
 	if sourceCount(n) <= readerCount(n) {
 		return 0
@@ -63,19 +68,18 @@
 }
 
 const (
-	// noAnswerBackoff is how long a peer that gave no answer is not asked, illFor one that
-	// was ill informed: it may be well informed soon, as one that begins to ask the
-	// store.
+	// noAnswerBackoff is the back-off from a peer that gave no answer, staleBackoff from one with a
+	// stale copy: that one may soon be fresh, for example if it begins to read the store.
 	noAnswerBackoff = 3 * time.Second
 	staleBackoff    = time.Second
 )
 
-// NewFleet returns a fleet of one.
+// NewFleet returns the fleet of the router named self, with no router registered.
 func NewFleet(self string) *Fleet {
 	return &Fleet{self: self, byName: make(map[string]Peer), backoffUntil: make(map[string]time.Time), noAnswerSince: make(map[string]time.Time), removedUntil: make(map[string]time.Time), Now: time.Now}
 }
 
-// Put takes over a registered router.
+// Put stores the registration of a router, in place of an earlier one, and clears its back-off.
 func (f *Fleet) Put(p Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,7 +95,7 @@
 	delete(f.noAnswerSince, p.Name)
 }
 
-// Remove forgets a router.
+// Remove removes the registration of a router. The router counts as a sender for removedSenderTTL.
 func (f *Fleet) Remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +106,7 @@
 	f.byRank = nil
 }
 
-// ranked returns the routers by rank; mu is held.
+// ranked returns the routers by rank. The caller holds mu.
 func (f *Fleet) ranked() []Peer {
 	if f.byRank == nil {
 		f.byRank = sortByRank(slices.Collect(maps.Values(f.byName)))
@@ -110,9 +114,9 @@
 	return f.byRank
 }
 
-// sortByRank orders routers, the same way everywhere: first the most able one of each
-// availability zone, then the second of each, so that the few that read the store and
-// answer the others are spread over the zones, on the VMs that bear it best.
+// sortByRank sorts list by rank, the same way in every process, and returns it: first the most
+// capable router of each availability zone, then the second of each, and so on. The readers and
+// relays are thereby spread over the zones, on the VMs with the most capacity.
 func sortByRank(list []Peer) []Peer {
 	hash := make(map[string]uint64, len(list))
 	for _, p := range list {
@@ -131,12 +135,12 @@
 	return list
 }
 
-// removedSenderTTL is how long a router that is not registered any more counts among those that may send:
-// one that stops answers for some seconds more, and one that others removed as silent may be well
-// and only not reach them, until it has registered again.
+// removedSenderTTL is how long a router whose registration was removed counts as a sender. A router
+// that stops still answers for some seconds, and one that others removed as unresponsive may be
+// healthy and only unreachable for them, until it has registered again.
 const removedSenderTTL = 15 * time.Second
 
-// Generation returns a number that grows whenever a router that may send comes or goes.
+// Generation returns a number that increases when a router that may send appears or expires.
 func (f *Fleet) Generation() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,7 +148,7 @@
 	return f.generation
 }
 
-// expireRemoved forgets the routers that send no more; mu is held.
+// expireRemoved drops the removed routers whose time as senders is over. The caller holds mu.
 func (f *Fleet) expireRemoved() {
 	now := f.Now()
 	for name, until := range f.removedUntil {
@@ -155,7 +159,8 @@
 	}
 }
 
-// SenderCount returns how many routers may send.
+// SenderCount returns the number of routers that may send requests to endpoints: the registered
+// ones, and those removed less than removedSenderTTL ago.
 func (f *Fleet) SenderCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,8 +168,9 @@
 	return len(f.byName) + len(f.removedUntil)
 }
 
-// SenderHashes returns what the routers are known by where each works out for itself what its part
-// is, this one and all that may send, of which generation they are.
+// SenderHashes returns the hashes of the names of this router and of all that may send (see
+// SenderCount), by which each router computes its own share of a limit, and the Generation that
+// they belong to.
 func (f *Fleet) SenderHashes() (self uint64, all []uint64, generation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,14 +184,15 @@
 	return xxhash.Sum64String(f.self), all, f.generation
 }
 
-// Len returns how many routers are registered.
+// Len returns the number of registered routers.
 func (f *Fleet) Len() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.byName)
 }
 
-// PullAttempts returns how many peers this router asks in a row before it does something else.
+// PullAttempts returns the number of peers that this router pulls from in turn before it tries
+// others or the store: the number of readers for a relay, of sources otherwise.
 func (f *Fleet) PullAttempts(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,21 +202,22 @@
 	return sourceCount(len(f.byName))
 }
 
-// IsRelay reports whether this router is one of those that pass on what the readers know.
+// IsRelay reports whether this router is a relay at now, by its rank among the routers that are not
+// backed off from.
 func (f *Fleet) IsRelay(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.isRelay(now)
 }
 
-// isRelay is Relay; mu is held.
+// isRelay is IsRelay for a caller that holds mu.
 func (f *Fleet) isRelay(now time.Time) bool {
 	n := len(f.byName)
 	rank, ok := f.currentRank(now)
 	return ok && rank >= readerCount(n) && rank < readerCount(n)+relayCount(n)
 }
 
-// Registered reports whether this router is among the registered ones.
+// Registered reports whether this router is registered.
 func (f *Fleet) Registered() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,8 +225,9 @@
 	return ok
 }
 
-// ReadsStore reports whether this router is one of those that ask the store for all.
-// One that is not registered asks for itself, unless it leaves and others are there.
+// ReadsStore reports whether this router is a reader at now, by its rank among the routers that are
+// not backed off from. A router that is not registered reads the store for itself, unless it is
+// leaving and another router is available.
 func (f *Fleet) ReadsStore(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -229,13 +238,13 @@
 	return !f.leaving || rank == 0
 }
 
-// currentRank returns how many others that are not shunned come before this router, or if it
-// is not registered, how many there are; mu is held.
+// currentRank returns the number of other routers that precede this one by rank and are not backed
+// off from; if this router is not registered, the number of all of them. The caller holds mu.
 func (f *Fleet) currentRank(now time.Time) (rank int, registered bool) {
 	return f.currentRankExcept(now, "")
 }
 
-// currentRankExcept is rankOf, but for one of the others; mu is held.
+// currentRankExcept is currentRank without the router named except. The caller holds mu.
 func (f *Fleet) currentRankExcept(now time.Time, except string) (rank int, registered bool) {
 	for _, p := range f.ranked() {
 		if p.Name == f.self {
@@ -248,7 +257,7 @@
 	return rank, false
 }
 
-// IsPrimaryReader reports whether this router is one of the first, whatever became of the others.
+// IsPrimaryReader reports whether this router is a reader if back-offs are ignored.
 func (f *Fleet) IsPrimaryReader() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -256,19 +265,20 @@
 	return ok && rank < readerCount(len(f.byName))
 }
 
-// farFuture is when nobody is shunned any more.
+// farFuture is a time at which every back-off has ended.
 var farFuture = time.Unix(1<<40, 0)
 
-// SetLeaving notes that this router stops.
+// SetLeaving records that this router stops.
 func (f *Fleet) SetLeaving() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leaving = true
 }
 
-// PickPeer returns the peer to ask: of the first that answered well one in the own
-// availability zone, if there is one; draw spreads the load over them. ok is false if
-// there is none. From all, any peer is meant.
+// PickPeer returns the peer for the next pull: one of this router's sources, in its own
+// availability zone if there is one, or if all is set, any peer. Peers backed off from at now are
+// left out. draw selects among the candidates, to spread the load over them. ok is false if there
+// is none.
 func (f *Fleet) PickPeer(now time.Time, draw uint64, all bool) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -284,7 +294,8 @@
 	return candidates[draw%uint64(len(candidates))], true
 }
 
-// available returns the first so many of the other routers by rank that are not shunned; mu is held.
+// available returns at most limit other routers, the first by rank among those that are not backed
+// off from at now. The caller holds mu.
 func (f *Fleet) available(now time.Time, limit int) (list []Peer) {
 	for _, p := range f.ranked() {
 		if len(list) >= limit {
@@ -297,8 +308,9 @@
 	return list
 }
 
-// sources returns the open routers that this one asks: the readers if it is one of the first or there
-// are no relays, and otherwise the relays; mu is held.
+// sources returns the peers from which this router pulls and that are not backed off from at now:
+// the readers if there are no relays or this router is a reader or relay itself, and the relays
+// otherwise. The caller holds mu.
 func (f *Fleet) sources(now time.Time) []Peer {
 	n := len(f.byName)
 	first := readerCount(n) + relayCount(n)
@@ -310,8 +322,8 @@
 	return available[readerCount(n):]
 }
 
-// PickPrimary returns one of the first routers, whatever became of it; draw spreads the load over
-// them. ok is false if there is none but this one.
+// PickPrimary returns one of this router's sources, selected by draw, with back-offs ignored. ok is
+// false if there is no other router.
 func (f *Fleet) PickPrimary(draw uint64) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -322,8 +334,8 @@
 	return list[draw%uint64(len(list))], true
 }
 
-// sameZone returns those of a list that are in this router's availability zone; the whole list
-// if there are none, or if that zone is not known. mu is held.
+// sameZone returns those of a list that are in this router's availability zone; the whole list if
+// there are none or this router's zone is not known. The caller holds mu.
 func (f *Fleet) sameZone(list []Peer) []Peer {
 	zone := f.byName[f.self].Zone
 	if zone == "" {
@@ -341,19 +353,20 @@
 	return near
 }
 
-// BackOff leaves a peer alone until a time.
+// BackOff lets no pull be sent to a peer until a time.
 func (f *Fleet) BackOff(name string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.backoffUntil[name] = until
 }
 
-// RecordStale leaves a peer alone for a while that was ill informed.
+// RecordStale records at now that a peer's copy is stale, and backs off from it for staleBackoff.
 func (f *Fleet) RecordStale(name string, now time.Time) {
 	f.BackOff(name, now.Add(staleBackoff))
 }
 
-// RecordNoAnswer notes that a peer gave no answer; it is left alone for a while.
+// RecordNoAnswer records at now that a peer did not answer a pull, and backs off from it for
+// noAnswerBackoff.
 func (f *Fleet) RecordNoAnswer(name string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -363,18 +376,19 @@
 	}
 }
 
-// RecordAnswer notes that a peer gave an answer.
+// RecordAnswer records that a peer answered a pull, whether its copy is fresh or not.
 func (f *Fleet) RecordAnswer(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.noAnswerSince, name)
 }
 
-// unresponsiveAfter is how long a peer must be silent for its registration to be
-// removed. A killed one is back and registered anew within seconds.
+// unresponsiveAfter is the time without an answer after which the registration of a peer may be
+// removed. A router that was killed is back and registered again within seconds.
 const unresponsiveAfter = 12 * time.Second
 
-// Unresponsive returns the registered peers that have been silent for long.
+// Unresponsive returns the registered peers that at now have answered no pull for more than
+// unresponsiveAfter.
 func (f *Fleet) Unresponsive(now time.Time) (list []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -15,39 +15,46 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// Notice is what an endpoint has said of itself: what a router was told by the endpoint, or its
-// answer to a LimitQuestion.
+// Notice relays what an endpoint announced about itself: it was received from the endpoint by the
+// sender, or answers a LimitQuery. Its fields are the encoding: their order, types and number must
+// stay.
 type Notice struct {
-	// Endpoint is the hash of the endpoint's ID, and Incarnation names the life that said it.
+	// Endpoint is the hash of the endpoint's ID, and Incarnation that of the incarnation which made
+	// the announcement.
 	Endpoint, Incarnation uint64
-	// Limit is a pool.LimitStatus, and PerSecond the requests a second of a limit.
+	// Limit is a pool.LimitStatus, and PerSecond the limit in requests per second from all routers
+	// together; valid if Limit is pool.Limited.
 	Limit     uint8
 	PerSecond float64
-	// Leaving says that the endpoint takes no new work any more.
+	// Leaving announces that the endpoint accepts no new work.
 	Leaving bool
-	// Granted says that the hearer may send one request in the teller's place, which was asked
-	// for that; IsAnswer says that this is an answer, whether granted or not.
+	// IsAnswer is set in the answer to a LimitQuery. Granted then says whether the recipient may
+	// send one request out of the sender's share of the limit.
 	IsAnswer, Granted bool
-	// WaitMs is how long the teller has nothing more to grant, in milliseconds.
+	// WaitMs is the time for which the sender has no more requests to grant, in milliseconds.
 	WaitMs uint32
 }
 
-// LimitQuery asks a router to grant a request out of its share of a limit.
+// LimitQuery asks a router to grant one request out of its share of an endpoint's limit. The answer
+// is a Notice. Its fields are the encoding: their order, types and number must stay.
 type LimitQuery struct {
+	// Endpoint is the hash of the endpoint's ID, and Incarnation that of its incarnation.
 	Endpoint, Incarnation uint64
-	// PerSecond is the limit as the asker knows it.
+	// PerSecond is the limit known to the sender, in requests per second.
 	PerSecond float64
-	// Token is the asker's, for the answer.
+	// Token is the start of the sender's token, with which the answer begins; SendLimitQuery sets
+	// it.
 	Token [tokenBytes]byte
 }
 
-// noticeBytes and limitQueryBytes are the lengths of an encoded Notice and LimitQuestion.
+// noticeBytes and limitQueryBytes are the lengths of an encoded Notice and LimitQuery.
 const (
 	noticeBytes     = 8 + 8 + 1 + 8 + 1 + 1 + 1 + 4
 	limitQueryBytes = 8 + 8 + 8 + tokenBytes
 )
 
-// SendNotice tells other routers what an endpoint said: some of them, or all.
+// SendNotice sends what an endpoint announced to all other routers, also those backed off from, or
+// if all is not set, to at most maxRecipients that are not.
 func (t *Transport) SendNotice(n Notice, all bool) {
 	buf := t.encodeFixed(kindNotice, n, noticeBytes)
 	if all {
@@ -57,15 +64,16 @@
 	t.Traffic.Notices.Add(t.sendToRecipients(buf, allZones))
 }
 
-// sendNotices tells a router that starts what endpoints said.
+// sendNotices sends the notices in a list to a router that has just started.
 func (t *Transport) sendNotices(list []Notice, to Peer) {
 	for _, n := range list {
 		t.Traffic.Notices.Add(t.sendToPeer(to, t.encodeFixed(kindNotice, n, noticeBytes)))
 	}
 }
 
-// SendLimitQuery asks one of the routers that share an endpoint's limit, of which there are so many; draw
-// chooses. The answer comes under this router's token.
+// SendLimitQuery sends a query to one of the other routers that share an endpoint's limit, selected
+// by draw. sharers is the number of routers that share it, including this one if it does. It sends
+// nothing if there is no other sharer or this router has no token.
 func (t *Transport) SendLimitQuery(q LimitQuery, sharers int, draw uint64) {
 	list := t.fleet.limitSharers(q.Endpoint, sharers)
 	if len(list) == 0 || !t.secret.copyTo(q.Token[:]) {
@@ -75,15 +83,15 @@
 	t.Traffic.Notices.Add(t.sendToPeer(to, t.encodeFixed(kindLimitQuery, q, limitQueryBytes)))
 }
 
-// newDatagram returns the start of one of a kind, with room for the hearer's token, whose body has so many
-// bytes at most.
+// newDatagram returns the start of a datagram of one kind, with zeros for the recipient's token and
+// capacity for a body of maxBody bytes.
 func newDatagram(kind byte, maxBody int) []byte {
 	b := make([]byte, bodyAt, bodyAt+maxBody)
 	b[kindAt] = kind
 	return b
 }
 
-// encodeFixed returns a datagram with a body of fixed length.
+// encodeFixed returns a datagram with a body of fixed length, size bytes.
 func (t *Transport) encodeFixed(kind byte, body any, size int) []byte {
 	buf, err := binary.Append(newDatagram(kind, size), binary.BigEndian, body)
 	if err != nil {
@@ -92,14 +100,14 @@
 	return buf
 }
 
-// receiveNotice decodes a Notice.
+// receiveNotice decodes a Notice and passes it to OnNotice.
 func (t *Transport) receiveNotice(b []byte, from netip.AddrPort) {
 	if n, ok := decodeFixed[Notice](t, b, from, "peers: What an endpoint said could not be decoded."); ok {
 		t.OnNotice(from.Addr(), n)
 	}
 }
 
-// receiveLimitQuery decodes a LimitQuestion and answers it.
+// receiveLimitQuery decodes a LimitQuery and sends the answer of OnLimitQuery, if any.
 func (t *Transport) receiveLimitQuery(b []byte, from netip.AddrPort) {
 	q, ok := decodeFixed[LimitQuery](t, b, from, "peers: A question about a limit could not be decoded.")
 	if !ok {
@@ -113,8 +121,8 @@
 	t.Traffic.Notices.Add(t.sendToPeer(sender, t.encodeFixed(kindNotice, n, noticeBytes)))
 }
 
-// limitSharers returns the other routers among those that share an endpoint's limit, of which there are
-// so many: the first by rendezvous hash, as each of them finds for itself.
+// limitSharers returns the other routers among those that share an endpoint's limit: the first ones
+// by rendezvous hash, sharers in number, as each router computes for itself.
 func (f *Fleet) limitSharers(endpoint uint64, sharers int) []Peer {
 	f.mu.Lock()
 	list := slices.Clone(f.ranked())
--- a/internal/peers/puller.go
+++ b/internal/peers/puller.go
@@ -27,97 +27,100 @@
 	"github.com/traildrift/traildrift/pkg/poison"
 )
 
-// Puller keeps a mirror in step through peers, and says when the store has to be
-// asked. Its fields are set before Run.
+// Puller keeps a mirror up to date by pulls from peers, and decides when this router reads the
+// store itself. Create it with NewPuller; its exported fields are set before Run.
 type Puller struct {
 	Log    *zap.Logger
 	Fleet  *Fleet
 	Mirror *mirror.Mirror
-	// Kinds are asked for; their changes are taken over in this order.
+	// Kinds are the kinds of objects to pull. Their changes are applied in this order.
 	Kinds []string
-	// FreshnessKind is the kind whose age says how well a peer is informed: it is
-	// asked for most often.
+	// FreshnessKind is the kind by the age of whose copy a peer counts as fresh: its copies are
+	// renewed most often.
 	FreshnessKind string
-	HTTP          *http.Client
-	// OnVerdicts is called for verdicts that came with an answer; set before Run.
+	// HTTP is the client for pulls.
+	HTTP *http.Client
+	// OnVerdicts is called with the verdicts in a response.
 	OnVerdicts func(list []poison.Verdict)
-	// Traffic counts the questions; set before Run.
+	// Traffic counts the bytes of the requests.
 	Traffic *Traffic
-	// mu guards readsAt, which is when a starting router reads all from the store itself,
-	// if no peer told it until then; it only grows, up to readsBy.
+	// mu guards readStoreAt and fallbackSince. readStoreAt is when a starting router reads all from
+	// the store itself if no peer has sent it by then; it only increases, up to readStoreBy.
 	mu                       sync.Mutex
 	readStoreAt, readStoreBy time.Time
-	// fallbackSince is when direct was set last; mu guards it.
+	// fallbackSince is when fallback was last set; guarded by mu.
 	fallbackSince time.Time
-	// peersKnown says that the store told of some peers; it never goes back.
+	// peersKnown is set once the store has returned registered routers, and never cleared.
 	peersKnown atomic.Bool
-	// pulledByStarting says that a starting peer takes this router for one of the first; it never
-	// goes back.
+	// pulledByStarting is set once a starting peer has pulled from this router, and so takes it for
+	// a reader; it is never cleared.
 	pulledByStarting atomic.Bool
-	// fallback says that no peer answered well, so that the store is asked.
+	// fallback is set while this router has found no fresh peer and reads the store.
 	fallback atomic.Bool
-	// sweepSize is how many peers are asked before the store is; see askNext.
+	// sweepSize is the number of peers to pull from at random before the store is read; see
+	// pullNext and maxSweepSize.
 	sweepSize int
-	// background holds the ends of the questions that go on though nobody waits for them; the
-	// goroutine that asks owns it.
+	// background holds the results of pulls that continue after exchangeOrDefer has returned. Only
+	// the goroutine of Run uses it.
 	background []<-chan bool
 }
 
 const (
-	// longPollWait is how long a question is held by a peer that knows nothing new.
+	// longPollWait is how long a peer holds a request while it has no changes.
 	longPollWait = config.Span(500 * time.Millisecond)
-	// answerTimeout bounds a question beyond that.
+	// answerTimeout bounds the time for a response beyond the time for which the request is held.
 	answerTimeout = 400 * time.Millisecond
-	// listAnswerTimeout does so for a starting router: a whole list of 3,000 endpoints
-	// has tens of kilobytes, and an asker sends it to dozens at once.
+	// listAnswerTimeout replaces answerTimeout in a router that starts: a whole list of 3,000
+	// endpoints has tens of kilobytes, and a source sends it to dozens of routers at once.
 	listAnswerTimeout = 1500 * time.Millisecond
-	// connectTimeout is how long the connection to a peer is waited for before another one is
-	// asked as well. It takes 3 ms between zones; a VM without power never answers, and the
-	// kernel tries again after a second, in which a starting router serves nobody.
+	// connectTimeout is how long a pull may wait for its connection before another peer is tried as
+	// well. Connecting takes 3 ms between zones. A VM without power never answers, and the kernel
+	// retries after a second, in which a starting router serves no requests.
 	connectTimeout = 400 * time.Millisecond
-	// staleAfter is how old a peer's copy may be for it to count as well
-	// informed: a peer that asks the store has one of at most 1 s, and a
-	// configuration has to be in force 2 s after it was accepted, also where
-	// those that ask were just cut off.
+	// staleAfter is the age up to which a peer's copy counts as fresh. That of a reader is at most
+	// 1 s old, and a configuration has to be in force 2 s after it was accepted, also if the
+	// readers have just lost the store.
 	staleAfter = config.Span(1500 * time.Millisecond)
-	// relayStaleAfter takes its place at a relay, which has to ask the store itself before those
-	// that ask it find it ill informed: all of them would turn to the store.
+	// relayStaleAfter replaces staleAfter in a relay. It is shorter, so that a relay reads the
+	// store itself before its followers find its copy stale, as all of them would then read the
+	// store.
 	relayStaleAfter = config.Span(1200 * time.Millisecond)
-	// storeLostAfter is how old the proof of the watched kind may be for the
-	// others to be asked for as well.
+	// storeLostAfter is the age of the proof of FreshnessKind beyond which the store counts as
+	// lost, and no other kind is read from it.
 	storeLostAfter = 2500 * time.Millisecond
-	// readerPollInterval is how often a router that asks the store looks whether it should
-	// ask peers instead, and directAgain how often one that found no peer tries
+	// readerPollInterval is the interval at which a reader checks whether it should pull from peers
+	// instead; retryPeersInterval is the interval at which a router in fallback tries its peers
 	// again.
 	readerPollInterval = config.Span(100 * time.Millisecond)
 	retryPeersInterval = config.Span(time.Second)
-	// startReadDelay is how long a starting router waits for peers to tell it all before it
-	// reads it from the store itself, and readsSpread the time over which routers that
-	// start together do so: few read the store, so that its rate and its link bear a start
-	// of 300 routers before 3,000 endpoints.
+	// startReadDelay is how long a starting router waits for its peers to send it everything before
+	// it reads the store itself, and startReadJitter the range of the random time added to it, so
+	// that of routers that start together only few read the store: its rate limit and its link have
+	// to bear a start of 300 routers with 3,000 endpoints.
 	startReadDelay  = config.Span(800 * time.Millisecond)
 	startReadJitter = 700 * time.Millisecond
-	// maxStartReadDelay is how long it waits for peers that answer but do not know all yet: the
-	// first ones read 3,000 endpoints in pages of 50 in 0.5 s, or 4 s from a slow store.
+	// maxStartReadDelay bounds the wait for peers that answer but do not have everything yet: the
+	// readers read 3,000 endpoints in pages of 50 within 0.5 s, or 4 s if the store is slow.
 	maxStartReadDelay = config.Span(5 * time.Second)
-	// startPollInterval is how often it looks whether all was read.
+	// startPollInterval is the interval at which a starting router checks whether all was read.
 	startPollInterval = config.Span(10 * time.Millisecond)
-	// maxSweepSize is how many peers an ill informed router asks at once for what they know.
-	// It asks half as many the next time, and waits at the first ones in between: where
-	// all routers lost the store, all would ask all.
+	// maxSweepSize is the maximum number of random peers that a stale router pulls from in turn,
+	// without a hold. The number is halved for each further sweep, and the router waits for its
+	// sources in between: if all routers lost the store, each would otherwise pull from all.
 	maxSweepSize = 8
-	// takeoverWait is how long the next in rank may take to ask the store once the first ones
-	// have lost it: a look at the turn and a call.
+	// takeoverWait is the time that the next router in rank needs to begin reading the store once
+	// the readers have lost it: one storePollInterval and a call to the store.
 	takeoverWait = config.Span(150 * time.Millisecond)
-	// otherKindsDelay is how long a router asks the store for the watched kind alone.
+	// otherKindsDelay is how long a router in fallback reads FreshnessKind alone from the store.
 	otherKindsDelay = time.Second
-	// storePollInterval is how often a follower looks whether it is its turn.
+	// storePollInterval is the interval at which a router checks whether it should read the store.
 	storePollInterval = config.Span(50 * time.Millisecond)
-	// maxResponseBytes bounds an answer, in bytes.
+	// maxResponseBytes is the maximum length of a response, and of what is decompressed from it.
 	maxResponseBytes = 16 << 20
 )
 
-// NewPuller returns an asker that has found no peer yet.
+// NewPuller returns a Puller for the mirror m and the given kinds, of which freshnessKind is one. A
+// starting router waits for its peers from this call on.
 func NewPuller(log *zap.Logger, f *Fleet, m *mirror.Mirror, freshnessKind string, kinds ...string) *Puller {
 	now := time.Now()
 	pl := &Puller{
@@ -128,8 +131,8 @@
 	return pl
 }
 
-// Run asks peers until ctx is done: always if the store is not asked, and when
-// the store leaves this router without word.
+// Run pulls from peers until ctx is done, except while this router is a reader whose copy is fresh,
+// and at a start until it knows peers, or while it reads the store for them. It returns nil.
 func (pl *Puller) Run(ctx context.Context) error {
 	selfHash := xxhash.Sum64String(pl.Fleet.self)
 	defer func() {
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// isDone reports whether a question has isDone.
+// isDone reports whether a background pull has ended.
 func isDone(done <-chan bool) bool {
 	select {
 	case <-done:
@@ -163,9 +166,9 @@
 	}
 }
 
-// pullNext asks the first peers. If they are ill informed it waits at the next in rank, which
-// take over from them, then asks some others at once, turns to the store, and waits at the
-// first ones for word that it is back.
+// pullNext pulls from this router's sources. If they are stale it gives the next router in rank
+// takeoverWait to take over from them, then pulls from some random peers. If these are stale too it
+// sets fallback and waits for its sources to recover.
 func (pl *Puller) pullNext(ctx context.Context, selfHash uint64, fresh bool) {
 	hold := fresh || !pl.hasAllKinds()
 	for range pl.Fleet.PullAttempts(time.Now()) {
@@ -187,7 +190,8 @@
 	pl.awaitStoreRecovery(ctx, selfHash)
 }
 
-// tryNextPeer asks the next peer and reports whether it answered well.
+// tryNextPeer calls pull for the next peer (see Fleet.PickPeer) and reports whether the peer was
+// fresh.
 func (pl *Puller) tryNextPeer(ctx context.Context, draw uint64, all bool, pull func(p Peer) bool) bool {
 	p, ok := pl.Fleet.PickPeer(time.Now(), draw, all)
 	if !ok || ctx.Err() != nil || !pull(p) {
@@ -197,7 +201,8 @@
 	return true
 }
 
-// awaitStoreRecovery waits at one of the first routers for word that the store is back.
+// awaitStoreRecovery waits, for at most retryPeersInterval and the pull in progress, until one of
+// this router's sources is fresh again.
 func (pl *Puller) awaitStoreRecovery(ctx context.Context, selfHash uint64) {
 	until := retryPeersInterval.After(time.Now())
 	for time.Now().Before(until) && ctx.Err() == nil {
@@ -209,17 +214,17 @@
 	}
 }
 
-// recordFresh notes that a peer answered well.
+// recordFresh records that a peer was fresh, and ends the fallback.
 func (pl *Puller) recordFresh(peer string) {
 	pl.sweepSize = maxSweepSize
 	if pl.setFallback(false) {
-		pl.Log.Info("peers: A peer is asked instead of the store.", zap.String("peer", peer), zap.Int("routers", pl.Fleet.Len()))
+		pl.Log.Info("peers: Changes are pulled from a peer again, not read from the store.", zap.String("peer", peer), zap.Int("routers", pl.Fleet.Len()))
 	}
 }
 
-// pull asks one peer and reports whether it was well informed. The peer may hold the
-// question until it knows something new, unless this router is ill informed itself:
-// then it should not wait at one ill informed peer after the other.
+// pull pulls from one peer and reports whether the peer was fresh. hold lets the peer hold the
+// request until it has a change. A stale router must not set it, as it would wait for one stale
+// peer after the other.
 func (pl *Puller) pull(ctx context.Context, p Peer, hold bool) bool {
 	sent := time.Now()
 	until := sent
@@ -229,11 +234,12 @@
 	return pl.exchangeOrDefer(ctx, p, pullRequest{WaitMs: until.Sub(sent).Milliseconds(), FromRelay: hold && pl.Fleet.IsRelay(sent)}, sent)
 }
 
-// exchangeOrDefer is exchange, but that it returns false once no connection has come up for
-// connectWithin. The question goes on then, and its answer is taken over when it comes: a bound
-// on the connection would lose the answers of peers whose links are full.
+// exchangeOrDefer is exchange, but returns false if there is no connection after connectTimeout.
+// The pull then continues in the background, and its response is applied when it arrives: a timeout
+// of the connection would lose the responses of peers with saturated links.
 func (pl *Puller) exchangeOrDefer(ctx context.Context, p Peer, q pullRequest, sent time.Time) bool {
-	// The client takes another connection for the same question where a kept one has gone.
+	// GotConn may be called twice: the client retries the request on another connection if a
+	// kept-alive one was closed.
 	connected := make(chan struct{}, 1)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		select {
@@ -257,20 +263,21 @@
 	}
 }
 
-// pullFresh asks a peer that may be ill informed to answer as soon as it is not, and reports
-// whether it is well informed.
+// pullFresh pulls from a peer that may be stale and should answer as soon as it is fresh, or after
+// wait. It reports whether the peer is fresh.
 func (pl *Puller) pullFresh(ctx context.Context, p Peer, wait config.Span) bool {
 	sent := time.Now()
 	return pl.exchange(ctx, p, pullRequest{WaitMs: wait.After(sent).Sub(sent).Milliseconds(), AwaitFresh: true}, sent)
 }
 
-// exchange asks one peer, takes over its answer, and reports whether it was well informed.
+// exchange sends a request to one peer, applies the response, and reports whether the peer was
+// fresh.
 func (pl *Puller) exchange(ctx context.Context, p Peer, q pullRequest, sent time.Time) bool {
 	got, err := pl.post(ctx, p, &q, sent)
 	if err != nil {
 		if ctx.Err() == nil {
 			pl.Fleet.RecordNoAnswer(p.Name, time.Now())
-			pl.Log.Info("peers: A peer gave no answer.", zap.String("peer", p.Name), zap.Stringer("addr", p.Addr), logs.Err(err))
+			pl.Log.Info("peers: A pull from a peer failed.", zap.String("peer", p.Name), zap.Stringer("addr", p.Addr), logs.Err(err))
 		}
 		return false
 	}
@@ -278,14 +285,14 @@
 	return pl.apply(p, got, sent)
 }
 
-// apply takes over a peer's answer to a question that was sent then, and reports whether the
-// peer was well informed.
+// apply applies a peer's response to a request that was sent at the time sent, and reports whether
+// the peer was fresh.
 func (pl *Puller) apply(p Peer, got *pullResponse, sent time.Time) bool {
 	now := time.Now()
 	if list, err := decodeVerdicts(got.Verdicts, now); err != nil {
 		pl.Log.Warn("peers: Verdicts could not be decoded.", zap.String("peer", p.Name), logs.Err(err))
 	} else {
-		// Before the endpoints, so that none gets what it should not.
+		// Verdicts come before endpoints, so that no endpoint is sent a quarantined request.
 		pl.OnVerdicts(list)
 	}
 	for _, kind := range pl.Kinds {
@@ -295,12 +302,11 @@
 		}
 		changes, err := k.decode(now)
 		if err != nil {
-			pl.Log.Warn("peers: An answer could not be read.", zap.String("peer", p.Name), zap.String("kind", kind), logs.Err(err))
+			pl.Log.Warn("peers: The changes in a pull response could not be decoded.", zap.String("peer", p.Name), zap.String("kind", kind), logs.Err(err))
 			pl.Fleet.RecordStale(p.Name, now)
 			return false
 		}
-		// The peer answered no earlier than it had held the question since it
-		// was sent.
+		// The peer answered no earlier than HeldMs after the request was sent.
 		at := sent.Add(time.Duration(got.HeldMs-k.AgeMs) * time.Millisecond)
 		if k.Whole {
 			pl.Log.Info("peers: All of a kind was told.", zap.String("kind", kind), zap.String("peer", p.Name), zap.Int64("revision", k.Revision), zap.Int("objects", len(changes)))
@@ -312,7 +318,7 @@
 	pl.Fleet.RecordAnswer(p.Name)
 	w, ok := got.Kinds[pl.FreshnessKind]
 	if !ok && !pl.hasAllKinds() {
-		// It starts as well, and has read another kind first.
+		// The peer is starting as well and has read another kind first.
 		pl.Fleet.BackOff(p.Name, startPollInterval.After(now))
 		return false
 	}
@@ -323,7 +329,7 @@
 	return true
 }
 
-// staleAge returns how old a peer's copy may be for it to count as well informed.
+// staleAge returns the age up to which a peer's copy, or this router's own, counts as fresh.
 func (pl *Puller) staleAge(now time.Time) config.Span {
 	if pl.Fleet.IsRelay(now) {
 		return relayStaleAfter
@@ -331,7 +337,8 @@
 	return staleAfter
 }
 
-// timeout bounds a question beyond the time that it is held: a whole list takes longer.
+// timeout returns the time for a response beyond the time for which the request is held. It is
+// longer for a whole list.
 func (pl *Puller) timeout() time.Duration {
 	if pl.hasAllKinds() {
 		return answerTimeout
@@ -347,7 +354,8 @@
 	return list
 }
 
-// post asks one peer.
+// post sends a request to one peer and returns the response. It sets the fields Have and
+// AcceptsCompressed of q.
 func (pl *Puller) post(ctx context.Context, p Peer, q *pullRequest, sent time.Time) (*pullResponse, error) {
 	q.Have, q.AcceptsCompressed = make(map[string]int64), true
 	for _, k := range pl.Kinds {
@@ -355,23 +363,23 @@
 	}
 	text, err := json.Marshal(q)
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: encode pull request")
 	}
 	ctx, cancel := context.WithDeadline(ctx, sent.Add(time.Duration(q.WaitMs)*time.Millisecond+pl.timeout()))
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr.String()+pullPath, bytes.NewReader(text))
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: create pull request")
 	}
 	req.Header.Set("Authorization", "Bearer "+p.Token)
 	pl.Traffic.PullRequests.Add(int64(len(text)))
 	resp, err := pl.HTTP.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: send pull request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Newf("peers: status %d", resp.StatusCode)
+		return nil, errors.Newf("peers: pull request rejected with status %d", resp.StatusCode)
 	}
 	return decodeResponse(io.LimitReader(resp.Body, maxResponseBytes))
 }
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -17,44 +17,44 @@
 	"github.com/traildrift/traildrift/pkg/poison"
 )
 
-// Server answers peers from a mirror.
+// Server answers the pulls of peers from a mirror. Create it with NewServer; its exported fields
+// are set before the first request.
 type Server struct {
 	Log    *zap.Logger
 	Mirror *mirror.Mirror
 	Secret *Secret
 	cache  compressionCache
-	// FreshnessKind is the kind whose age says how well this router is informed.
+	// FreshnessKind is the kind by the age of whose copy this router counts as fresh.
 	FreshnessKind string
-	// OnStartingPeer is called where a peer that knows nothing yet asks this router; set before
-	// the first question.
+	// OnStartingPeer is called when a peer that has no objects yet sends a request.
 	OnStartingPeer func()
-	// Verdicts returns what a peer that starts should know besides the stored objects; set
-	// before the first question.
+	// Verdicts returns the verdicts to send to such a peer along with the objects.
 	Verdicts func() []poison.Verdict
-	// Age returns how old what was true at a time is now; set before the first question.
+	// Age returns the age at now of a copy that was the newest at the time at.
 	Age func(at, now time.Time) time.Duration
-	// Traffic counts the answers; set before the first question.
+	// Traffic counts the bytes of the responses.
 	Traffic *Traffic
-	// slots bounds the questions that are held.
+	// slots limits the requests in progress to maxHeld.
 	slots chan struct{}
 }
 
 const (
-	// maxHeld bounds the questions that are held at a time; a fleet of the
-	// users' size has 370 routers, of which most ask other ones.
+	// maxHeld is the maximum number of requests in progress; further ones are rejected with status
+	// 429. A fleet of 370 routers is expected, most of which pull from others.
 	maxHeld = 512
-	// maxHold bounds how long a question is held.
+	// maxHold is the maximum time for which a request is held.
 	maxHold = 2 * time.Second
-	// maxRequestBytes bounds a question, in bytes.
+	// maxRequestBytes is the maximum length of a request body.
 	maxRequestBytes = 4 << 10
 )
 
-// NewServer returns a server that answers those who show the token.
+// NewServer returns a server that answers the requests that present the token in secret.
 func NewServer(log *zap.Logger, m *mirror.Mirror, freshnessKind string, secret *Secret) *Server {
 	return &Server{Log: log, Mirror: m, FreshnessKind: freshnessKind, Secret: secret, OnStartingPeer: func() {}, Age: func(at, now time.Time) time.Duration { return now.Sub(at) }, Verdicts: func() []poison.Verdict { return nil }, Traffic: &Traffic{}, slots: make(chan struct{}, maxHeld)}
 }
 
-// ServeHTTP answers one question.
+// ServeHTTP answers one pull request. It rejects one without the token with status 401, one of
+// another path with 404, one beyond maxHeld with 429 and one that is not valid with 400.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if shown, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); !ok || !s.Secret.matches(shown) {
 		w.WriteHeader(http.StatusUnauthorized)
@@ -73,7 +73,7 @@
 	}
 	var req pullRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req); err != nil {
-		s.Log.Warn("peers: A question could not be read.", zap.String("from", r.RemoteAddr), zap.Error(err))
+		s.Log.Warn("peers: A pull request could not be decoded.", zap.String("from", r.RemoteAddr), zap.Error(err))
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -94,11 +94,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := resp.encode(countingWriter{w, &s.Traffic.PullResponses}); err != nil {
-		s.Log.Debug("peers: A peer left before its answer.", zap.Error(err))
+		s.Log.Debug("peers: A pull response could not be written.", zap.Error(err))
 	}
 }
 
-// verdicts returns the verdicts that a peer which starts should know, encoded.
+// verdicts returns the encoded verdicts for a peer that starts; nil if they cannot be encoded.
 func (s *Server) verdicts(now time.Time) []byte {
 	text, err := encodeVerdicts(nil, s.Verdicts(), now)
 	if err != nil {
@@ -108,9 +108,10 @@
 	return text
 }
 
-// hold returns when this copy knows more than the asker, or at the time that the question
-// may be held for. Where the copy grows too old, an asker learns that at once, unless it
-// waits for word that the store is back.
+// hold blocks until this router's copy has changes for the peer, but at most for the time that the
+// peer allows, and maxHold. It returns at once when the copy becomes stale, so that the peer tries
+// another one. If the peer waits for a fresh copy, hold returns when this one is; if the peer is a
+// relay, also when the copy was proven anew.
 func (s *Server) hold(ctx context.Context, req *pullRequest, receivedAt time.Time) {
 	until := receivedAt.Add(min(time.Duration(req.WaitMs)*time.Millisecond, maxHold))
 	if req.AwaitFresh {
--- a/internal/peers/storeread.go
+++ b/internal/peers/storeread.go
@@ -14,9 +14,9 @@
 	"github.com/traildrift/traildrift/internal/tasks"
 )
 
-// WaitToReadStore waits until the store should be asked for a kind; it returns false if ctx was
-// done first. While the store is not heard of, one kind alone is tried: each call is
-// priced, also to a store that is down.
+// WaitToReadStore blocks until this router should read a kind from the store. It returns false if
+// ctx is done first. While the store is lost, only FreshnessKind is read: each call has a price,
+// also if the store is down.
 func (pl *Puller) WaitToReadStore(ctx context.Context, kind string) bool {
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -32,8 +32,9 @@
 	return false
 }
 
-// shouldReadStore reports whether the store should be asked for a kind now. Of routers that start, the
-// first ones of the peers they know of read the store, and the others ask these.
+// shouldReadStore reports whether this router should read a kind from the store at now. Of routers
+// that start, those that are readers among the peers they know read the store, and the others pull
+// from them.
 func (pl *Puller) shouldReadStore(kind string, now time.Time) bool {
 	switch {
 	case pl.Mirror.Revision(kind) >= 0:
@@ -45,29 +46,31 @@
 	}
 }
 
-// storeReachable reports whether the store was storeReachable of lately, by this router or others.
+// storeReachable reports whether this router or its sources reached the store within
+// storeLostAfter.
 func (pl *Puller) storeReachable(now time.Time) bool {
 	return now.Sub(pl.Mirror.Proven(pl.FreshnessKind)) <= storeLostAfter
 }
 
-// Isolated reports whether this router has found no peer well informed for a while though the
-// store answers: none hears of what it learns but from the store.
+// Isolated reports whether this router has found no fresh peer for otherKindsDelay although the
+// store answers: other routers then learn what it knows from the store only.
 func (pl *Puller) Isolated(now time.Time) bool {
 	return pl.storeReachable(now) && pl.inFallbackFor(otherKindsDelay, now)
 }
 
-// isStartReader reports whether this starting router isStartReader the store for others: it is one of the
-// first of the peers that it knows, or of those that another one knows.
+// isStartReader reports whether this starting router reads the store for others: it is a reader
+// among the peers that it knows, or among those that a peer of it knows.
 func (pl *Puller) isStartReader() bool {
 	return pl.Fleet.IsPrimaryReader() || pl.pulledByStarting.Load()
 }
 
-// RecordStartingPeer notes that a starting peer asks this router for all. Each knows other peers, so that
-// otherwise the one that is asked might ask a third in turn.
+// RecordStartingPeer records that a starting peer pulled from this router, which then reads the
+// store at once if it is starting as well. Routers that start know different peers; without this,
+// the router pulled from might itself wait for a third.
 func (pl *Puller) RecordStartingPeer() { pl.pulledByStarting.Store(true) }
 
-// fallbackDelay returns how long this router must have found no peer well informed for the store to
-// be asked for a kind: most often another one takes over within that time.
+// fallbackDelay returns how long fallback must last before a kind is read from the store. Usually
+// another router takes over as a reader within otherKindsDelay.
 func (pl *Puller) fallbackDelay(kind string) time.Duration {
 	if kind == pl.FreshnessKind {
 		return 0
@@ -75,8 +78,8 @@
 	return otherKindsDelay
 }
 
-// extendStartDelay lets a starting router wait longer for peers that answer, though they do not know
-// all yet: they are reading it.
+// extendStartDelay lets a starting router wait longer, as a peer has answered: if the peer does not
+// have everything yet, it is reading it.
 func (pl *Puller) extendStartDelay(now time.Time) {
 	if pl.hasAllKinds() {
 		return
@@ -92,22 +95,23 @@
 	}
 }
 
-// startDelayPassed reports whether a starting router has startDelayPassed for peers long enough.
+// startDelayPassed reports whether a starting router has waited for its peers long enough.
 func (pl *Puller) startDelayPassed(now time.Time) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	return now.After(pl.readStoreAt)
 }
 
-// SetPeersKnown notes that the store told of the peers that it knows, or of some of them.
+// SetPeersKnown records that the store has returned the registered routers, or some of them.
 func (pl *Puller) SetPeersKnown() { pl.peersKnown.Store(true) }
 
-// RetriesSlowly reports whether others try a store that is lost more often than this router.
+// RetriesSlowly reports whether other routers retry a lost store more often than this one does.
 func (pl *Puller) RetriesSlowly() bool {
 	return pl.Fleet.Len() > minSources && !pl.Fleet.IsPrimaryReader()
 }
 
-// setFallback notes whether the store has to be asked, and reports whether that has changed.
+// setFallback sets whether this router reads the store for want of a fresh peer, and reports
+// whether that is a change.
 func (pl *Puller) setFallback(fallback bool) (changed bool) {
 	if pl.fallback.Swap(fallback) == fallback {
 		return false
@@ -121,14 +125,14 @@
 	return true
 }
 
-// inFallbackFor reports whether the store has been asked for so long that no peer answered well.
+// inFallbackFor reports whether fallback has lasted for d or longer at now.
 func (pl *Puller) inFallbackFor(d time.Duration, now time.Time) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	return pl.fallback.Load() && now.Sub(pl.fallbackSince) >= d
 }
 
-// hasAllKinds reports whether every kind was read once.
+// hasAllKinds reports whether every kind has been read once.
 func (pl *Puller) hasAllKinds() bool {
 	return !slices.ContainsFunc(pl.Kinds, func(kind string) bool { return pl.Mirror.Revision(kind) < 0 })
 }
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -15,16 +15,19 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Traffic counts the bytes that this router sent to others, without what the network
-// adds. The zero value has counted none.
+// Traffic counts the bytes that this router sent to other routers, without the headers of HTTP and
+// of the network: as datagrams by kind, and as pull requests and the responses to those of peers.
+// Quarantines counts crash reports, verdicts and state queries, Notices also limit queries. The
+// zero value is ready for use.
 type Traffic struct {
 	AttemptReports, TrialReports, Quarantines, Notices, Usage, PullRequests, PullResponses atomic.Int64
 }
 
-// logInterval is how often the log tells what was sent since the line before.
+// logInterval is the interval between log lines.
 const logInterval = config.Span(10 * time.Second)
 
-// Run tells the log what was sent until ctx is done.
+// Run logs the bytes sent since the last line, and resets the counts, every logInterval until ctx
+// is done.
 func (t *Traffic) Run(ctx context.Context, log *zap.Logger) error {
 	for ctx.Err() == nil {
 		tasks.Pause(ctx, logInterval.After(time.Now()))
@@ -34,13 +37,12 @@
 	return nil
 }
 
-// countingWriter counts the bytes of an answer.
+// countingWriter adds the bytes of a response body to n.
 type countingWriter struct {
 	http.ResponseWriter
 	n *atomic.Int64
 }
 
-// Write writes and counts.
 func (w countingWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
 	w.n.Add(int64(n))
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -19,97 +19,105 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// AttemptReport is what a router tells of an endpoint.
+// AttemptReport reports an attempt of a router at an endpoint.
 type AttemptReport struct {
-	// From is the teller's address; the hearer sets it.
+	// From is the sender's address; the recipient sets it.
 	From netip.Addr
-	// Endpoint is the hash of its ID.
+	// Endpoint is the hash of the endpoint's ID.
 	Endpoint uint64
-	// Busy is how long a request of the teller keeps the endpoint busy, from
-	// when the note is heard.
+	// Busy is how long the request keeps the endpoint busy, from the receipt of the report. It is
+	// sent in milliseconds.
 	Busy time.Duration
-	// Failed says that an attempt of the teller got no whole answer.
+	// Failed is set if the attempt got no complete answer.
 	Failed bool
-	// Prefix names what the endpoint holds once it has read the request; 0 for nothing.
+	// Prefix identifies the prompt prefix that the endpoint holds once it has read the request; 0
+	// for none.
 	Prefix uint64
 }
 
-// Transport sends notes to all routers and hears theirs. Transport go by datagram: one
-// that is lost makes a choice a little worse, no more.
+// Transport sends and receives the datagrams between routers. They are not acknowledged: a loss
+// makes a few decisions slightly worse, and data that must arrive is sent again by its sender.
+// Create it with NewTransport; its exported fields are set before Run. Run calls the handlers,
+// whose names begin with On, one at a time; the sending methods are safe for concurrent use.
 type Transport struct {
 	Log   *zap.Logger
 	fleet *Fleet
 	conn  *net.UDPConn
-	// secret is what notes to this router begin with.
+	// secret is the token with which datagrams to this router begin.
 	secret *Secret
-	// OnAttemptReport and OnReport are called for each note and each report on a trial that
-	// is heard, by one goroutine; set OnReport before Run.
+	// OnAttemptReport and OnTrialReport are called with each report received.
 	OnAttemptReport func(r AttemptReport)
 	OnTrialReport   func(r roll.Report)
-	// OnCrashReport and OnVerdicts are called likewise for word of requests under which endpoints
-	// crashed; set them before Run.
+	// OnCrashReport and OnVerdicts are called with what was received about requests under which
+	// endpoints crashed.
 	OnCrashReport func(r CrashReport)
 	OnVerdicts    func(list []poison.Verdict)
-	// OnNotice is called for what endpoints said and for answers to questions, OnQuestion for
-	// questions, with what to answer, if anything; Notices returns what a router that starts should
-	// know of that. Set them before Run.
+	// OnNotice is called with each notice received from the router at an address: announcements of
+	// endpoints, and answers to limit queries. OnLimitQuery is called with each limit query, and
+	// returns the answer; none is sent if ok is false. Notices returns the notices to send to a
+	// router that has just started.
 	OnNotice     func(from netip.Addr, n Notice)
 	OnLimitQuery func(q LimitQuery) (n Notice, ok bool)
 	Notices      func() []Notice
-	// OnUsageReport is called for reports of usage, with what to answer, if anything, and OnUsageAnswer
-	// for the answers; set them before Run.
+	// OnUsageReport is called with each usage report received, and returns the answer; none is sent
+	// if ok is false. OnUsageAck is called with the answers to this router's reports.
 	OnUsageReport func(r UsageReport) (a UsageAck, ok bool)
 	OnUsageAck    func(a UsageAck)
-	// Verdicts returns what a router that starts should know of such requests; set before Run.
+	// Verdicts returns the verdicts to send to a router that has just started.
 	Verdicts func() []poison.Verdict
-	// Traffic counts the notes and reports; set before the first.
+	// Traffic counts the bytes sent.
 	Traffic *Traffic
 }
 
 const (
-	// tokenBytes is how much of the hearer's token a note begins with.
+	// tokenBytes is the length of the start of the recipient's token with which a datagram begins.
 	tokenBytes = 16
-	// kindAt is where a byte tells what follows the token.
+	// kindAt is the offset of the byte that holds the kind of the datagram, bodyAt that of its
+	// body.
 	kindAt            = tokenBytes
 	bodyAt            = kindAt + 1
 	kindAttemptReport = 1
-	// kindTrialReport is followed by a report; see encodeReport.
+	// kindTrialReport is the kind of a roll.Report; see encodeTrialReport.
 	kindTrialReport = 2
-	// kindCrashReport is followed by a CrashReport, kindVerdicts by verdicts; see encodeVerdicts.
+	// kindCrashReport is the kind of a CrashReport, kindVerdicts that of verdicts; see
+	// encodeVerdicts.
 	kindCrashReport = 3
 	kindVerdicts    = 4
-	// kindStateQuery is followed by the token of a router that has just started and wants to know
-	// what others do of such requests.
+	// kindStateQuery is the kind of a query of a router that has just started. The body is the
+	// start of its token, for the datagrams with verdicts and notices that answer it.
 	kindStateQuery = 5
-	// kindNotice is followed by a Notice, kindQuestion by a LimitQuestion.
+	// kindNotice is the kind of a Notice, kindLimitQuery that of a LimitQuery.
 	kindNotice     = 6
 	kindLimitQuery = 7
-	// kindUsageReport is followed by a UsageReport, kindUsageAnswer by a UsageAnswer.
+	// kindUsageReport is the kind of a UsageReport, kindUsageAck that of a UsageAck.
 	kindUsageReport = 8
 	kindUsageAck    = 9
-	// A note is the endpoint, the milliseconds that it is busy, a byte of flags, and
-	// the prefix, which routers of an earlier release leave out.
+	// The body of an AttemptReport holds Endpoint, Busy in milliseconds, a byte of flags at
+	// flagsAt, and Prefix at prefixAt, which routers of an earlier release leave out.
 	flagsAt            = bodyAt + 8 + 4
 	prefixAt           = flagsAt + 1
 	attemptReportBytes = prefixAt + 8
-	// flagFailed is the flag of a failure.
+	// flagFailed is the flag for Failed.
 	flagFailed = 1
-	// maxBusy bounds what a note may claim.
+	// maxBusy limits Busy in the reports received.
 	maxBusy = 30 * time.Second
 )
 
-// NewTransport listens for notes where the router answers its peers.
+// NewTransport opens the UDP socket at addr, the address at which this router also answers pulls.
+// onAttemptReport becomes OnAttemptReport; the other handlers ignore what they receive until they
+// are set.
 func NewTransport(log *zap.Logger, f *Fleet, addr netip.AddrPort, secret *Secret, onAttemptReport func(AttemptReport)) (*Transport, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: listen for datagrams")
 	}
 	return &Transport{Log: log, fleet: f, conn: conn, secret: secret, OnAttemptReport: onAttemptReport, OnTrialReport: func(roll.Report) {}, OnCrashReport: func(CrashReport) {}, OnVerdicts: func([]poison.Verdict) {}, Verdicts: func() []poison.Verdict { return nil },
 		OnNotice: func(netip.Addr, Notice) {}, OnLimitQuery: func(LimitQuery) (l Notice, ok bool) { return l, false }, Notices: func() []Notice { return nil }, Traffic: &Traffic{},
 		OnUsageReport: func(UsageReport) (a UsageAck, ok bool) { return a, false }, OnUsageAck: func(UsageAck) {}}, nil
 }
 
-// Run hears notes until ctx is done.
+// Run receives datagrams until ctx is done, and then closes the socket. It drops those that do not
+// begin with the token. It returns an error if the socket fails before.
 func (t *Transport) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() })
 	defer stop()
@@ -120,7 +128,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "peers")
+			return errors.Wrap(err, "peers: receive datagram")
 		}
 		if size < bodyAt || !t.secret.matchesPrefix(buf[:size]) {
 			continue
@@ -129,7 +137,8 @@
 	}
 }
 
-// receive decodes a datagram with the right token.
+// receive decodes a datagram that begins with the token, and calls its handler. It ignores one of
+// an unknown kind.
 func (t *Transport) receive(b []byte, from netip.AddrPort) {
 	body := b[bodyAt:]
 	switch b[kindAt] {
@@ -154,7 +163,8 @@
 	}
 }
 
-// receiveAttemptReport decodes a Note from a whole datagram.
+// receiveAttemptReport decodes an AttemptReport from a whole datagram, and ignores one that is too
+// short.
 func (t *Transport) receiveAttemptReport(b []byte, from netip.AddrPort) {
 	if len(b) < prefixAt {
 		return
@@ -167,7 +177,7 @@
 	t.OnAttemptReport(r)
 }
 
-// receiveTrialReport decodes a report on a trial.
+// receiveTrialReport decodes a roll.Report.
 func (t *Transport) receiveTrialReport(b []byte, from netip.AddrPort) {
 	if r, err := decodeTrialReport(b); t.decoded(err, from, "peers: A report could not be decoded.") {
 		t.OnTrialReport(r)
@@ -181,13 +191,15 @@
 	}
 }
 
-// decodeFixed decodes a body of fixed length; one that is too short is logged as the message says.
+// decodeFixed decodes a body of fixed length. If it is too short, decodeFixed logs message and
+// returns false.
 func decodeFixed[T any](t *Transport, b []byte, from netip.AddrPort, message string) (v T, ok bool) {
 	_, err := binary.Decode(b, binary.BigEndian, &v)
 	return v, t.decoded(err, from, message)
 }
 
-// decoded reports whether a datagram could be decoded; one that could not is logged as the message says.
+// decoded reports whether err is nil, which is the result of decoding a datagram. Otherwise it logs
+// message.
 func (t *Transport) decoded(err error, from netip.AddrPort, message string) bool {
 	if err != nil {
 		t.Log.Warn(message, zap.Stringer("from", from), logs.Err(err))
@@ -202,7 +214,8 @@
 	}
 }
 
-// receiveStateQuery tells a router that has just started, whose token follows, what it should know.
+// receiveStateQuery answers the query of a router that has just started, whose token the body
+// holds.
 func (t *Transport) receiveStateQuery(token []byte, from netip.AddrPort) {
 	if len(token) != tokenBytes {
 		return
@@ -212,17 +225,20 @@
 	t.sendNotices(t.Notices(), to)
 }
 
-// Recipients says which routers hear a note: those of an availability zone first, and with
-// Others some of the rest as well. The zero value is nobody.
+// Recipients selects the routers to which an AttemptReport is sent, of which there are at most
+// maxRecipients. The zero value selects none.
 type Recipients struct {
-	Zone       string
+	// Zone is the availability zone whose routers come first, with those whose zone is not known;
+	// empty for no zone.
+	Zone string
+	// OtherZones adds routers of the other zones, up to maxRecipients in all.
 	OtherZones bool
 }
 
-// allZones is the audience of what concerns all alike.
+// allZones selects routers regardless of their availability zone.
 var allZones = Recipients{OtherZones: true}
 
-// SendAttemptReport tells other routers.
+// SendAttemptReport sends a report to other routers. It ignores r.From.
 func (t *Transport) SendAttemptReport(r AttemptReport, to Recipients) {
 	var buf [attemptReportBytes]byte
 	buf[kindAt] = kindAttemptReport
@@ -235,24 +251,24 @@
 	t.Traffic.AttemptReports.Add(t.sendToRecipients(buf[:], to))
 }
 
-// SendTrialReport tells all other routers what this one saw of a trial.
+// SendTrialReport sends this router's report of a trial to at most maxRecipients other routers.
 func (t *Transport) SendTrialReport(r roll.Report) {
 	buf, err := encodeTrialReport(newDatagram(kindTrialReport, maxDatagramBytes-bodyAt), r)
 	if err != nil {
-		t.Log.Error("peers: A report could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A trial report could not be encoded.", logs.Err(err))
 		return
 	}
 	t.Traffic.TrialReports.Add(t.sendToRecipients(buf, allZones))
 }
 
-// sendToRecipients sends a datagram, which begins with room for the hearer's token, and returns the
-// bytes that were sent to all.
+// sendToRecipients sends a datagram, in which it sets the recipient's token, to several routers,
+// and returns the total number of bytes sent.
 func (t *Transport) sendToRecipients(buf []byte, to Recipients) (bytes int64) {
 	t.fleet.forEachRecipient(to, func(p Peer) { bytes += t.sendToPeer(p, buf) })
 	return bytes
 }
 
-// sendToPeers is send to named routers.
+// sendToPeers is sendToRecipients for a list of routers.
 func (t *Transport) sendToPeers(list []Peer, buf []byte) (bytes int64) {
 	for _, p := range list {
 		bytes += t.sendToPeer(p, buf)
@@ -260,22 +276,24 @@
 	return bytes
 }
 
-// sendToPeer sends a datagram to one router and returns its bytes.
+// sendToPeer sends a datagram, in which it sets the recipient's token, to one router, and returns
+// the number of bytes sent.
 func (t *Transport) sendToPeer(p Peer, buf []byte) int64 {
 	copy(buf[:tokenBytes], p.Token)
 	if _, err := t.conn.WriteToUDPAddrPort(buf, p.Addr); err != nil {
-		t.Log.Debug("peers: A note was not sent.", zap.String("peer", p.Name), logs.Err(err))
+		t.Log.Debug("peers: A datagram could not be sent.", zap.String("peer", p.Name), logs.Err(err))
 		return 0
 	}
 	return int64(len(buf))
 }
 
-// maxRecipients bounds the routers that hear one note, so that notes do not grow with
-// the square of the fleet. Where there are more, each note goes to others.
+// maxRecipients is the maximum number of routers that receive one report, so that the number of
+// datagrams does not grow with the square of the fleet. If more are selected, each report goes to
+// others, drawn at random.
 const maxRecipients = 32
 
-// forEachRecipient calls do for the routers of an audience that are not shunned, for toldMost of them at
-// most. Routers that do not tell their zone are in forEachRecipient.
+// forEachRecipient calls do for the selected routers that are not backed off from, at most
+// maxRecipients of them. Routers whose zone is not known belong to every zone.
 func (f *Fleet) forEachRecipient(to Recipients, do func(Peer)) {
 	now := time.Now()
 	f.mu.Lock()
@@ -295,7 +313,8 @@
 	}
 }
 
-// sample returns at most so many of a list, drawn at random if there are more.
+// sample returns list, or limit of its elements drawn at random if it has more. It may reorder
+// list.
 func sample(list []Peer, limit int) []Peer {
 	if len(list) <= limit {
 		return list
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -17,46 +17,52 @@
 	"github.com/traildrift/traildrift/pkg/usage"
 )
 
-// UsageReport is what a router tells the holder of the duties, and those that would follow it,
-// of a window.
+// UsageReport reports the requests that a router counted in a window. It is sent to the holder of
+// the duties and to the routers that would take them over.
 type UsageReport struct {
+	// Report holds the counts of the sender. Datagrams limit each count to 2^32-1 and each name to
+	// 255 bytes.
 	usage.Report
-	// Gossip is what the teller knows of the duties, Clock what its clock alone shows.
+	// Gossip is what the sender knows of the duties. LocalTime is the time by the sender's own
+	// clock, in which no other router has a part.
 	Gossip    duty.Gossip
 	LocalTime time.Time
-	// token is the teller's, for the answer.
+	// token is the start of the sender's token, for the answer.
 	token []byte
 }
 
 // UsageAck answers a UsageReport.
 type UsageAck struct {
-	// Router is the hearer that answers.
+	// Router is the name of the router that answers.
 	Router string
-	// Incarnation and Window are the report's; Complete says that all that its teller counted in it is
-	// known.
+	// Incarnation and Window are those of the report. Complete is set if the answering router has
+	// all counts of the reporter in the window.
 	Incarnation uint64
 	Window      usage.Window
 	Complete    bool
-	Gossip      duty.Gossip
-	// TrueTime is the true time as the hearer knows it.
+	// Gossip is what the answering router knows of the duties.
+	Gossip duty.Gossip
+	// TrueTime is the answering router's estimate of true time.
 	TrueTime time.Time
 }
 
 const (
-	// maxNameBytes bounds a name, in bytes; its length takes one byte.
+	// maxNameBytes is the maximum length of a name, as its length is encoded in one byte.
 	maxNameBytes = 255
-	// countBytes is what a workspace's count takes beside its name.
+	// countBytes is the length of a workspace's count, without the name: the length of the name and
+	// the count.
 	countBytes = 1 + 4
 )
 
-// The flags of reports and answers.
+// The flags of usage reports, acknowledgements and gossip.
 const (
 	flagFinal    = 1
 	flagComplete = 1
 	flagResigned = 2
 )
 
-// usageReportHead is the fixed part of a report.
+// usageReportHead is the fixed part of an encoded UsageReport. LocalTimeMs is in milliseconds since
+// the start of 1970 (UTC). The name of the reporter, the gossip and the counts follow.
 type usageReportHead struct {
 	Token       [tokenBytes]byte
 	LocalTimeMs int64
@@ -66,7 +72,8 @@
 	Flags       uint8
 }
 
-// usageAckHead is the fixed part of an answer.
+// usageAckHead is the fixed part of an encoded UsageAck. TrueTimeMs is in milliseconds since the
+// start of 1970 (UTC). The name of the answering router and the gossip follow.
 type usageAckHead struct {
 	TrueTimeMs  int64
 	Incarnation uint64
@@ -74,7 +81,7 @@
 	Flags       uint8
 }
 
-// gossipHead is the fixed part of a word.
+// gossipHead is the fixed part of an encoded duty.Gossip. The name of the holder follows.
 type gossipHead struct {
 	Incarnation uint64
 	Revision    int64
@@ -82,13 +89,14 @@
 	Flags       uint8
 }
 
-// appendName appends a name and its length; one that is too long is cut.
+// appendName appends the length of a name in one byte, and the name, which is cut after
+// maxNameBytes bytes.
 func appendName(b []byte, name string) []byte {
 	name = name[:min(len(name), maxNameBytes)]
 	return append(append(b, byte(len(name))), name...)
 }
 
-// appendGossip appends a word.
+// appendGossip appends the encoding of g.
 func appendGossip(b []byte, g duty.Gossip) ([]byte, error) {
 	h := gossipHead{Incarnation: g.Incarnation, Revision: g.Revision, Settled: int64(g.Settled)}
 	if g.Resigned {
@@ -98,19 +106,19 @@
 	return appendName(b, g.Holder), err
 }
 
-// decodeFixedPart reads a part of decodeFixedPart length from the start of b.
+// decodeFixedPart decodes a part of fixed length from the start of b and returns the rest of b.
 func decodeFixedPart[T any](b []byte) (v T, rest []byte, err error) {
 	n, err := binary.Decode(b, binary.BigEndian, &v)
 	if err != nil {
-		return v, nil, errors.Wrap(err, "peers")
+		return v, nil, errors.Wrap(err, "peers: decode fixed part of usage datagram")
 	}
 	return v, b[n:], nil
 }
 
-// errTruncated says that a datagram ends too soon.
-var errTruncated = errors.New("peers: the datagram ends too soon")
+// errTruncated means that a datagram ends within a field.
+var errTruncated = errors.New("peers: datagram is truncated")
 
-// readName reads what appendName appended.
+// readName decodes what appendName appended and returns the rest of b.
 func readName(b []byte) (name string, rest []byte, err error) {
 	if len(b) == 0 || len(b) < 1+int(b[0]) {
 		return "", nil, errTruncated
@@ -119,7 +127,7 @@
 	return string(b[1:n]), b[n:], nil
 }
 
-// readGossip reads what appendWord appended.
+// readGossip decodes what appendGossip appended and returns the rest of b.
 func readGossip(b []byte) (g duty.Gossip, rest []byte, err error) {
 	h, b, err := decodeFixedPart[gossipHead](b)
 	if err != nil {
@@ -130,7 +138,8 @@
 	return g, rest, err
 }
 
-// encodeUsageReport returns the datagrams that hold a report, each with a part of the counts.
+// encodeUsageReport returns the datagrams that hold a report, at least one. Each has the head and a
+// part of the counts, of which each is limited to the range of uint32.
 func encodeUsageReport(r *UsageReport) (list [][]byte, err error) {
 	h := usageReportHead{LocalTimeMs: r.LocalTime.UnixMilli(), Incarnation: r.Reporter.Incarnation, Window: int64(r.Window), Total: r.Total}
 	copy(h.Token[:], r.token)
@@ -139,11 +148,11 @@
 	}
 	head, err := binary.Append(newDatagram(kindUsageReport, maxDatagramBytes-bodyAt), binary.BigEndian, h)
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: encode head of usage report")
 	}
 	head = appendName(head, r.Reporter.Router)
 	if head, err = appendGossip(head, r.Gossip); err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: encode gossip of usage report")
 	}
 	buf := slices.Clone(head)
 	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
@@ -156,7 +165,7 @@
 	return append(list, buf), nil
 }
 
-// decodeUsageReport decodes the body of a datagram of encodeUsage.
+// decodeUsageReport decodes the body of one datagram of encodeUsageReport.
 func decodeUsageReport(b []byte) (*UsageReport, error) {
 	h, b, err := decodeFixedPart[usageReportHead](b)
 	if err != nil {
@@ -185,7 +194,7 @@
 	return r, nil
 }
 
-// encodeUsageAck returns the datagram that holds an answer.
+// encodeUsageAck returns the datagram that holds an acknowledgement.
 func encodeUsageAck(a UsageAck) ([]byte, error) {
 	h := usageAckHead{TrueTimeMs: a.TrueTime.UnixMilli(), Incarnation: a.Incarnation, Window: int64(a.Window)}
 	if a.Complete {
@@ -193,13 +202,13 @@
 	}
 	b, err := binary.Append(newDatagram(kindUsageAck, maxDatagramBytes-bodyAt), binary.BigEndian, h)
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: encode head of usage acknowledgement")
 	}
 	b, err = appendGossip(appendName(b, a.Router), a.Gossip)
-	return b, errors.Wrap(err, "peers")
+	return b, errors.Wrap(err, "peers: encode gossip of usage acknowledgement")
 }
 
-// decodeUsageAck decodes the body of a datagram of encodeAnswer.
+// decodeUsageAck decodes the body of a datagram of encodeUsageAck.
 func decodeUsageAck(b []byte) (a UsageAck, err error) {
 	h, b, err := decodeFixedPart[usageAckHead](b)
 	if err != nil {
@@ -213,7 +222,8 @@
 	return a, err
 }
 
-// SendUsageReport tells a router what this one counted; the answer comes under this router's token.
+// SendUsageReport sends a report to one router, in one datagram or more. Each is answered on its
+// own. It sends nothing while this router has no token.
 func (t *Transport) SendUsageReport(r UsageReport, to Peer) {
 	r.token = make([]byte, tokenBytes)
 	if !t.secret.copyTo(r.token) {
@@ -221,7 +231,7 @@
 	}
 	list, err := encodeUsageReport(&r)
 	if err != nil {
-		t.Log.Error("peers: A report of usage could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A usage report could not be encoded.", logs.Err(err))
 		return
 	}
 	for _, b := range list {
@@ -229,7 +239,7 @@
 	}
 }
 
-// receiveUsageReport decodes a UsageReport and answers it.
+// receiveUsageReport decodes a UsageReport and sends the answer of OnUsageReport, if any.
 func (t *Transport) receiveUsageReport(b []byte, from netip.AddrPort) {
 	r, err := decodeUsageReport(b)
 	if !t.decoded(err, from, "peers: A report of usage could not be decoded.") {
@@ -241,13 +251,13 @@
 	}
 	ack, err := encodeUsageAck(a)
 	if err != nil {
-		t.Log.Error("peers: An answer about usage could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A usage acknowledgement could not be encoded.", logs.Err(err))
 		return
 	}
 	t.Traffic.Usage.Add(t.sendToPeer(Peer{Name: r.Reporter.Router, Addr: from, Token: string(r.token)}, ack))
 }
 
-// receiveUsageAck decodes a UsageAnswer.
+// receiveUsageAck decodes a UsageAck.
 func (t *Transport) receiveUsageAck(b []byte, from netip.AddrPort) {
 	if a, err := decodeUsageAck(b); t.decoded(err, from, "peers: An answer about usage could not be decoded.") {
 		t.OnUsageAck(a)
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -17,50 +17,53 @@
 	"github.com/traildrift/traildrift/internal/mirror"
 )
 
-// Peer is a router as it is registered.
+// Peer is the stored registration of a router, which writes it itself.
 type Peer struct {
-	// Name is the VM's.
+	// Name is the name of the router's VM.
 	Name string `json:"name"`
-	// Addr is where it answers its peers.
+	// Addr is the address at which the router answers pulls, over TCP, and receives datagrams, over
+	// UDP.
 	Addr netip.AddrPort `json:"addr"`
-	// Zone is its availability zone; empty in registrations of earlier releases.
+	// Zone is the router's availability zone; empty in registrations of earlier releases.
 	Zone string `json:"zone,omitempty"`
-	// Millicores is how much the VM bears, in thousandths of a processor core; 0 if that is
-	// not known.
+	// Millicores is the CPU capacity that the VM has for the router, in thousandths of a core; 0 if
+	// it is not known.
 	Millicores int `json:"ability,omitempty"`
-	// Token is what its peers have to show; a router that starts again on its VM goes
-	// on with the one that is registered.
+	// Token is the secret that peers present to the router. A router that restarts on its VM keeps
+	// the registered one.
 	Token string `json:"token"`
-	// Revision is that of the registration.
+	// Revision is the store's revision of the registration.
 	Revision int64 `json:"-"`
 }
 
-// MatchesRegistration reports whether a router is what an earlier life of its VM registered, so that it
-// may go on with that registration.
+// MatchesRegistration reports whether p may continue with the registration old of an earlier
+// process on its VM: all but the token and the revision are equal, and old has a token of
+// sufficient length.
 func (p Peer) MatchesRegistration(old Peer) bool {
 	return old.Name == p.Name && old.Addr == p.Addr && old.Zone == p.Zone && old.Millicores == p.Millicores && len(old.Token) >= tokenBytes
 }
 
-// pullPath is where peers ask.
+// pullPath is the URL path of pull requests.
 const pullPath = "/changes"
 
-// pullRequest asks for what a copy lacks.
+// pullRequest is the body of a pull request.
 type pullRequest struct {
-	// Have holds the revision of each kind that is asked for.
+	// Have holds the kinds to pull, and the revision up to which the sender has the changes of
+	// each; -1 for none.
 	Have map[string]int64 `json:"have"`
-	// WaitMs is how long to wait for a change, in milliseconds.
+	// WaitMs is how long the recipient may hold the request while it has no changes, in
+	// milliseconds.
 	WaitMs int64 `json:"waitMs"`
-	// AwaitFresh says that the asker knows of no well informed peer: one that is ill informed
-	// too answers once it is not.
+	// AwaitFresh is set by a sender that knows of no fresh peer: a recipient with a stale copy
+	// answers once its copy is fresh.
 	AwaitFresh bool `json:"proof,omitempty"`
-	// FromRelay says that the asker passes on what it learns: it is answered as soon as the copy was
-	// proven anew.
+	// FromRelay is set by a relay: the recipient also answers when its copy was proven anew.
 	FromRelay bool `json:"follows,omitempty"`
-	// AcceptsCompressed says that the asker reads whole lists compressed.
+	// AcceptsCompressed is set if the sender can decompress whole lists.
 	AcceptsCompressed bool `json:"packs,omitempty"`
 }
 
-// hasNothing reports whether the asker has no copy of anything.
+// hasNothing reports whether the sender has no objects of any kind.
 func (q *pullRequest) hasNothing() bool {
 	for _, revision := range q.Have {
 		if revision >= 0 {
@@ -70,80 +73,85 @@
 	return true
 }
 
-// pullResponse is what a copy lacks.
+// pullResponse is the response to a pullRequest.
 type pullResponse struct {
+	// Kinds holds the changes of the kinds in pullRequest.Have; a kind that the responding router
+	// has not read is left out.
 	Kinds map[string]kindChanges `json:"kinds"`
-	// HeldMs is how long the question was held, in milliseconds, rounded down.
+	// HeldMs is how long the request was held, in milliseconds, rounded down.
 	HeldMs int64 `json:"heldMs"`
-	// Verdicts are what the store may lack of the requests that crash endpoints, for a peer
-	// that starts; see encodeVerdicts.
+	// Verdicts are the encoded verdicts of the responding router, which the store may lack, for a
+	// peer that starts; see encodeVerdicts.
 	Verdicts []byte `json:"verdicts,omitempty"`
 }
 
+// kindChanges holds the changes of one kind up to a revision.
 type kindChanges struct {
 	Revision int64 `json:"revision"`
-	// AgeMs is how long before the answer the copy was proven to be the
-	// newest, in milliseconds, rounded up.
-	AgeMs   int64        `json:"ageMs"`
+	// AgeMs is the time from the moment at which the copy was proven to be the newest to the
+	// response, in milliseconds, rounded up.
+	AgeMs int64 `json:"ageMs"`
+	// Whole is set if Changes holds all objects of the kind, so that others are removed.
 	Whole   bool         `json:"whole,omitempty"`
 	Changes []wireChange `json:"changes,omitempty"`
-	// Bytes is how many bytes behind the answer hold the changes compressed, where they
-	// are a whole list that is long; packed holds them.
+	// Bytes is the length of compressed, which follows the JSON of the response and replaces
+	// Changes for a long whole list; see compressionCache.list.
 	Bytes      int `json:"bytes,omitempty"`
 	compressed []byte
 }
 
+// wireChange is the encoding of a mirror.Change.
 type wireChange struct {
 	mirror.Object
-	// Compressed is the specification compressed, where it is long; Spec is empty
-	// then.
+	// Compressed is the compressed Spec if that is long; Spec is then empty.
 	Compressed []byte `json:"packed,omitempty"`
-	Gone       bool   `json:"gone,omitempty"`
-	// LapseMs is how much longer a removed object may be used.
+	// Gone is set if the object was removed.
+	Gone bool `json:"gone,omitempty"`
+	// LapseMs is how long a removed object may still be used, in milliseconds.
 	LapseMs int64 `json:"lapseMs,omitempty"`
 }
 
-// encode writes an answer: a line of JSON, and behind it what is compressed, in the order of
-// the kinds' names.
+// encode writes the response: a line of JSON, then the compressed lists in the order of the names
+// of their kinds.
 func (a *pullResponse) encode(w io.Writer) error {
 	if err := json.NewEncoder(w).Encode(a); err != nil {
-		return errors.Wrap(err, "peers")
+		return errors.Wrap(err, "peers: write pull response")
 	}
 	for _, kind := range slices.Sorted(maps.Keys(a.Kinds)) {
 		if _, err := w.Write(a.Kinds[kind].compressed); err != nil {
-			return errors.Wrap(err, "peers")
+			return errors.Wrap(err, "peers: write compressed list")
 		}
 	}
 	return nil
 }
 
-// decodeResponse reads what write wrote.
+// decodeResponse reads a response that pullResponse.encode wrote.
 func decodeResponse(r io.Reader) (*pullResponse, error) {
 	in := bufio.NewReader(r)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: read pull response")
 	}
 	var a pullResponse
 	if err := json.Unmarshal(line, &a); err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: decode pull response")
 	}
 	for _, kind := range slices.Sorted(maps.Keys(a.Kinds)) {
 		k := a.Kinds[kind]
 		if k.Bytes < 0 || k.Bytes > maxResponseBytes {
-			return nil, errors.Newf("peers: a list of %d bytes", k.Bytes)
+			return nil, errors.Newf("peers: pull response states an invalid length of a compressed list, %d bytes", k.Bytes)
 		}
 		k.compressed = make([]byte, k.Bytes)
 		if _, err := io.ReadFull(in, k.compressed); err != nil {
-			return nil, errors.Wrap(err, "peers")
+			return nil, errors.Wrap(err, "peers: read compressed list")
 		}
 		a.Kinds[kind] = k
 	}
 	return &a, nil
 }
 
-// encodeDelta returns a delta of a kind, whose proof is so old, as it is sent at now; whole lists are
-// compressed if the asker reads that.
+// encodeDelta encodes a delta of a kind to be sent at now. age is the age of its proof; compress
+// lets a whole list of at least minCompressedList objects be compressed.
 func encodeDelta(kind string, d mirror.Delta, age time.Duration, now time.Time, p *compressionCache, compress bool) kindChanges {
 	a := kindChanges{Revision: d.Revision, AgeMs: ceilMs(age), Whole: d.Whole}
 	if compress && d.Whole && len(d.Changes) >= minCompressedList {
@@ -162,7 +170,7 @@
 	return a
 }
 
-// decode returns the changes of an answer that came at now.
+// decode returns the changes, which were received at now.
 func (a *kindChanges) decode(now time.Time) ([]mirror.Change, error) {
 	if a.Bytes > 0 {
 		return decompressList(a.compressed)
@@ -185,4 +193,5 @@
 	return list, nil
 }
 
+// ceilMs returns d in milliseconds, rounded up.
 func ceilMs(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
