--- a/internal/peers/compress_test.go
+++ b/internal/peers/compress_test.go
@@ -25,7 +25,7 @@
 
 func TestLongSpecificationsAreCompressed(t *testing.T) {
 	p := startPeer(t, "p")
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	now := time.Now()
 	spec := longSpec()
 	p.mirror.List("config", []mirror.Object{{Name: "a", Revision: 5, Spec: spec}}, 5, now, time.Time{})
@@ -45,12 +45,12 @@
 		t.Error("sent again: packed anew, want what was kept")
 	}
 	var got mirror.Object
-	a.Mirror.OnChange = func(kind string, c mirror.Change) {
+	pl.Mirror.OnChange = func(kind string, c mirror.Change) {
 		if kind == "config" {
 			got = c.Object
 		}
 	}
-	if !a.pull(context.Background(), p.Peer, true) {
+	if !pl.pull(context.Background(), p.Peer, true) {
 		t.Fatal("ask: got false, want true")
 	}
 	if string(got.Spec) != string(spec) {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -65,16 +65,16 @@
 
 func TestPullAppliesChangesAndTheirAge(t *testing.T) {
 	p := startPeer(t, "p")
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	proven := time.Now().Add(-time.Second)
 	putRevision(p.mirror, 5, proven)
-	if !a.pull(context.Background(), p.Peer, true) {
+	if !pl.pull(context.Background(), p.Peer, true) {
 		t.Fatal("ask: got false, want true")
 	}
-	if got := a.Mirror.Revision("k"); got != 5 {
+	if got := pl.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5", got)
 	}
-	got := a.Mirror.Proven("config")
+	got := pl.Mirror.Proven("config")
 	if got.After(proven.Add(time.Millisecond)) || got.Before(proven.Add(-waitTimeout)) {
 		t.Errorf("proven at: got %v, want at most %v", got, proven)
 	}
@@ -82,24 +82,24 @@
 
 func TestHeldRequestReturnsAChange(t *testing.T) {
 	p := startPeer(t, "p")
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	putRevision(p.mirror, 5, time.Now())
-	a.pull(context.Background(), p.Peer, true)
+	pl.pull(context.Background(), p.Peer, true)
 	got := make(chan bool)
-	go func() { got <- a.pull(context.Background(), p.Peer, true) }()
+	go func() { got <- pl.pull(context.Background(), p.Peer, true) }()
 	putRevision(p.mirror, 6, time.Now())
-	if !<-got || a.Mirror.Revision("k") != 6 {
-		t.Errorf("revision: got %d, want 6", a.Mirror.Revision("k"))
+	if !<-got || pl.Mirror.Revision("k") != 6 {
+		t.Errorf("revision: got %d, want 6", pl.Mirror.Revision("k"))
 	}
 }
 
 func TestWrongTokenIsRejected(t *testing.T) {
 	p := startPeer(t, "p")
 	putRevision(p.mirror, 5, time.Now())
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	intruder := p.Peer
 	intruder.Token = "guessed"
-	if a.pull(context.Background(), intruder, true) || a.Mirror.Revision("k") != -1 {
+	if pl.pull(context.Background(), intruder, true) || pl.Mirror.Revision("k") != -1 {
 		t.Error("an asker without the token got an answer")
 	}
 }
@@ -107,14 +107,14 @@
 func TestStalePeerIsBackedOff(t *testing.T) {
 	p := startPeer(t, "p")
 	putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
-	a := newTestPuller(p)
-	if a.pull(context.Background(), p.Peer, true) {
+	pl := newTestPuller(p)
+	if pl.pull(context.Background(), p.Peer, true) {
 		t.Error("ask: got true of a peer that heard nothing for a minute")
 	}
-	if _, ok := a.Fleet.PickPeer(time.Now(), 0, true); ok {
+	if _, ok := pl.Fleet.PickPeer(time.Now(), 0, true); ok {
 		t.Error("the peer is asked again at once")
 	}
-	if got := a.Mirror.Revision("k"); got != 5 {
+	if got := pl.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5: what it knows is taken all the same", got)
 	}
 }
@@ -122,14 +122,14 @@
 // Removed objects that only lapsed stay usable for as long at the asker.
 func TestLapseTimesArePropagated(t *testing.T) {
 	p := startPeer(t, "p")
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	putRevision(p.mirror, 5, time.Now())
-	a.pull(context.Background(), p.Peer, true)
+	pl.pull(context.Background(), p.Peer, true)
 	lapsesAt := time.Now().Add(time.Hour)
 	p.mirror.List("k", nil, 6, time.Now(), lapsesAt)
 	var got mirror.Change
-	a.Mirror.OnChange = func(_ string, c mirror.Change) { got = c }
-	a.pull(context.Background(), p.Peer, true)
+	pl.Mirror.OnChange = func(_ string, c mirror.Change) { got = c }
+	pl.pull(context.Background(), p.Peer, true)
 	if !got.Gone || got.LapsesAt.Before(lapsesAt.Add(-waitTimeout)) || got.LapsesAt.After(lapsesAt.Add(waitTimeout)) {
 		t.Errorf("change: got %+v, want gone, lapsing at about %v", got, lapsesAt)
 	}
@@ -258,24 +258,24 @@
 			f.Put(Peer{Name: name})
 		}
 		before := time.Now()
-		a := NewPuller(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
+		pl := NewPuller(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
 		now := time.Now() // It waits from some moment between these two on.
-		a.SetPeersKnown()
+		pl.SetPeersKnown()
 		if f.IsPrimaryReader() {
 			readers++
-			if !a.shouldReadStore("k", now) {
+			if !pl.shouldReadStore("k", now) {
 				t.Errorf("%s, one of the first: got false, want the store's turn", self)
 			}
 			continue
 		}
-		if a.shouldReadStore("k", before.Add(time.Duration(startReadDelay)-1)) {
+		if pl.shouldReadStore("k", before.Add(time.Duration(startReadDelay)-1)) {
 			t.Errorf("%s, not one of the first: got the store's turn, want the peers'", self)
 		}
-		if !a.shouldReadStore("k", now.Add(time.Duration(startReadDelay)+startReadJitter)) {
+		if !pl.shouldReadStore("k", now.Add(time.Duration(startReadDelay)+startReadJitter)) {
 			t.Errorf("%s, told nothing by its peers: got false, want the store's turn", self)
 		}
-		putRevision(a.Mirror, 5, now)
-		if a.shouldReadStore("k", now.Add(time.Second)) {
+		putRevision(pl.Mirror, 5, now)
+		if pl.shouldReadStore("k", now.Add(time.Second)) {
 			t.Errorf("%s, after its first read: got the store's turn, want the peers'", self)
 		}
 	}
@@ -288,26 +288,26 @@
 // store at once, so that none waits for one that waits for a third.
 func TestStartingRouterReadsTheStoreWhenPulledFrom(t *testing.T) {
 	asked := startPeer(t, "p")
-	a := newTestPuller()
-	a.Fleet.Put(Peer{Name: "self"})
+	pl := newTestPuller()
+	pl.Fleet.Put(Peer{Name: "self"})
 	for i := range 9 {
-		a.Fleet.Put(Peer{Name: fmt.Sprint("before-", i), Millicores: 800})
+		pl.Fleet.Put(Peer{Name: fmt.Sprint("before-", i), Millicores: 800})
 	}
-	a.SetPeersKnown()
-	if a.shouldReadStore("k", time.Now()) {
+	pl.SetPeersKnown()
+	if pl.shouldReadStore("k", time.Now()) {
 		t.Fatal("not one of the first: got the store's turn, want the peers'")
 	}
-	asked.srv.Config.Handler.(*Server).OnStartingPeer = a.RecordStartingPeer
+	asked.srv.Config.Handler.(*Server).OnStartingPeer = pl.RecordStartingPeer
 	starting := newTestPuller(asked)
 	starting.pull(context.Background(), asked.Peer, false)
-	if !a.shouldReadStore("k", time.Now()) {
+	if !pl.shouldReadStore("k", time.Now()) {
 		t.Error("asked by a starting router: got false, want the store's turn")
 	}
-	b := newTestPuller()
-	asked.srv.Config.Handler.(*Server).OnStartingPeer = b.RecordStartingPeer
+	other := newTestPuller()
+	asked.srv.Config.Handler.(*Server).OnStartingPeer = other.RecordStartingPeer
 	putRevision(starting.Mirror, 5, time.Now())
 	starting.pull(context.Background(), asked.Peer, false)
-	if b.pulledByStarting.Load() {
+	if other.pulledByStarting.Load() {
 		t.Error("asked by a router that knows all: got wanted, want not")
 	}
 }
@@ -315,18 +315,18 @@
 // A router that knows no peers yet leaves the store alone until it was registered, or that
 // takes too long: then it tries one kind.
 func TestUnregisteredRouterReadsOneKind(t *testing.T) {
-	a := newTestPuller()
+	pl := newTestPuller()
 	now := time.Now()
-	if a.shouldReadStore("config", now) || a.shouldReadStore("k", now) {
+	if pl.shouldReadStore("config", now) || pl.shouldReadStore("k", now) {
 		t.Error("just started: got the store's turn, want it to register first")
 	}
 	late := now.Add(time.Duration(startReadDelay) + startReadJitter)
-	if !a.shouldReadStore("config", late) || a.shouldReadStore("k", late) {
-		t.Errorf("not registered in time: got %v for the watched kind and %v for another, want true and false", a.shouldReadStore("config", late), a.shouldReadStore("k", late))
+	if !pl.shouldReadStore("config", late) || pl.shouldReadStore("k", late) {
+		t.Errorf("not registered in time: got %v for the watched kind and %v for another, want true and false", pl.shouldReadStore("config", late), pl.shouldReadStore("k", late))
 	}
-	a.Fleet.Put(Peer{Name: "self"})
-	a.SetPeersKnown()
-	if !a.shouldReadStore("k", now) {
+	pl.Fleet.Put(Peer{Name: "self"})
+	pl.SetPeersKnown()
+	if !pl.shouldReadStore("k", now) {
 		t.Error("registered, alone: got false, want the store's turn")
 	}
 }
@@ -347,13 +347,13 @@
 
 // The few that read the store are the most able ones of each availability zone in turn.
 func TestRanksAreSpreadOverZones(t *testing.T) {
-	zones, able := make(map[string]bool), 0
+	zones, millicores := make(map[string]bool), 0
 	for _, p := range zonedFleet().ranked()[:6] {
 		zones[p.Zone] = true
-		able += p.Millicores
+		millicores += p.Millicores
 	}
-	if len(zones) != 6 || able != 6*800 {
-		t.Errorf("first six: got zones %v and an ability of %d together, want six zones and %d", zones, able, 6*800)
+	if len(zones) != 6 || millicores != 6*800 {
+		t.Errorf("first six: got zones %v and an ability of %d together, want six zones and %d", zones, millicores, 6*800)
 	}
 }
 
@@ -435,19 +435,19 @@
 
 // While the store is not heard of, one kind alone is asked for.
 func TestOneKindProbesALostStore(t *testing.T) {
-	a := newTestPuller()
-	a.SetPeersKnown()
-	putRevision(a.Mirror, 5, time.Now().Add(-storeLostAfter-time.Second))
+	pl := newTestPuller()
+	pl.SetPeersKnown()
+	putRevision(pl.Mirror, 5, time.Now().Add(-storeLostAfter-time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
-	if !a.WaitToReadStore(ctx, "config") {
+	if !pl.WaitToReadStore(ctx, "config") {
 		t.Error("watched kind: got false, want the store's turn")
 	}
 	time.AfterFunc(5*time.Duration(storePollInterval), cancel)
-	if a.WaitToReadStore(ctx, "k") {
+	if pl.WaitToReadStore(ctx, "k") {
 		t.Error("another kind: got the store's turn, want none before the store is heard of")
 	}
-	putRevision(a.Mirror, 6, time.Now())
-	if !a.WaitToReadStore(context.Background(), "k") {
+	putRevision(pl.Mirror, 6, time.Now())
+	if !pl.WaitToReadStore(context.Background(), "k") {
 		t.Error("another kind after the store was heard of: got false, want its turn")
 	}
 }
@@ -463,13 +463,13 @@
 		list = append(list, p)
 	}
 	putRevision(list[5].mirror, 9, time.Now())
-	a := newTestPuller(list...)
-	a.Fleet.Put(Peer{Name: "self"})
-	a.SetPeersKnown()
-	putRevision(a.Mirror, 5, time.Now().Add(-time.Minute))
-	ctx := runPuller(t, a)
+	pl := newTestPuller(list...)
+	pl.Fleet.Put(Peer{Name: "self"})
+	pl.SetPeersKnown()
+	putRevision(pl.Mirror, 5, time.Now().Add(-time.Minute))
+	ctx := runPuller(t, pl)
 	began := time.Now()
-	for a.Mirror.Revision("config") < 9 && time.Since(began) < waitTimeout {
+	for pl.Mirror.Revision("config") < 9 && time.Since(began) < waitTimeout {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
 	if took := time.Since(began); took > time.Duration(longPollWait) {
@@ -478,10 +478,10 @@
 }
 
 // runPuller runs an asker until the test ends, and checks how it ends.
-func runPuller(t *testing.T, a *Puller) context.Context {
+func runPuller(t *testing.T, pl *Puller) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- a.Run(ctx) }()
+	go func() { ended <- pl.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -494,11 +494,11 @@
 // A peer whose copy grows too old answers at once, so that it is left.
 func TestHeldRequestEndsWhenTheCopyIsStale(t *testing.T) {
 	p := startPeer(t, "p")
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	putRevision(p.mirror, 5, time.Now().Add(-time.Duration(staleAfter)+50*time.Millisecond))
-	putRevision(a.Mirror, 5, time.Now())
+	putRevision(pl.Mirror, 5, time.Now())
 	began := time.Now()
-	a.pull(context.Background(), p.Peer, true)
+	pl.pull(context.Background(), p.Peer, true)
 	if took := time.Since(began); took > time.Duration(longPollWait)/2 {
 		t.Errorf("answer after %v, want about 50 ms", took)
 	}
@@ -513,22 +513,22 @@
 		putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
 		list = append(list, p)
 	}
-	a := newTestPuller(list...)
-	a.Fleet.Put(Peer{Name: "self"})
-	a.SetPeersKnown()
-	putRevision(a.Mirror, 5, time.Now().Add(-time.Minute))
-	ctx := runPuller(t, a)
-	for deadline := time.Now().Add(waitTimeout); !a.fallback.Load() && time.Now().Before(deadline); {
+	pl := newTestPuller(list...)
+	pl.Fleet.Put(Peer{Name: "self"})
+	pl.SetPeersKnown()
+	putRevision(pl.Mirror, 5, time.Now().Add(-time.Minute))
+	ctx := runPuller(t, pl)
+	for deadline := time.Now().Add(waitTimeout); !pl.fallback.Load() && time.Now().Before(deadline); {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
-	leader, _ := a.Fleet.PickPrimary(xxhash.Sum64String("self"))
+	leader, _ := pl.Fleet.PickPrimary(xxhash.Sum64String("self"))
 	for _, p := range list {
 		if p.Name == leader.Name {
 			putRevision(p.mirror, 5, time.Now())
 		}
 	}
 	back := time.Now()
-	for a.fallback.Load() && time.Since(back) < waitTimeout {
+	for pl.fallback.Load() && time.Since(back) < waitTimeout {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
 	if took := time.Since(back); took > time.Duration(longPollWait) {
@@ -548,11 +548,11 @@
 	p.mirror.List("config", nil, 1, time.Now(), time.Time{})
 	var traffic Traffic
 	p.srv.Config.Handler.(*Server).Traffic = &traffic
-	a := newTestPuller(p)
-	if !a.pull(context.Background(), p.Peer, false) || a.Mirror.Revision("k") != 3000 {
-		t.Fatalf("revision: got %d, want 3000", a.Mirror.Revision("k"))
+	pl := newTestPuller(p)
+	if !pl.pull(context.Background(), p.Peer, false) || pl.Mirror.Revision("k") != 3000 {
+		t.Fatalf("revision: got %d, want 3000", pl.Mirror.Revision("k"))
 	}
-	if got, _ := a.Mirror.Since("k", -1); len(got.Changes) != 3000 || string(got.Changes[0].Spec) == "" {
+	if got, _ := pl.Mirror.Since("k", -1); len(got.Changes) != 3000 || string(got.Changes[0].Spec) == "" {
 		t.Errorf("objects: got %d, want 3000 with what they specify", len(got.Changes))
 	}
 	if got, most := traffic.PullResponses.Load(), int64(60_000); got > most {
@@ -564,13 +564,13 @@
 // answer without the watched kind makes it no ill informed one: it is asked again at once.
 func TestStartingPeerIsRetriedAtOnce(t *testing.T) {
 	p := startPeer(t, "p")
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	at := time.Now()
 	p.mirror.List("k", []mirror.Object{{Name: "a", Revision: 5, Spec: json.RawMessage(`{}`)}}, 5, at, time.Time{})
-	if a.pull(context.Background(), p.Peer, true) {
+	if pl.pull(context.Background(), p.Peer, true) {
 		t.Fatal("ask of a peer that has not read the watched kind: got true, want false")
 	}
-	if _, ok := a.Fleet.PickPeer(time.Now().Add(2*time.Duration(startPollInterval)), 0, false); !ok {
+	if _, ok := pl.Fleet.PickPeer(time.Now().Add(2*time.Duration(startPollInterval)), 0, false); !ok {
 		t.Error("next peer, a moment later: got none, want the one that starts too")
 	}
 }
@@ -580,26 +580,26 @@
 func TestRouterThatLacksAKindGoesOnPulling(t *testing.T) {
 	p := startPeer(t, "p")
 	putRevision(p.mirror, 5, time.Now())
-	a := newTestPuller(p)
-	a.Fleet.Put(Peer{Name: "self"})
-	a.Mirror.List("config", nil, 5, time.Now(), time.Time{})
-	if !a.Fleet.ReadsStore(time.Now()) {
+	pl := newTestPuller(p)
+	pl.Fleet.Put(Peer{Name: "self"})
+	pl.Mirror.List("config", nil, 5, time.Now(), time.Time{})
+	if !pl.Fleet.ReadsStore(time.Now()) {
 		t.Fatal("one of two routers: got no asker, want one")
 	}
-	a.SetPeersKnown()
+	pl.SetPeersKnown()
 	// Two others come before it, so that it does not read the store for others.
-	for i := 0; a.Fleet.IsPrimaryReader() && i < 64; i++ {
-		a.Fleet.Put(Peer{Name: fmt.Sprint("shunned", i)})
-		a.Fleet.RecordStale(fmt.Sprint("shunned", i), time.Now().Add(time.Hour))
+	for i := 0; pl.Fleet.IsPrimaryReader() && i < 64; i++ {
+		pl.Fleet.Put(Peer{Name: fmt.Sprint("shunned", i)})
+		pl.Fleet.RecordStale(fmt.Sprint("shunned", i), time.Now().Add(time.Hour))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go func() { _ = a.Run(ctx) }()
+	go func() { _ = pl.Run(ctx) }()
 	deadline := time.Now().Add(minStartReadDelay)
-	for a.Mirror.Revision("k") < 0 && time.Now().Before(deadline) {
+	for pl.Mirror.Revision("k") < 0 && time.Now().Before(deadline) {
 		<-time.After(time.Millisecond)
 	}
-	if got := a.Mirror.Revision("k"); got != 5 {
+	if got := pl.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision of the kind that was missing: got %d, want 5 before the store is read", got)
 	}
 }
@@ -610,10 +610,10 @@
 // A VM without power takes no connection and refuses none. That a starting router meets one
 // may not cost the second after which the kernel tries again.
 func TestUnreachablePeerIsSkippedSoon(t *testing.T) {
-	a := newTestPuller()
+	pl := newTestPuller()
 	unreachable := Peer{Name: "dark", Addr: addrWithFullBacklog(t), Token: "t"}
 	began := time.Now()
-	a.pull(context.Background(), unreachable, true)
+	pl.pull(context.Background(), unreachable, true)
 	if took := time.Since(began); took > 600*time.Millisecond {
 		t.Errorf("ask: got an answer after %v, want one within 600ms", took)
 	}
@@ -624,20 +624,20 @@
 func TestLateResponseIsApplied(t *testing.T) {
 	p := startPeer(t, "p")
 	putRevision(p.mirror, 5, time.Now())
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	up := make(chan struct{})
-	a.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+	pl.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-up
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}}}
-	if a.pull(context.Background(), p.Peer, false) {
+	if pl.pull(context.Background(), p.Peer, false) {
 		t.Fatal("ask without a connection: got true, want false")
 	}
 	close(up)
-	if len(a.background) != 1 || !<-a.background[0] {
+	if len(pl.background) != 1 || !<-pl.background[0] {
 		t.Fatal("the late question: got no good answer, want one")
 	}
-	if got := a.Mirror.Revision("k"); got != 5 {
+	if got := pl.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5", got)
 	}
 }
@@ -659,15 +659,15 @@
 func TestRequestIsRetriedOnANewConnection(t *testing.T) {
 	p := startPeer(t, "p")
 	putRevision(p.mirror, 5, time.Now())
-	a := newTestPuller(p)
+	pl := newTestPuller(p)
 	dialed := 0
-	a.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+	pl.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialed++
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		return &brokenOnReuse{Conn: c}, err
 	}}}
 	for i := range 2 {
-		if !a.pull(context.Background(), p.Peer, false) {
+		if !pl.pull(context.Background(), p.Peer, false) {
 			t.Errorf("question %d: got no good answer, want one", i+1)
 		}
 	}
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -139,13 +139,13 @@
 // the store the relay takes their place before its followers all turn to the store.
 func TestRelayReplacesReadersThatLoseTheStore(t *testing.T) {
 	c := newChain(t)
-	oldest := time.Duration(0)
+	maxAge := time.Duration(0)
 	observe := func(d time.Duration) {
 		for end := time.Now().Add(d); time.Now().Before(end); {
 			<-time.After(10 * time.Millisecond)
-			oldest = max(oldest, time.Since(c.follower.Proven("config")))
+			maxAge = max(maxAge, time.Since(c.follower.Proven("config")))
 			if c.followerPuller.fallback.Load() {
-				t.Fatalf("the follower turned to the store; its copy was %v old", oldest)
+				t.Fatalf("the follower turned to the store; its copy was %v old", maxAge)
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 	}
 	c.storeUp.Store(false)
 	observe(4 * time.Second)
-	if oldest > storeLostAfter {
-		t.Errorf("age of the follower's copy: got %v, want %v at most", oldest, storeLostAfter)
+	if maxAge > storeLostAfter {
+		t.Errorf("age of the follower's copy: got %v, want %v at most", maxAge, storeLostAfter)
 	}
 }
