--- a/internal/peers/compress_test.go
+++ b/internal/peers/compress_test.go
@@ -14,7 +14,7 @@
 	"github.com/traildrift/traildrift/internal/mirror"
 )
 
-// longSpec returns a configuration of many routes.
+// longSpec returns a configuration of many routes, which compresses to less than a fifth.
 func longSpec() json.RawMessage {
 	var list []string
 	for i := range 400 {
@@ -42,7 +42,7 @@
 	}
 	again := encodeDelta("config", d, now.Sub(d.ProvenAt), now, &ps, false)
 	if &sent.Changes[0].Compressed[0] != &again.Changes[0].Compressed[0] {
-		t.Error("sent again: packed anew, want what was kept")
+		t.Error("encoded again: compressed anew, want the cached bytes")
 	}
 	var got mirror.Object
 	pl.Mirror.OnChange = func(kind string, c mirror.Change) {
@@ -51,7 +51,7 @@
 		}
 	}
 	if !pl.pull(context.Background(), p.Peer, true) {
-		t.Fatal("ask: got false, want true")
+		t.Fatal("pull: got a stale peer, want a fresh one")
 	}
 	if string(got.Spec) != string(spec) {
 		t.Errorf("specification: got %d bytes, want the %d that were stored", len(got.Spec), len(spec))
--- a/internal/peers/crash_test.go
+++ b/internal/peers/crash_test.go
@@ -34,14 +34,14 @@
 		t.Errorf("got %v, %v, want %v", got, err, list)
 	}
 	for n := 1; n < len(b); n++ {
-		// What is cut between two verdicts is whole as far as it goes.
+		// Data cut between two verdicts decodes to the first one.
 		if cut, err := decodeVerdicts(b[:n], now); err == nil && len(cut) != 1 {
 			t.Errorf("cut after %d bytes: got %v, want an error", n, cut)
 		}
 	}
 }
 
-// The largest datagram of verdicts passes any link in one piece.
+// TestVerdictsFitTheDatagram checks that the longest encoding of verdicts fits into one datagram.
 func TestVerdictsFitTheDatagram(t *testing.T) {
 	v := poison.Verdict{Round: 1, Crashes: make([]poison.Crash, 2*maxCrashesPerVerdict)}
 	list := make([]poison.Verdict, maxVerdictsPerDatagram)
@@ -58,8 +58,8 @@
 	}
 }
 
-// twoTransports returns the notes of two routers that do not know each other, and what they would be
-// registered as.
+// twoTransports returns the transports of two routers whose fleets are empty, and the registrations
+// of these routers.
 func twoTransports(t *testing.T) (list [2]*Transport, all [2]Peer) {
 	for i := range list {
 		all[i] = Peer{Name: fmt.Sprint(i), Token: fmt.Sprintf("%016d-and-more", i)}
@@ -73,7 +73,7 @@
 	return list, all
 }
 
-// runTransports has them hear until end is called.
+// runTransports runs the transports until end is called, and checks that they end without an error.
 func runTransports(t *testing.T, list [2]*Transport) (end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, len(list))
@@ -90,8 +90,8 @@
 	}
 }
 
-// A router that has just started asks some others, and is told by them alone; who does not show its
-// token is told nothing.
+// TestStateQueryIsAnswered checks that a router that has just started receives the verdicts of
+// those that it queries, and that it drops an answer under another token than its own.
 func TestStateQueryIsAnswered(t *testing.T) {
 	want := poison.Verdict{Fingerprint: poison.Fingerprint{7}, Crashes: []poison.Crash{{Endpoint: 9}}}
 	received := make(chan poison.Verdict, 1)
@@ -106,14 +106,14 @@
 	select {
 	case got := <-received:
 		if got.Fingerprint != want.Fingerprint || len(got.Crashes) != 1 || got.Crashes[0].Endpoint != 9 {
-			t.Errorf("told: got %+v, want %+v", got, want)
+			t.Errorf("answer to the state query: got %+v, want %+v", got, want)
 		}
 	case <-time.After(waitTimeout):
-		t.Error("nothing was told")
+		t.Error("answer to the state query: none received")
 	}
 	end()
 	if len(received) > 0 {
-		t.Error("told more than once: the answer under a wrong token was taken")
+		t.Error("received a second answer: the one under a wrong token was not dropped")
 	}
 }
 
@@ -131,7 +131,7 @@
 		if err != nil {
 			return
 		}
-		// Whatever it says, it may be taken over.
+		// Whatever was decoded, a detector accepts it.
 		detector := poison.NewDetector()
 		for _, v := range list {
 			detector.Merge(now, v)
@@ -143,7 +143,8 @@
 	})
 }
 
-// Routers agree on who keeps a request's crashes, and each request has others.
+// TestCollectorsAgree checks that all routers select the same collectors for a request's crash
+// reports, and that the collectors differ between requests.
 func TestCollectorsAgree(t *testing.T) {
 	const routers = 40
 	fleets := make([]*Fleet, routers)
@@ -168,9 +169,9 @@
 				if _, err := fmt.Sscanf(k.Name, "vm-%d", &j); err != nil {
 					t.Fatal(err)
 				}
-				// A keeper's own list has the next one in its place.
+				// A sender leaves itself out, so that its list has one collector more.
 				if got := fleets[j].CollectorRank(p); got > maxCollectors {
-					t.Errorf("request %d: %s is told of its ends and has rank %d", n, k.Name, got)
+					t.Errorf("request %d: %s receives its crash reports and has rank %d", n, k.Name, got)
 				}
 			}
 		}
@@ -179,6 +180,6 @@
 		}
 	}
 	if len(collected) != routers {
-		t.Errorf("routers that keep the ends of some request: got %d, want %d", len(collected), routers)
+		t.Errorf("routers that collect the crash reports of some request: got %d, want %d", len(collected), routers)
 	}
 }
--- a/internal/peers/notices_test.go
+++ b/internal/peers/notices_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// The routers that are asked for a grant are those that find for themselves that they have a share.
+// TestLimitSharersHaveAShare checks that limit queries go only to routers which themselves compute
+// that they have a share of the limit.
 func TestLimitSharersHaveAShare(t *testing.T) {
 	const routers, endpoints, most = 12, 20, 4
 	fleets := make([]*Fleet, routers)
@@ -43,29 +44,29 @@
 			self, all, _ := f.SenderHashes()
 			b.SetSenders(pool.Senders{Self: self, All: all})
 			b.Put(pool.Entry{ID: id, Revision: 1})
-			// Three share a limit of 0, and one more for each two requests a second.
+			// Three routers share a limit of 0, and one more for each two requests per second.
 			b.Get(id).RecordPeerNotice(pool.Notice{Limit: pool.Limited, PerSecond: 2 * (most - 3)}, b.Get(id).ReceivedAt)
 			if holders, self := b.Get(id).LimitSharers(); self {
 				share[f.self] = true
 			} else if holders != most {
-				t.Fatalf("%s: got %d that have a share, want %d", id, holders, most)
+				t.Fatalf("%s: got %d routers that share the limit, want %d", id, holders, most)
 			}
 		}
 		if len(share) != most {
-			t.Errorf("%s: %d find that they have a share, want %d", id, len(share), most)
+			t.Errorf("%s: got %d routers that compute a share for themselves, want %d", id, len(share), most)
 		}
 		for _, f := range fleets {
 			for _, p := range f.limitSharers(pool.HashOf(id), most) {
 				if !share[p.Name] || p.Name == f.self {
-					t.Errorf("%s: %s would ask %s (%x), which has no share", id, f.self, p.Name, xxhash.Sum64String(p.Name))
+					t.Errorf("%s: %s would send a limit query to %s (%x), which has no share", id, f.self, p.Name, xxhash.Sum64String(p.Name))
 				}
 			}
 		}
 	}
 }
 
-// A question is answered under the asker's token, word of a limit comes through, and a question
-// without an answer gets none.
+// TestLimitQueryIsAnswered checks that the answer to a limit query reaches the sender under its
+// token, that notices arrive, and that a query for which OnLimitQuery returns no answer gets none.
 func TestLimitQueryIsAnswered(t *testing.T) {
 	list, all := twoTransports(t)
 	received := make(chan Notice, 4)
@@ -90,18 +91,19 @@
 	for _, all := range []bool{true, false} {
 		lender.SendNotice(stored, all)
 		if got := <-received; got != stored {
-			t.Errorf("told to all: %v: got %+v, want %+v", all, got, stored)
+			t.Errorf("notice sent to all: %v: got %+v, want %+v", all, got, stored)
 		}
 	}
 	borrower.QueryState(all[0].Token)
 	if got := <-received; got != stored {
-		t.Errorf("told a router that starts: got %+v, want %+v", got, stored)
+		t.Errorf("notice for a router that has just started: got %+v, want %+v", got, stored)
 	}
 	end()
 }
 
-// A router whose registration is removed keeps its part of what routers share until it can send no
-// more: it stops, or does not reach those who removed it.
+// TestRemovedRouterKeepsItsShare checks that a router whose registration was removed counts as a
+// sender for removedSenderTTL: it may be stopping, or be unreachable only for the routers that
+// removed it.
 func TestRemovedRouterKeepsItsShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := NewFleet("vm-1")
@@ -111,15 +113,15 @@
 	_, _, before := f.SenderHashes()
 	f.Remove("vm-2")
 	if _, all, generation := f.SenderHashes(); len(all) != 2 || generation != before || f.SenderCount() != 2 {
-		t.Errorf("removed: got %d routers, generation %d, %d that send, want 2, %d and 2", len(all), generation, f.SenderCount(), before)
+		t.Errorf("removed: got %d hashes, generation %d, %d senders, want 2, %d and 2", len(all), generation, f.SenderCount(), before)
 	}
 	f.Put(Peer{Name: "vm-2"})
 	if _, all, generation := f.SenderHashes(); len(all) != 2 || generation != before {
-		t.Errorf("registered again: got %d routers, generation %d, want 2 and %d", len(all), generation, before)
+		t.Errorf("registered again: got %d hashes, generation %d, want 2 and %d", len(all), generation, before)
 	}
 	f.Remove("vm-2")
 	now = now.Add(removedSenderTTL)
 	if _, all, generation := f.SenderHashes(); len(all) != 1 || generation == before {
-		t.Errorf("later: got %d routers, generation %d, want 1 and another", len(all), generation)
+		t.Errorf("after removedSenderTTL: got %d hashes, generation %d, want 1 and another", len(all), generation)
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -24,16 +24,17 @@
 	"github.com/traildrift/traildrift/internal/tasks"
 )
 
-// waitTimeout bounds the waits of tests.
+// waitTimeout is the maximum time for which a test waits for one event.
 const waitTimeout = 20 * time.Second
 
-// testPeer is a peer with a mirror of its own.
+// testPeer is a peer that serves a mirror of its own.
 type testPeer struct {
 	Peer
 	mirror *mirror.Mirror
 	srv    *httptest.Server
 }
 
+// startPeer returns a peer whose server runs until the test ends.
 func startPeer(t *testing.T, name string) *testPeer {
 	m := mirror.New("config", "k")
 	p := &testPeer{mirror: m, Peer: Peer{Name: name, Token: "token-of-" + name + "-0123456789"}}
@@ -49,6 +50,8 @@
 	return &s
 }
 
+// newTestPuller returns a Puller of a router named self whose fleet has the peers in list, and not
+// itself.
 func newTestPuller(list ...*testPeer) *Puller {
 	f := NewFleet("self")
 	for _, p := range list {
@@ -57,6 +60,8 @@
 	return NewPuller(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
 }
 
+// putRevision stores one object in each kind, as of a revision that was proven to be the newest at
+// the time at.
 func putRevision(m *mirror.Mirror, revision int64, at time.Time) {
 	for _, kind := range []string{"config", "k"} {
 		m.List(kind, []mirror.Object{{Name: "a", Revision: revision, Spec: json.RawMessage(`{}`)}}, revision, at, time.Time{})
@@ -69,7 +74,7 @@
 	proven := time.Now().Add(-time.Second)
 	putRevision(p.mirror, 5, proven)
 	if !pl.pull(context.Background(), p.Peer, true) {
-		t.Fatal("ask: got false, want true")
+		t.Fatal("pull: got a stale peer, want a fresh one")
 	}
 	if got := pl.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5", got)
@@ -100,7 +105,7 @@
 	intruder := p.Peer
 	intruder.Token = "guessed"
 	if pl.pull(context.Background(), intruder, true) || pl.Mirror.Revision("k") != -1 {
-		t.Error("an asker without the token got an answer")
+		t.Error("a pull with a wrong token was answered")
 	}
 }
 
@@ -109,17 +114,18 @@
 	putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
 	pl := newTestPuller(p)
 	if pl.pull(context.Background(), p.Peer, true) {
-		t.Error("ask: got true of a peer that heard nothing for a minute")
+		t.Error("pull from a peer whose copy is a minute old: got a fresh peer, want a stale one")
 	}
 	if _, ok := pl.Fleet.PickPeer(time.Now(), 0, true); ok {
-		t.Error("the peer is asked again at once")
+		t.Error("next peer: got the stale one, want none during its back-off")
 	}
 	if got := pl.Mirror.Revision("k"); got != 5 {
-		t.Errorf("revision: got %d, want 5: what it knows is taken all the same", got)
+		t.Errorf("revision: got %d, want 5, as changes of a stale peer are applied as well", got)
 	}
 }
 
-// Removed objects that only lapsed stay usable for as long at the asker.
+// TestLapseTimesArePropagated checks that a removed object that lapses later stays usable for as
+// long in the puller's mirror.
 func TestLapseTimesArePropagated(t *testing.T) {
 	p := startPeer(t, "p")
 	pl := newTestPuller(p)
@@ -154,16 +160,17 @@
 		return n
 	}
 	if got := count(""); got != minSources {
-		t.Errorf("routers that ask the store: got %d, want %d", got, minSources)
+		t.Errorf("readers: got %d, want %d", got, minSources)
 	}
 	for _, name := range names {
 		if got := count(name); got != minSources {
-			t.Errorf("with %s silent: got %d, want %d", name, got, minSources)
+			t.Errorf("readers with %s backed off from: got %d, want %d", name, got, minSources)
 		}
 	}
 }
 
-// A router that stops has no registration any more and is up for seconds.
+// TestLeavingRouterDoesNotReadTheStore covers a router that stops: its registration is removed
+// seconds before it ends.
 func TestLeavingRouterDoesNotReadTheStore(t *testing.T) {
 	f := NewFleet("self")
 	now := time.Now()
@@ -172,11 +179,11 @@
 	f.SetLeaving()
 	f.Remove("self")
 	if f.ReadsStore(now) {
-		t.Error("leaving, with another one there: got true, want the store left to it")
+		t.Error("leaving, with another router available: got a reader, want none")
 	}
 	f.RecordStale("a", now)
 	if !f.ReadsStore(now) {
-		t.Error("leaving, with none that answers: got false, want it to ask the store")
+		t.Error("leaving, with no router available: got no reader, want one")
 	}
 }
 
@@ -186,14 +193,14 @@
 	now := time.Now()
 	f.RecordNoAnswer("a", now)
 	if got := f.Unresponsive(now.Add(unresponsiveAfter)); len(got) != 0 {
-		t.Errorf("gone too soon: got %v", got)
+		t.Errorf("unresponsive after unresponsiveAfter: got %v, want none", got)
 	}
 	if got := f.Unresponsive(now.Add(unresponsiveAfter + time.Second)); len(got) != 1 {
-		t.Errorf("gone: got %v, want a", got)
+		t.Errorf("unresponsive a second later: got %v, want a", got)
 	}
 	f.RecordAnswer("a")
 	if got := f.Unresponsive(now.Add(unresponsiveAfter + time.Second)); len(got) != 0 {
-		t.Errorf("gone after it was heard: got %v", got)
+		t.Errorf("unresponsive after an answer: got %v, want none", got)
 	}
 }
 
@@ -230,22 +237,23 @@
 		select {
 		case got := <-received:
 			if got != want {
-				t.Errorf("note: got %+v, want %+v", got, want)
+				t.Errorf("attempt report: got %+v, want %+v", got, want)
 			}
 		case <-time.After(waitTimeout):
-			t.Fatal("a note was not heard")
+			t.Fatal("an attempt report was not received")
 		}
 	}
 	cancel()
 	for range list {
 		if err := <-ended; err != nil {
-			t.Errorf("hearer: %v", err)
+			t.Errorf("transport: %v", err)
 		}
 	}
 }
 
-// Of routers that start together the first ones read the store; the others wait for these,
-// but not for ever, and after that leave the store to them.
+// TestPrimaryReadersReadTheStoreAtStart checks that of routers that start together the readers read
+// the store at once. The others wait for them, but read the store after their start delay, and no
+// more once they have everything.
 func TestPrimaryReadersReadTheStoreAtStart(t *testing.T) {
 	names := []string{"self"}
 	for i := range 9 {
@@ -264,28 +272,29 @@
 		if f.IsPrimaryReader() {
 			readers++
 			if !pl.shouldReadStore("k", now) {
-				t.Errorf("%s, one of the first: got false, want the store's turn", self)
+				t.Errorf("%s, a reader: got no read of the store, want one", self)
 			}
 			continue
 		}
 		if pl.shouldReadStore("k", before.Add(time.Duration(startReadDelay)-1)) {
-			t.Errorf("%s, not one of the first: got the store's turn, want the peers'", self)
+			t.Errorf("%s, not a reader: got a read of the store before the start delay, want none", self)
 		}
 		if !pl.shouldReadStore("k", now.Add(time.Duration(startReadDelay)+startReadJitter)) {
-			t.Errorf("%s, told nothing by its peers: got false, want the store's turn", self)
+			t.Errorf("%s, without an answer of its peers: got no read of the store after the start delay, want one", self)
 		}
 		putRevision(pl.Mirror, 5, now)
 		if pl.shouldReadStore("k", now.Add(time.Second)) {
-			t.Errorf("%s, after its first read: got the store's turn, want the peers'", self)
+			t.Errorf("%s, after its first read: got a read of the store, want none", self)
 		}
 	}
 	if readers != minSources {
-		t.Errorf("routers that read the store: got %d, want %d", readers, minSources)
+		t.Errorf("primary readers: got %d, want %d", readers, minSources)
 	}
 }
 
-// Each starting router knows other peers: one that is taken for one of the first reads the
-// store at once, so that none waits for one that waits for a third.
+// TestStartingRouterReadsTheStoreWhenPulledFrom guards against starting routers that wait for one
+// another: each knows different peers, so that one may pull from a router that waits for a third. A
+// starting router that a starting peer pulls from reads the store at once.
 func TestStartingRouterReadsTheStoreWhenPulledFrom(t *testing.T) {
 	asked := startPeer(t, "p")
 	pl := newTestPuller()
@@ -295,43 +304,45 @@
 	}
 	pl.SetPeersKnown()
 	if pl.shouldReadStore("k", time.Now()) {
-		t.Fatal("not one of the first: got the store's turn, want the peers'")
+		t.Fatal("not a reader: got a read of the store, want none")
 	}
 	asked.srv.Config.Handler.(*Server).OnStartingPeer = pl.RecordStartingPeer
 	starting := newTestPuller(asked)
 	starting.pull(context.Background(), asked.Peer, false)
 	if !pl.shouldReadStore("k", time.Now()) {
-		t.Error("asked by a starting router: got false, want the store's turn")
+		t.Error("pulled from by a starting router: got no read of the store, want one")
 	}
 	other := newTestPuller()
 	asked.srv.Config.Handler.(*Server).OnStartingPeer = other.RecordStartingPeer
 	putRevision(starting.Mirror, 5, time.Now())
 	starting.pull(context.Background(), asked.Peer, false)
 	if other.pulledByStarting.Load() {
-		t.Error("asked by a router that knows all: got wanted, want not")
+		t.Error("pulled from by a router that has all kinds: got pulledByStarting, want not")
 	}
 }
 
-// A router that knows no peers yet leaves the store alone until it was registered, or that
-// takes too long: then it tries one kind.
+// TestUnregisteredRouterReadsOneKind checks that a router that knows no peers yet does not read the
+// store until it was registered. If that takes longer than its start delay, it reads FreshnessKind
+// alone.
 func TestUnregisteredRouterReadsOneKind(t *testing.T) {
 	pl := newTestPuller()
 	now := time.Now()
 	if pl.shouldReadStore("config", now) || pl.shouldReadStore("k", now) {
-		t.Error("just started: got the store's turn, want it to register first")
+		t.Error("just started: got a read of the store, want none before the registration")
 	}
 	late := now.Add(time.Duration(startReadDelay) + startReadJitter)
 	if !pl.shouldReadStore("config", late) || pl.shouldReadStore("k", late) {
-		t.Errorf("not registered in time: got %v for the watched kind and %v for another, want true and false", pl.shouldReadStore("config", late), pl.shouldReadStore("k", late))
+		t.Errorf("not registered in time: got %v for FreshnessKind and %v for another kind, want true and false", pl.shouldReadStore("config", late), pl.shouldReadStore("k", late))
 	}
 	pl.Fleet.Put(Peer{Name: "self"})
 	pl.SetPeersKnown()
 	if !pl.shouldReadStore("k", now) {
-		t.Error("registered, alone: got false, want the store's turn")
+		t.Error("registered, without other routers: got no read of the store, want one")
 	}
 }
 
-// zonedFleet is a fleet of 240 routers in six zones, of which 36 are able, and a router of zone a.
+// zonedFleet returns a fleet of 240 routers in six zones, of which 36 have more CPU, and this
+// router, a-9 in zone a.
 func zonedFleet() *Fleet {
 	f := NewFleet("a-9")
 	for i := range 240 {
@@ -345,7 +356,8 @@
 	return f
 }
 
-// The few that read the store are the most able ones of each availability zone in turn.
+// TestRanksAreSpreadOverZones checks that the first routers by rank are the most capable ones of
+// each availability zone in turn.
 func TestRanksAreSpreadOverZones(t *testing.T) {
 	zones, millicores := make(map[string]bool), 0
 	for _, p := range zonedFleet().ranked()[:6] {
@@ -353,16 +365,17 @@
 		millicores += p.Millicores
 	}
 	if len(zones) != 6 || millicores != 6*800 {
-		t.Errorf("first six: got zones %v and an ability of %d together, want six zones and %d", zones, millicores, 6*800)
+		t.Errorf("first six: got zones %v and %d millicores in all, want six zones and %d", zones, millicores, 6*800)
 	}
 }
 
-// Routers ask the one of their own zone while it answers.
+// TestPeerInOwnZoneIsPicked checks that a router pulls from a source in its own availability zone
+// unless it is backed off from.
 func TestPeerInOwnZoneIsPicked(t *testing.T) {
 	f := zonedFleet()
 	for draw := range uint64(20) {
 		if p, ok := f.PickPeer(time.Now(), draw, false); !ok || p.Zone != "a" {
-			t.Fatalf("draw %d: got %v, want one of the own zone", draw, p)
+			t.Fatalf("draw %d: got %v, want a peer in zone a", draw, p)
 		}
 	}
 	for _, p := range f.ranked()[:6] {
@@ -371,12 +384,13 @@
 		}
 	}
 	if p, ok := f.PickPeer(time.Now(), 1, false); !ok || p.Name == "" {
-		t.Errorf("without the own zone's: got %v, want another", p)
+		t.Errorf("with the sources in zone a backed off from: got %v, want another peer", p)
 	}
 }
 
-// In a large fleet neither the routers that ask the store nor the notes grow with
-// it for each router.
+// TestLargeFleet checks that in a large fleet neither the number of sources per router nor the
+// number of recipients of an attempt report grows with the fleet, and that reports reach all
+// routers in the course of time.
 func TestLargeFleet(t *testing.T) {
 	f := NewFleet("r-0")
 	for i := range 370 {
@@ -388,22 +402,23 @@
 		asked[p.Name] = true
 	}
 	if got, want := len(asked), 370/maxPullersPerSource; got != want {
-		t.Errorf("routers that are asked: got %d, want %d", got, want)
+		t.Errorf("sources: got %d, want %d", got, want)
 	}
 	reached := make(map[string]bool)
 	for range 200 {
 		n := 0
 		f.forEachRecipient(allZones, func(p Peer) { n++; reached[p.Name] = true })
 		if n != maxRecipients {
-			t.Fatalf("routers that hear a note: got %d, want %d", n, maxRecipients)
+			t.Fatalf("recipients of a report: got %d, want %d", n, maxRecipients)
 		}
 	}
 	if got, want := len(reached), 369; got != want {
-		t.Errorf("routers that hear some note: got %d, want %d", got, want)
+		t.Errorf("recipients of some report: got %d, want %d", got, want)
 	}
 }
 
-// How busy an endpoint is concerns the routers of its availability zone.
+// TestRecipientsByZone checks that a report for an availability zone goes to its routers, to those
+// whose zone is not known, and to others only with OtherZones.
 func TestRecipientsByZone(t *testing.T) {
 	f := NewFleet("r-0")
 	for i := range 9 {
@@ -416,10 +431,10 @@
 		return fmt.Sprint(names)
 	}
 	if got, want := recipients(Recipients{Zone: "b"}), "[r-1 r-2 r-4 r-5 r-7 r-8]"; got != want {
-		t.Errorf("routers of b, and of no zone that is known: got %s, want %s", got, want)
+		t.Errorf("recipients in zone b or an unknown zone: got %s, want %s", got, want)
 	}
 	if got, want := recipients(Recipients{Zone: "b", OtherZones: true}), "[r-1 r-2 r-3 r-4 r-5 r-6 r-7 r-8]"; got != want {
-		t.Errorf("those and the others: got %s, want %s", got, want)
+		t.Errorf("recipients with OtherZones: got %s, want %s", got, want)
 	}
 	large := zonedFleet()
 	zone := 0
@@ -429,32 +444,32 @@
 		}
 	})
 	if zone != maxRecipients {
-		t.Errorf("routers of b that hear of what is new there, of 40: got %d, want %d", zone, maxRecipients)
+		t.Errorf("recipients among the 40 routers in zone b: got %d, want %d", zone, maxRecipients)
 	}
 }
 
-// While the store is not heard of, one kind alone is asked for.
+// TestOneKindProbesALostStore checks that FreshnessKind alone is read from the store while the
+// store is lost.
 func TestOneKindProbesALostStore(t *testing.T) {
 	pl := newTestPuller()
 	pl.SetPeersKnown()
 	putRevision(pl.Mirror, 5, time.Now().Add(-storeLostAfter-time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
 	if !pl.WaitToReadStore(ctx, "config") {
-		t.Error("watched kind: got false, want the store's turn")
+		t.Error("FreshnessKind: got no read of the store, want one")
 	}
 	time.AfterFunc(5*time.Duration(storePollInterval), cancel)
 	if pl.WaitToReadStore(ctx, "k") {
-		t.Error("another kind: got the store's turn, want none before the store is heard of")
+		t.Error("another kind: got a read of the store, want none while the store is lost")
 	}
 	putRevision(pl.Mirror, 6, time.Now())
 	if !pl.WaitToReadStore(context.Background(), "k") {
-		t.Error("another kind after the store was heard of: got false, want its turn")
+		t.Error("another kind after the store has answered: got no read of the store, want one")
 	}
 }
 
-// TestStaleRouterFindsTheFreshPeerAtOnce has both routers that ask the store
-// cut off from it: those that asked them must not wait at one uninformed peer after
-// the other.
+// TestStaleRouterFindsTheFreshPeerAtOnce covers readers that have both lost the store: routers that
+// pulled from them must not let one stale peer after the other hold their requests.
 func TestStaleRouterFindsTheFreshPeerAtOnce(t *testing.T) {
 	var list []*testPeer
 	for i := range 8 {
@@ -473,11 +488,11 @@
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
 	if took := time.Since(began); took > time.Duration(longPollWait) {
-		t.Errorf("the change was known after %v, want less than one held question (%v)", took, time.Duration(longPollWait))
+		t.Errorf("the change was pulled after %v, want less than the hold of one request (%v)", took, time.Duration(longPollWait))
 	}
 }
 
-// runPuller runs an asker until the test ends, and checks how it ends.
+// runPuller runs a Puller until the test ends, and checks that it ends without an error.
 func runPuller(t *testing.T, pl *Puller) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -485,13 +500,14 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Errorf("asker: %v", err)
+			t.Errorf("puller: %v", err)
 		}
 	})
 	return ctx
 }
 
-// A peer whose copy grows too old answers at once, so that it is left.
+// TestHeldRequestEndsWhenTheCopyIsStale checks that a peer answers a held request when its copy
+// becomes stale, so that the router pulls from another one.
 func TestHeldRequestEndsWhenTheCopyIsStale(t *testing.T) {
 	p := startPeer(t, "p")
 	pl := newTestPuller(p)
@@ -500,12 +516,12 @@
 	began := time.Now()
 	pl.pull(context.Background(), p.Peer, true)
 	if took := time.Since(began); took > time.Duration(longPollWait)/2 {
-		t.Errorf("answer after %v, want about 50 ms", took)
+		t.Errorf("response after %v, want one after about 50 ms", took)
 	}
 }
 
-// All routers lost the store: each asks few others, and waits at the first ones for word that
-// it is back.
+// TestRoutersThatLostTheStoreAwaitItsRecovery covers a store that all routers lost: each pulls from
+// few others, and then waits for its sources to become fresh again.
 func TestRoutersThatLostTheStoreAwaitItsRecovery(t *testing.T) {
 	var list []*testPeer
 	for i := range 12 {
@@ -532,11 +548,12 @@
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
 	if took := time.Since(back); took > time.Duration(longPollWait) {
-		t.Errorf("word that the store is back came after %v, want under %v", took, time.Duration(longPollWait))
+		t.Errorf("the fallback ended after %v, want less than %v", took, time.Duration(longPollWait))
 	}
 }
 
-// Whole lists are long where there are many endpoints; changes are not.
+// TestWholeListsAreCompressed checks the size of the response with a whole list of many endpoints;
+// changes are short.
 func TestWholeListsAreCompressed(t *testing.T) {
 	p := startPeer(t, "p")
 	var objects []mirror.Object
@@ -553,30 +570,31 @@
 		t.Fatalf("revision: got %d, want 3000", pl.Mirror.Revision("k"))
 	}
 	if got, _ := pl.Mirror.Since("k", -1); len(got.Changes) != 3000 || string(got.Changes[0].Spec) == "" {
-		t.Errorf("objects: got %d, want 3000 with what they specify", len(got.Changes))
+		t.Errorf("objects: got %d, want 3000 with their specifications", len(got.Changes))
 	}
 	if got, most := traffic.PullResponses.Load(), int64(60_000); got > most {
-		t.Errorf("bytes of the answer: got %d, want at most %d, 20 an object", got, most)
+		t.Errorf("bytes of the response: got %d, want at most %d, 20 per object", got, most)
 	}
 }
 
-// While all routers start, a peer knows one kind a few milliseconds before the others. An
-// answer without the watched kind makes it no ill informed one: it is asked again at once.
+// TestStartingPeerIsRetriedAtOnce covers a peer that is starting as well and has one kind a few
+// milliseconds before the others: it does not count as stale if its response lacks FreshnessKind,
+// and may be pulled from again at once.
 func TestStartingPeerIsRetriedAtOnce(t *testing.T) {
 	p := startPeer(t, "p")
 	pl := newTestPuller(p)
 	at := time.Now()
 	p.mirror.List("k", []mirror.Object{{Name: "a", Revision: 5, Spec: json.RawMessage(`{}`)}}, 5, at, time.Time{})
 	if pl.pull(context.Background(), p.Peer, true) {
-		t.Fatal("ask of a peer that has not read the watched kind: got true, want false")
+		t.Fatal("pull from a peer without FreshnessKind: got a fresh peer, want none")
 	}
 	if _, ok := pl.Fleet.PickPeer(time.Now().Add(2*time.Duration(startPollInterval)), 0, false); !ok {
-		t.Error("next peer, a moment later: got none, want the one that starts too")
+		t.Error("next peer after 2 startPollIntervals: got none, want the starting one")
 	}
 }
 
-// A router that lacks a kind asks its peers for that, also where it is one of the first and
-// the kind by which it is well informed came early.
+// TestRouterThatLacksAKindGoesOnPulling checks that a router which lacks a kind pulls it from its
+// peers, also if it is a reader and got FreshnessKind early.
 func TestRouterThatLacksAKindGoesOnPulling(t *testing.T) {
 	p := startPeer(t, "p")
 	putRevision(p.mirror, 5, time.Now())
@@ -584,10 +602,10 @@
 	pl.Fleet.Put(Peer{Name: "self"})
 	pl.Mirror.List("config", nil, 5, time.Now(), time.Time{})
 	if !pl.Fleet.ReadsStore(time.Now()) {
-		t.Fatal("one of two routers: got no asker, want one")
+		t.Fatal("one of two routers: got no reader, want one")
 	}
 	pl.SetPeersKnown()
-	// Two others come before it, so that it does not read the store for others.
+	// Routers are added until two precede this one, so that it is no primary reader.
 	for i := 0; pl.Fleet.IsPrimaryReader() && i < 64; i++ {
 		pl.Fleet.Put(Peer{Name: fmt.Sprint("shunned", i)})
 		pl.Fleet.RecordStale(fmt.Sprint("shunned", i), time.Now().Add(time.Hour))
@@ -600,27 +618,28 @@
 		<-time.After(time.Millisecond)
 	}
 	if got := pl.Mirror.Revision("k"); got != 5 {
-		t.Errorf("revision of the kind that was missing: got %d, want 5 before the store is read", got)
+		t.Errorf("revision of the missing kind: got %d, want 5 before the start delay", got)
 	}
 }
 
-// minStartReadDelay is the least time after which a starting router reads the store itself.
+// minStartReadDelay is less than the start delay of any starting router, after which it reads the
+// store itself.
 const minStartReadDelay = 700 * time.Millisecond
 
-// A VM without power takes no connection and refuses none. That a starting router meets one
-// may not cost the second after which the kernel tries again.
+// TestUnreachablePeerIsSkippedSoon covers a VM without power, which neither accepts nor refuses
+// connections. A starting router must not wait for it until the kernel retries after a second.
 func TestUnreachablePeerIsSkippedSoon(t *testing.T) {
 	pl := newTestPuller()
 	unreachable := Peer{Name: "dark", Addr: addrWithFullBacklog(t), Token: "t"}
 	began := time.Now()
 	pl.pull(context.Background(), unreachable, true)
 	if took := time.Since(began); took > 600*time.Millisecond {
-		t.Errorf("ask: got an answer after %v, want one within 600ms", took)
+		t.Errorf("pull: returned after %v, want within 600ms", took)
 	}
 }
 
-// A peer whose connection comes up late has not asked in vain: its answer is taken over though
-// others were asked meanwhile.
+// TestLateResponseIsApplied checks that the response of a peer is applied whose connection takes
+// longer than connectTimeout, although the router has gone on to other peers.
 func TestLateResponseIsApplied(t *testing.T) {
 	p := startPeer(t, "p")
 	putRevision(p.mirror, 5, time.Now())
@@ -631,18 +650,18 @@
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}}}
 	if pl.pull(context.Background(), p.Peer, false) {
-		t.Fatal("ask without a connection: got true, want false")
+		t.Fatal("pull without a connection: got a fresh peer, want none")
 	}
 	close(up)
 	if len(pl.background) != 1 || !<-pl.background[0] {
-		t.Fatal("the late question: got no good answer, want one")
+		t.Fatal("background pull: got no fresh peer, want one")
 	}
 	if got := pl.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5", got)
 	}
 }
 
-// brokenOnReuse is a connection that takes nothing more after its first request.
+// brokenOnReuse is a connection that fails each write after the first.
 type brokenOnReuse struct {
 	net.Conn
 	wrote atomic.Int64
@@ -655,7 +674,8 @@
 	return c.Conn.Write(b)
 }
 
-// A kept connection that has gone makes the client take another one for the same question.
+// TestRequestIsRetriedOnANewConnection checks that the client retries a request on a new connection
+// if the kept-alive one was closed.
 func TestRequestIsRetriedOnANewConnection(t *testing.T) {
 	p := startPeer(t, "p")
 	putRevision(p.mirror, 5, time.Now())
@@ -668,7 +688,7 @@
 	}}}
 	for i := range 2 {
 		if !pl.pull(context.Background(), p.Peer, false) {
-			t.Errorf("question %d: got no good answer, want one", i+1)
+			t.Errorf("pull %d: got no fresh peer, want one", i+1)
 		}
 	}
 	if dialed != 2 {
@@ -676,7 +696,8 @@
 	}
 }
 
-// addrWithFullBacklog returns an address whose queue of connections is full.
+// addrWithFullBacklog returns the address of a listener whose backlog is full, so that it neither
+// accepts nor refuses connections.
 func addrWithFullBacklog(t *testing.T) netip.AddrPort {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -701,6 +722,6 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("the queue of connections does not fill")
+	t.Fatal("the backlog did not fill up with 8 connections")
 	return netip.AddrPort{}
 }
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -19,7 +19,7 @@
 	"github.com/traildrift/traildrift/pkg/mixer"
 )
 
-// fleetOf returns a fleet of so many routers in six availability zones, most of them weak.
+// fleetOf returns a fleet of n routers in six availability zones, most of them with little CPU.
 func fleetOf(n int) *Fleet {
 	f := NewFleet("")
 	for i := range n {
@@ -32,9 +32,9 @@
 	return f
 }
 
-// Pattern: hundreds of routers, of which one in forty asked the store for all that it holds, so that
-// the calls grew with the fleet. Two ask it now, up to 3,200 routers, and none is asked by
-// many.
+// TestStoreReadersDoNotGrowWithTheFleet guards against a number of readers in proportion to the
+// fleet (one router in forty read the whole store): the calls to the store then grow with the
+// fleet. Up to 3,200 routers there are two readers, and no source has too many pullers.
 func TestStoreReadersDoNotGrowWithTheFleet(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct{ routers, readers, relays int }{
@@ -51,7 +51,7 @@
 				relays++
 			}
 		}
-		// Of large fleets sampled stand for all.
+		// In large fleets a sample of the routers stands for all.
 		pullers, sampled := make(map[string]int), rand.New(rand.NewPCG(1, 2)).Perm(c.routers)
 		sampled = sampled[:min(c.routers, 384)]
 		for _, i := range sampled {
@@ -64,24 +64,26 @@
 			}
 		}
 		if readers != c.readers || relays != c.relays {
-			t.Errorf("%d routers: got %d that ask the store and %d relays, want %d and %d", c.routers, readers, relays, c.readers, c.relays)
+			t.Errorf("%d routers: got %d readers and %d relays, want %d and %d", c.routers, readers, relays, c.readers, c.relays)
 		}
 		for name, n := range pullers {
 			if n *= c.routers / len(sampled); n > 3*maxPullersPerSource {
-				t.Errorf("%d routers: %s is asked by %d, want %d at most", c.routers, name, n, 3*maxPullersPerSource)
+				t.Errorf("%d routers: %s is the source of %d, want %d at most", c.routers, name, n, 3*maxPullersPerSource)
 			}
 		}
 	}
 }
 
-// chain is a reader, a relay that asks it and a follower that asks the relay, of 384 routers.
+// chain is a reader, a relay that pulls from it, and a follower that pulls from the relay, out of
+// 384 routers.
 type chain struct {
 	reader, relay, follower     *mirror.Mirror
 	relayPuller, followerPuller *Puller
-	// storeUp says that the reader hears from the store.
+	// storeUp is set while the reader reaches the store.
 	storeUp atomic.Bool
 }
 
+// newChain starts a chain, and stops it when the test ends.
 func newChain(t *testing.T) *chain {
 	c := &chain{reader: mirror.New("config", "k"), relay: mirror.New("config", "k"), follower: mirror.New("config", "k")}
 	const token = "token-of-all-0123456789"
@@ -121,7 +123,8 @@
 	return c
 }
 
-// watch proves the reader's copy as watches of the store do, and the relay's once it is its turn.
+// watch proves the reader's copy to be the newest, as a watch of the store does, or that of the
+// relay if the reader has lost the store and the relay should read it.
 func (c *chain) watch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -135,8 +138,9 @@
 	return nil
 }
 
-// A follower of a relay is as sure of its copy as it is of a reader's, and where the readers lose
-// the store the relay takes their place before its followers all turn to the store.
+// TestRelayReplacesReadersThatLoseTheStore checks that the copy of a relay's follower is as fresh
+// as it would be with a reader as its source, and that a relay takes over from readers which lose
+// the store before its followers all read the store themselves.
 func TestRelayReplacesReadersThatLoseTheStore(t *testing.T) {
 	c := newChain(t)
 	maxAge := time.Duration(0)
@@ -145,17 +149,17 @@
 			<-time.After(10 * time.Millisecond)
 			maxAge = max(maxAge, time.Since(c.follower.Proven("config")))
 			if c.followerPuller.fallback.Load() {
-				t.Fatalf("the follower turned to the store; its copy was %v old", maxAge)
+				t.Fatalf("the follower fell back to the store; the maximum age of its copy was %v", maxAge)
 			}
 		}
 	}
 	observe(3 * time.Second)
 	if !c.relayPuller.Fleet.IsRelay(time.Now()) {
-		t.Error("with readers that answer: got no relay, want one")
+		t.Error("while the readers are fresh: got no relay, want one")
 	}
 	c.storeUp.Store(false)
 	observe(4 * time.Second)
 	if maxAge > storeLostAfter {
-		t.Errorf("age of the follower's copy: got %v, want %v at most", maxAge, storeLostAfter)
+		t.Errorf("maximum age of the follower's copy: got %v, want %v at most", maxAge, storeLostAfter)
 	}
 }
--- a/internal/peers/report_test.go
+++ b/internal/peers/report_test.go
@@ -10,7 +10,7 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// fullReport returns a report with as many entries as one may have.
+// fullReport returns a report with the maximum number of routes and faults.
 func fullReport() roll.Report {
 	r := roll.Report{Trial: 1 << 60, Reporter: 77, Requests: 90000, Exposed: 4000}
 	for i := range uint32(roll.MaxRows) {
@@ -48,16 +48,17 @@
 		}
 	}
 	if _, err := decodeTrialReport(append(b, 0)); err == nil {
-		t.Error("a byte too many: got no error, want one")
+		t.Error("report with an extra byte: got no error, want one")
 	}
 	tooMany := fullReport()
 	tooMany.Routes = append(tooMany.Routes, roll.RouteCounts{})
 	if _, err := encodeTrialReport(nil, tooMany); err == nil {
-		t.Error("a route too many: got no error, want one")
+		t.Error("report with a route too many: got no error, want one")
 	}
 }
 
-// FuzzReport decodes any bytes without a panic, and what it decodes encodes to the same.
+// FuzzReport checks that any bytes decode without a panic, and that what was decoded is encoded to
+// the same bytes.
 func FuzzReport(f *testing.F) {
 	b, err := encodeTrialReport(nil, fullReport())
 	if err != nil {
--- a/internal/peers/usage_test.go
+++ b/internal/peers/usage_test.go
@@ -15,6 +15,7 @@
 	"github.com/traildrift/traildrift/pkg/usage"
 )
 
+// usageOf returns a final report with the counts of so many workspaces.
 func usageOf(workspaces int) UsageReport {
 	r := UsageReport{LocalTime: time.UnixMilli(1_800_000_000_123), token: []byte("token-of-a-0123456")[:tokenBytes], Gossip: duty.Gossip{Holder: "vm-b", Incarnation: 1 << 60, Revision: 77, Settled: 41, Resigned: true}}
 	r.Reporter, r.Window, r.Final, r.Counts = usage.Reporter{Router: "vm-a", Incarnation: 1<<63 + 5}, 42, true, usage.Counts{}
@@ -25,8 +26,8 @@
 	return r
 }
 
-// A report of many workspaces goes in datagrams that any link takes in one piece, which together
-// hold all of it.
+// TestUsageInDatagrams checks that the datagrams of a report of many workspaces have at most
+// maxDatagramBytes bytes each, and together hold all counts.
 func TestUsageInDatagrams(t *testing.T) {
 	for _, n := range []int{0, 1, 60, 333, 1000} {
 		want := usageOf(n)
@@ -67,7 +68,8 @@
 	}
 }
 
-// What other routers send is decoded without harm, whatever it is.
+// FuzzUsage checks that any bytes decode without a panic, and that a decoded report can be encoded
+// again.
 func FuzzUsage(f *testing.F) {
 	r := usageOf(3)
 	list, err := encodeUsageReport(&r)
@@ -84,7 +86,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := decodeUsageReport(b); err == nil {
 			if _, err := encodeUsageReport(r); err != nil {
-				t.Errorf("decoded, but not encoded again: %v", err)
+				t.Errorf("encoding a decoded report: %v", err)
 			}
 		}
 		_, _ = decodeUsageAck(b)
