--- a/internal/peers/fleet.go
+++ b/internal/peers/fleet.go
@@ -126,12 +126,12 @@
 		return cmp.Or(cmp.Compare(hash[a.Name], hash[b.Name]), cmp.Compare(a.Name, b.Name))
 	}
 	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(b.Millicores, a.Millicores), byHash(a, b)) })
-	inZone, place := make(map[string]int), make(map[string]int, len(list))
+	inZone, placeInZone := make(map[string]int), make(map[string]int, len(list))
 	for _, p := range list {
-		place[p.Name] = inZone[p.Zone]
+		placeInZone[p.Name] = inZone[p.Zone]
 		inZone[p.Zone]++
 	}
-	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(place[a.Name], place[b.Name]), byHash(a, b)) })
+	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(placeInZone[a.Name], placeInZone[b.Name]), byHash(a, b)) })
 	return list
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -144,16 +144,16 @@
 func TestTwoRoutersReadTheStore(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	now := time.Now()
-	count := func(shunned string) (n int) {
+	count := func(stale string) (n int) {
 		for _, self := range names {
 			f := NewFleet(self)
 			for _, name := range names {
 				f.Put(Peer{Name: name})
 			}
-			if shunned != "" && self != shunned {
-				f.RecordStale(shunned, now)
+			if stale != "" && self != stale {
+				f.RecordStale(stale, now)
 			}
-			if self != shunned && f.ReadsStore(now) {
+			if self != stale && f.ReadsStore(now) {
 				n++
 			}
 		}
@@ -296,7 +296,7 @@
 // another: each knows different peers, so that one may pull from a router that waits for a third. A
 // starting router that a starting peer pulls from reads the store at once.
 func TestStartingRouterReadsTheStoreWhenPulledFrom(t *testing.T) {
-	asked := startPeer(t, "p")
+	peer := startPeer(t, "p")
 	pl := newTestPuller()
 	pl.Fleet.Put(Peer{Name: "self"})
 	for i := range 9 {
@@ -306,16 +306,16 @@
 	if pl.shouldReadStore("k", time.Now()) {
 		t.Fatal("not a reader: got a read of the store, want none")
 	}
-	asked.srv.Config.Handler.(*Server).OnStartingPeer = pl.RecordStartingPeer
-	starting := newTestPuller(asked)
-	starting.pull(context.Background(), asked.Peer, false)
+	peer.srv.Config.Handler.(*Server).OnStartingPeer = pl.RecordStartingPeer
+	starting := newTestPuller(peer)
+	starting.pull(context.Background(), peer.Peer, false)
 	if !pl.shouldReadStore("k", time.Now()) {
 		t.Error("pulled from by a starting router: got no read of the store, want one")
 	}
 	other := newTestPuller()
-	asked.srv.Config.Handler.(*Server).OnStartingPeer = other.RecordStartingPeer
+	peer.srv.Config.Handler.(*Server).OnStartingPeer = other.RecordStartingPeer
 	putRevision(starting.Mirror, 5, time.Now())
-	starting.pull(context.Background(), asked.Peer, false)
+	starting.pull(context.Background(), peer.Peer, false)
 	if other.pulledByStarting.Load() {
 		t.Error("pulled from by a router that has all kinds: got pulledByStarting, want not")
 	}
@@ -396,12 +396,12 @@
 	for i := range 370 {
 		f.Put(Peer{Name: fmt.Sprint("r-", i)})
 	}
-	asked := make(map[string]bool)
+	sources := make(map[string]bool)
 	for draw := range uint64(1000) {
 		p, _ := f.PickPeer(time.Now(), draw, false)
-		asked[p.Name] = true
+		sources[p.Name] = true
 	}
-	if got, want := len(asked), 370/maxPullersPerSource; got != want {
+	if got, want := len(sources), 370/maxPullersPerSource; got != want {
 		t.Errorf("sources: got %d, want %d", got, want)
 	}
 	reached := make(map[string]bool)
