--- a/internal/peers/crash.go
+++ b/internal/peers/crash.go
@@ -61,6 +61,7 @@
 
 // verdictCrash is the encoding of a crash.
 type verdictCrash struct {
+	// Endpoint is the hash of the endpoint's ID.
 	Endpoint uint64
 	// AgeMs is the time since the crash was observed, in milliseconds.
 	AgeMs uint32
@@ -124,7 +125,8 @@
 // crashReportBytes is the length of an encoded CrashReport.
 const crashReportBytes = poison.FingerprintBytes + 8 + 4 + 1
 
-// SendVerdicts sends verdicts that are new or changed to all other routers.
+// SendVerdicts sends verdicts that are new or changed to all other routers, also those backed off
+// from.
 func (t *Transport) SendVerdicts(list []poison.Verdict) { t.sendVerdicts(list, t.fleet.others()) }
 
 // ResendVerdicts sends verdicts to resendFanout other routers drawn at random, which may have
--- a/internal/peers/fleet.go
+++ b/internal/peers/fleet.go
@@ -44,9 +44,8 @@
 	// readers, those that read the store. With two, one can fail and no other router is without
 	// changes for more than a second.
 	minSources = 2
-	// maxPullersPerSource is the maximum average number of routers that pull from one source. In a
-	// measurement with 300 routers, two sources for all of them used 16 % of a core, the others 3
-	// %.
+	// maxPullersPerSource is the maximum average number of routers that pull from one source. With
+	// 300 routers, two sources for all of them used 16% of a core, where the others used 3%.
 	maxPullersPerSource = 40
 )
 
@@ -131,7 +130,9 @@
 		placeInZone[p.Name] = inZone[p.Zone]
 		inZone[p.Zone]++
 	}
-	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(placeInZone[a.Name], placeInZone[b.Name]), byHash(a, b)) })
+	slices.SortFunc(list, func(a, b Peer) int {
+		return cmp.Or(cmp.Compare(placeInZone[a.Name], placeInZone[b.Name]), byHash(a, b))
+	})
 	return list
 }
 
@@ -309,8 +310,8 @@
 }
 
 // sources returns the peers from which this router pulls and that are not backed off from at now:
-// the readers if there are no relays or this router is a reader or relay itself, and the relays
-// otherwise. The caller holds mu.
+// the readers if there are no relays, or none is available, or this router is a reader or relay
+// itself, and the relays otherwise. The caller holds mu.
 func (f *Fleet) sources(now time.Time) []Peer {
 	n := len(f.byName)
 	first := readerCount(n) + relayCount(n)
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -33,8 +33,9 @@
 }
 
 // TestStoreReadersDoNotGrowWithTheFleet guards against a number of readers in proportion to the
-// fleet (one router in forty read the whole store): the calls to the store then grow with the
-// fleet. Up to 3,200 routers there are two readers, and no source has too many pullers.
+// fleet: with one reader in forty of hundreds of routers, each reading the whole store, the calls
+// to the store grow with the fleet. Up to 3,200 routers there are two readers, and no source has
+// too many pullers.
 func TestStoreReadersDoNotGrowWithTheFleet(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct{ routers, readers, relays int }{
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -74,8 +74,9 @@
 	tokenBytes = 16
 	// kindAt is the offset of the byte that holds the kind of the datagram, bodyAt that of its
 	// body.
-	kindAt            = tokenBytes
-	bodyAt            = kindAt + 1
+	kindAt = tokenBytes
+	bodyAt = kindAt + 1
+	// kindAttemptReport is the kind of an AttemptReport.
 	kindAttemptReport = 1
 	// kindTrialReport is the kind of a roll.Report; see encodeTrialReport.
 	kindTrialReport = 2
