--- a/internal/peers/puller.go
+++ b/internal/peers/puller.go
@@ -68,11 +68,11 @@
 const (
 	// longPollWait is how long a peer holds a request while it has no changes.
 	longPollWait = config.Span(500 * time.Millisecond)
-	// answerTimeout bounds the time for a response beyond the time for which the request is held.
-	answerTimeout = 400 * time.Millisecond
-	// listAnswerTimeout replaces answerTimeout in a router that starts: a whole list of 3,000
+	// responseTimeout bounds the time for a response beyond the time for which the request is held.
+	responseTimeout = 400 * time.Millisecond
+	// listResponseTimeout replaces answerTimeout in a router that starts: a whole list of 3,000
 	// endpoints has tens of kilobytes, and a source sends it to dozens of routers at once.
-	listAnswerTimeout = 1500 * time.Millisecond
+	listResponseTimeout = 1500 * time.Millisecond
 	// connectTimeout is how long a pull may wait for its connection before another peer is tried as
 	// well. Connecting takes 3 ms between zones. A VM without power never answers, and the kernel
 	// retries after a second, in which a starting router serves no requests.
@@ -257,7 +257,7 @@
 	case <-connected:
 		return <-done
 	case <-timer.C:
-		pl.Fleet.BackOff(p.Name, time.Now().Add(listAnswerTimeout))
+		pl.Fleet.BackOff(p.Name, time.Now().Add(listResponseTimeout))
 		pl.background = append(pl.background, done)
 		return false
 	}
@@ -341,9 +341,9 @@
 // longer for a whole list.
 func (pl *Puller) timeout() time.Duration {
 	if pl.hasAllKinds() {
-		return answerTimeout
+		return responseTimeout
 	}
-	return listAnswerTimeout
+	return listResponseTimeout
 }
 
 func objects(changes []mirror.Change) []mirror.Object {
