--- a/internal/peers/puller.go
+++ b/internal/peers/puller.go
@@ -70,7 +70,7 @@
 	longPollWait = config.Span(500 * time.Millisecond)
 	// responseTimeout bounds the time for a response beyond the time for which the request is held.
 	responseTimeout = 400 * time.Millisecond
-	// listResponseTimeout replaces answerTimeout in a router that starts: a whole list of 3,000
+	// listResponseTimeout replaces responseTimeout in a router that starts: a whole list of 3,000
 	// endpoints has tens of kilobytes, and a source sends it to dozens of routers at once.
 	listResponseTimeout = 1500 * time.Millisecond
 	// connectTimeout is how long a pull may wait for its connection before another peer is tried as
