--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -15,112 +15,120 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// Notice is what an endpoint has said of itself: what a router was told by the endpoint, or its
-// answer to a LimitQuestion.
+// Notice relays what an endpoint announced about itself: it was received from the endpoint by the
+// sender, or answers a LimitQuery. Its fields are the encoding: their order, types and number must
+// stay.
 type Notice struct {
-	// Endpoint is the hash of the endpoint's ID, and Life names the life that said it.
-	Endpoint, Life uint64
-	// Limit is a pool.LimitStatus, and PerSecond the requests a second of a limit.
+	// Endpoint is the hash of the endpoint's ID, and Incarnation that of the incarnation which made
+	// the announcement.
+	Endpoint, Incarnation uint64
+	// Limit is a pool.LimitStatus, and PerSecond the limit in requests per second from all routers
+	// together; valid if Limit is pool.Limited.
 	Limit     uint8
 	PerSecond float64
-	// Leaving says that the endpoint takes no new work any more.
+	// Leaving announces that the endpoint accepts no new work.
 	Leaving bool
-	// Granted says that the hearer may send one request in the teller's place, which was asked
-	// for that; Answers says that this is an answer, whether granted or not.
-	Answers, Granted bool
-	// WaitMs is how long the teller has nothing more to grant, in milliseconds.
+	// IsAnswer is set in the answer to a LimitQuery. Granted then says whether the recipient may
+	// send one request out of the sender's share of the limit.
+	IsAnswer, Granted bool
+	// WaitMs is the time for which the sender has no more requests to grant, in milliseconds.
 	WaitMs uint32
 }
 
-// LimitQuestion asks a router to grant a request out of its share of a limit.
-type LimitQuestion struct {
-	Endpoint, Life uint64
-	// PerSecond is the limit as the asker knows it.
+// LimitQuery asks a router to grant one request out of its share of an endpoint's limit. The answer
+// is a Notice. Its fields are the encoding: their order, types and number must stay.
+type LimitQuery struct {
+	// Endpoint is the hash of the endpoint's ID, and Incarnation that of its incarnation.
+	Endpoint, Incarnation uint64
+	// PerSecond is the limit known to the sender, in requests per second.
 	PerSecond float64
-	// Token is the asker's, for the answer.
+	// Token is the start of the sender's token, with which the answer begins; SendLimitQuery sets
+	// it.
 	Token [tokenBytes]byte
 }
 
-// noticeBytes and questionBytes are the lengths of an encoded Notice and LimitQuestion.
+// noticeBytes and limitQueryBytes are the lengths of an encoded Notice and LimitQuery.
 const (
-	noticeBytes   = 8 + 8 + 1 + 8 + 1 + 1 + 1 + 4
-	questionBytes = 8 + 8 + 8 + tokenBytes
+	noticeBytes     = 8 + 8 + 1 + 8 + 1 + 1 + 1 + 4
+	limitQueryBytes = 8 + 8 + 8 + tokenBytes
 )
 
-// SendNotice tells other routers what an endpoint said: some of them, or all.
-func (n *Notes) SendNotice(l Notice, all bool) {
-	buf := n.encode(kindNotice, l, noticeBytes)
+// SendNotice sends what an endpoint announced to all other routers, also those backed off from, or
+// if all is not set, to at most maxRecipients that are not.
+func (t *Transport) SendNotice(n Notice, all bool) {
+	buf := t.encodeFixed(kindNotice, n, noticeBytes)
 	if all {
-		n.Traffic.Notices.Add(n.sendTo(n.fleet.others(), buf))
+		t.Traffic.Notices.Add(t.sendToPeers(t.fleet.others(), buf))
 		return
 	}
-	n.Traffic.Notices.Add(n.send(buf, everybody))
+	t.Traffic.Notices.Add(t.sendToRecipients(buf, allZones))
 }
 
-// sendNotices tells a router that starts what endpoints said.
-func (n *Notes) sendNotices(list []Notice, to Peer) {
-	for _, l := range list {
-		n.Traffic.Notices.Add(n.sendOne(to, n.encode(kindNotice, l, noticeBytes)))
+// sendNotices sends the notices in a list to a router that has just started.
+func (t *Transport) sendNotices(list []Notice, to Peer) {
+	for _, n := range list {
+		t.Traffic.Notices.Add(t.sendToPeer(to, t.encodeFixed(kindNotice, n, noticeBytes)))
 	}
 }
 
-// AskLimit asks one of the routers that share an endpoint's limit, of which there are so many; draw
-// chooses. The answer comes under this router's token.
-func (n *Notes) AskLimit(q LimitQuestion, holders int, draw uint64) {
-	list := n.fleet.holders(q.Endpoint, holders)
-	if len(list) == 0 || !n.secret.copyTo(q.Token[:]) {
+// SendLimitQuery sends a query to one of the other routers that share an endpoint's limit, selected
+// by draw. sharers is the number of routers that share it, including this one if it does. It sends
+// nothing if there is no other sharer or this router has no token.
+func (t *Transport) SendLimitQuery(q LimitQuery, sharers int, draw uint64) {
+	list := t.fleet.limitSharers(q.Endpoint, sharers)
+	if len(list) == 0 || !t.secret.copyTo(q.Token[:]) {
 		return
 	}
 	to := list[draw%uint64(len(list))]
-	n.Traffic.Notices.Add(n.sendOne(to, n.encode(kindQuestion, q, questionBytes)))
+	t.Traffic.Notices.Add(t.sendToPeer(to, t.encodeFixed(kindLimitQuery, q, limitQueryBytes)))
 }
 
-// datagram returns the start of one of a kind, with room for the hearer's token, whose body has so many
-// bytes at most.
-func datagram(kind byte, most int) []byte {
-	b := make([]byte, bodyAt, bodyAt+most)
+// newDatagram returns the start of a datagram of one kind, with zeros for the recipient's token and
+// capacity for a body of maxBody bytes.
+func newDatagram(kind byte, maxBody int) []byte {
+	b := make([]byte, bodyAt, bodyAt+maxBody)
 	b[kindAt] = kind
 	return b
 }
 
-// encode returns a datagram with a body of fixed length.
-func (n *Notes) encode(kind byte, body any, size int) []byte {
-	buf, err := binary.Append(datagram(kind, size), binary.BigEndian, body)
+// encodeFixed returns a datagram with a body of fixed length, size bytes.
+func (t *Transport) encodeFixed(kind byte, body any, size int) []byte {
+	buf, err := binary.Append(newDatagram(kind, size), binary.BigEndian, body)
 	if err != nil {
-		n.Log.Error("peers: A datagram could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A datagram could not be encoded.", logs.Err(err))
 	}
 	return buf
 }
 
-// hearNotice decodes a Notice.
-func (n *Notes) hearNotice(b []byte, from netip.AddrPort) {
-	if l, ok := decodeFixed[Notice](n, b, from, "peers: What an endpoint said could not be decoded."); ok {
-		n.OnNotice(from.Addr(), l)
+// receiveNotice decodes a Notice and passes it to OnNotice.
+func (t *Transport) receiveNotice(b []byte, from netip.AddrPort) {
+	if n, ok := decodeFixed[Notice](t, b, from, "peers: What an endpoint said could not be decoded."); ok {
+		t.OnNotice(from.Addr(), n)
 	}
 }
 
-// hearQuestion decodes a LimitQuestion and answers it.
-func (n *Notes) hearQuestion(b []byte, from netip.AddrPort) {
-	q, ok := decodeFixed[LimitQuestion](n, b, from, "peers: A question about a limit could not be decoded.")
+// receiveLimitQuery decodes a LimitQuery and sends the answer of OnLimitQuery, if any.
+func (t *Transport) receiveLimitQuery(b []byte, from netip.AddrPort) {
+	q, ok := decodeFixed[LimitQuery](t, b, from, "peers: A question about a limit could not be decoded.")
 	if !ok {
 		return
 	}
-	l, ok := n.OnQuestion(q)
+	n, ok := t.OnLimitQuery(q)
 	if !ok {
 		return
 	}
-	asker := Peer{Name: from.String(), Addr: from, Token: string(q.Token[:])}
-	n.Traffic.Notices.Add(n.sendOne(asker, n.encode(kindNotice, l, noticeBytes)))
+	sender := Peer{Name: from.String(), Addr: from, Token: string(q.Token[:])}
+	t.Traffic.Notices.Add(t.sendToPeer(sender, t.encodeFixed(kindNotice, n, noticeBytes)))
 }
 
-// holders returns the other routers among those that share an endpoint's limit, of which there are
-// so many: the first by rendezvous hash, as each of them finds for itself.
-func (f *Fleet) holders(endpoint uint64, most int) []Peer {
+// limitSharers returns the other routers among those that share an endpoint's limit: the first ones
+// by rendezvous hash, sharers in number, as each router computes for itself.
+func (f *Fleet) limitSharers(endpoint uint64, sharers int) []Peer {
 	f.mu.Lock()
 	list := slices.Clone(f.ranked())
 	f.mu.Unlock()
 	weight := func(p Peer) uint64 { return pool.Weight(endpoint, xxhash.Sum64String(p.Name)) }
 	slices.SortFunc(list, func(a, b Peer) int { return cmp.Compare(weight(b), weight(a)) })
-	list = list[:min(len(list), most)]
+	list = list[:min(len(list), sharers)]
 	return slices.DeleteFunc(list, func(p Peer) bool { return p.Name == f.self })
 }
