--- a/internal/entry/bucket.go
+++ b/internal/entry/bucket.go
@@ -57,10 +57,10 @@
 	switch {
 	case reply.NotWritten:
 		return claim.Record{}, claims.ErrNotWritten
-	case reply.Doubt:
+	case reply.OutcomeUnknown:
 		return claim.Record{}, claims.ErrDoubt
 	default:
-		return reply.Held, nil
+		return reply.Record, nil
 	}
 }
 
@@ -70,10 +70,10 @@
 	defer cancel()
 	held, err := e.claims.Claim(ctx, p.Record)
 	return wire.ClaimReply{
-		Stamp:      e.Stamp(),
-		Held:       held,
-		NotWritten: errors.Is(err, claims.ErrNotWritten),
-		Doubt:      errors.Is(err, claims.ErrDoubt),
+		Stamp:          e.Stamp(),
+		Record:         held,
+		NotWritten:     errors.Is(err, claims.ErrNotWritten),
+		OutcomeUnknown: errors.Is(err, claims.ErrDoubt),
 	}, nil
 }
 
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -87,7 +87,7 @@
 		return fault.New(fault.KeyReused, fault.NotRun, "The key was used with another request.")
 	}
 	if held.Owner != e.Identity.Incarnation {
-		join := wire.Join{Incarnation: held.Owner, Run: held.Run, Key: r.key, BodyHash: body}
+		join := wire.Join{Incarnation: held.Owner, RunID: held.Run, Key: r.key, BodyHash: body}
 		return e.joinRemote(r, join, held.Link)
 	}
 	if _, err := e.joinLocal(held.Run, body); err != nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -128,11 +128,11 @@
 		trailLost:   sc.Counter("trail_lost"),
 		under:       sc.Gauge("under_way"),
 	}
-	link.Inline(p.Local.Mux, wire.MethodChunk, e.handleChunk)
-	link.Inline(p.Local.Mux, wire.MethodLoad, e.handleLoad)
-	link.On(p.Local.Mux, wire.MethodJoin, e.handleJoin)
-	link.On(p.Local.Mux, wire.MethodClaim, e.handleClaim)
-	link.On(p.Local.Mux, wire.MethodAlive, e.handleAlive)
+	link.HandleInline(p.Local.Mux, wire.MethodChunk, e.handleChunk)
+	link.HandleInline(p.Local.Mux, wire.MethodLoad, e.handleLoad)
+	link.Handle(p.Local.Mux, wire.MethodJoin, e.handleJoin)
+	link.Handle(p.Local.Mux, wire.MethodClaim, e.handleClaim)
+	link.Handle(p.Local.Mux, wire.MethodPing, e.handleAlive)
 	return e, nil
 }
 
--- a/internal/entry/join.go
+++ b/internal/entry/join.go
@@ -94,12 +94,12 @@
 	}
 	r.joins++
 	j.Stamp = e.Stamp()
-	j.Stream = wire.RunKey{RunID: r.id, Attempt: r.joins}
+	j.StreamKey = wire.RunKey{RunID: r.id, Attempt: r.joins}
 	r.buf.SelectAttempt(r.joins)
-	e.sinks.add(j.Stream, r.buf)
+	e.sinks.add(j.StreamKey, r.buf)
 	first := make(chan *fault.Error, 1)
 	if err := e.submit(func() { e.followRemote(r, c, j, first) }); err != nil {
-		e.sinks.remove(j.Stream)
+		e.sinks.remove(j.StreamKey)
 		return err
 	}
 	return e.awaitFirst(r, first)
@@ -122,7 +122,7 @@
 
 // followRemote makes the call and finishes the stand-in with its outcome.
 func (e *Entry) followRemote(r *request, c *link.Conn, j wire.Join, first chan<- *fault.Error) {
-	defer e.sinks.remove(j.Stream)
+	defer e.sinks.remove(j.StreamKey)
 	ctx, cancel := context.WithDeadline(e.kill, r.call.Deadline.Add(replyGrace))
 	defer cancel()
 	ctx, giveUp := context.WithCancelCause(ctx)
@@ -157,7 +157,7 @@
 			return nil
 		}
 		call, cancel := context.WithDeadline(ctx, aliveWithin.After(time.Now()))
-		err := c.Call(call, wire.MethodAlive, wire.Alive{Stamp: e.Stamp()}, &wire.Empty{})
+		err := c.Call(call, wire.MethodPing, wire.Ping{Stamp: e.Stamp()}, &wire.Empty{})
 		cancel()
 		if ctx.Err() != nil {
 			return nil
@@ -171,7 +171,7 @@
 }
 
 // handleAlive answers an entry that asks whether this one still runs.
-func (e *Entry) handleAlive(context.Context, *link.Conn, wire.Alive) (wire.Empty, error) {
+func (e *Entry) handleAlive(context.Context, *link.Conn, wire.Ping) (wire.Empty, error) {
 	return wire.Empty{Stamp: e.Stamp()}, nil
 }
 
@@ -182,12 +182,12 @@
 	if err != nil {
 		return wire.RunReply{Stamp: e.Stamp(), Err: err}, nil
 	}
-	if err := c.Notify(ctx, wire.MethodChunk, wire.Chunk{Stamp: e.Stamp(), Key: j.Stream}); err != nil {
+	if err := c.Notify(ctx, wire.MethodChunk, wire.Chunk{Stamp: e.Stamp(), Key: j.StreamKey}); err != nil {
 		return wire.RunReply{}, err
 	}
 	e.followers.Add(1)
 	defer e.followers.Add(-1)
-	link.Follow(ctx, c, j.Stream, r.buf, 0)
+	link.SendAnswer(ctx, c, j.StreamKey, r.buf, 0)
 	select {
 	case <-r.done:
 	case <-c.Done():
@@ -201,7 +201,7 @@
 		return nil, e.unsettled("The entry that holds the key was restarted.")
 	}
 	if j.Start == nil {
-		return e.joinLocal(j.Run, j.BodyHash)
+		return e.joinLocal(j.RunID, j.BodyHash)
 	}
 	t, err := e.openTicket(j.Start.Workspace, j.Key)
 	if err != nil {
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -118,8 +118,8 @@
 	p.mu.Unlock()
 	call, cancel := context.WithDeadline(ctx, ps.e.settings.SuspectAfter.After(time.Now()))
 	defer cancel()
-	var reply wire.BeatReply
-	err := c.Call(call, wire.MethodBeat, wire.Beat{Stamp: ps.e.Stamp(), Settled: settled, Released: released}, &reply)
+	var reply wire.HeartbeatReply
+	err := c.Call(call, wire.MethodHeartbeat, wire.Heartbeat{Stamp: ps.e.Stamp(), Settled: settled, Released: released}, &reply)
 	if err != nil {
 		p.mu.Lock()
 		p.settled = append(settled, p.settled...)
@@ -146,8 +146,8 @@
 	p.load = l
 	// Without a rest it is zero: a request that looks now may have read the clock before.
 	p.restsUntil = time.Time{}
-	if l.RestMs > 0 {
-		p.restsUntil = now.Add(time.Duration(l.RestMs) * time.Millisecond)
+	if l.BackoffMs > 0 {
+		p.restsUntil = now.Add(time.Duration(l.BackoffMs) * time.Millisecond)
 	}
 	if news && p.sent == 0 {
 		p.pokeNow()
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -104,8 +104,8 @@
 			e.Log.Warn("entry: A crash could not be decoded.", zap.String("vm", p.vm.Name), zap.Error(err))
 			continue
 		}
-		at := now.Add(-time.Duration(c.AgoMs) * time.Millisecond)
-		q.book.RecordCrash(at, f, pool.HashOf(p.vm.Name), time.Duration(c.AgeMs)*time.Millisecond, true)
+		at := now.Add(-time.Duration(c.CrashAgeMs) * time.Millisecond)
+		q.book.RecordCrash(at, f, pool.HashOf(p.vm.Name), time.Duration(c.RunAgeMs)*time.Millisecond, true)
 	}
 }
 
--- a/internal/entry/rest_test.go
+++ b/internal/entry/rest_test.go
@@ -15,7 +15,7 @@
 func TestRestingPeerIsNotUsable(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := &peer{conn: &link.Conn{}, suspectAt: now.Add(time.Hour)}
-	p.setLoad(wire.Load{RestMs: 1500}, now)
+	p.setLoad(wire.Load{BackoffMs: 1500}, now)
 	if p.usable(now.Add(1499 * time.Millisecond)) {
 		t.Error("while it rests: got usable, want not")
 	}
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -77,8 +77,8 @@
 	if err != nil {
 		return wire.Load{}, false
 	}
-	var reply wire.BeatReply
-	err = c.Call(ctx, wire.MethodBeat, wire.Beat{Stamp: e.Stamp()}, &reply)
+	var reply wire.HeartbeatReply
+	err = c.Call(ctx, wire.MethodHeartbeat, wire.Heartbeat{Stamp: e.Stamp()}, &reply)
 	return reply.Load, err == nil
 }
 
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -121,7 +121,7 @@
 		var reply wire.RunReply
 		// The answer itself may take until the request's own deadline.
 		whole, done := context.WithDeadline(e.kill, r.call.Deadline.Add(replyGrace))
-		err = c.Call(whole, wire.MethodAsk, wire.Ask{Stamp: e.Stamp(), Key: key, Guard: incarnation, Offset: r.buf.Len(), Deadline: r.call.Deadline}, &reply)
+		err = c.Call(whole, wire.MethodRunQuery, wire.RunQuery{Stamp: e.Stamp(), Key: key, Guard: incarnation, Offset: r.buf.Len(), Deadline: r.call.Deadline}, &reply)
 		done()
 		if !errors.Is(err, link.ErrBroken) {
 			e.Log.Info("entry: Asked about a run after a broken link.", zap.String("request", r.id), zap.String("vm", p.vm.Name))
--- a/internal/guard/rest.go
+++ b/internal/guard/backoff.go
@@ -11,22 +11,22 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// rests notes how a run ended: an engine that refused it may have asked for rest. Entries are told, as a
+// recordBackoff notes how a run ended: an engine that refused it may have asked for rest. Entries are told, as a
 // guard that refuses everything looks idle. g.mu is held.
-func (g *Guard) rests(r *record, err *fault.Error) {
-	if err == nil || err.Kind != fault.Overloaded || !err.RetryAt.After(g.restsUntil) {
+func (g *Guard) recordBackoff(r *record, err *fault.Error) {
+	if err == nil || err.Kind != fault.Overloaded || !err.RetryAt.After(g.backoffUntil) {
 		return
 	}
-	g.restsUntil = err.RetryAt
-	g.tellLoad()
-	g.Log.Info("guard: The engine asks for rest.", zap.String("run", runID(r.key)), zap.Time("until", g.restsUntil))
+	g.backoffUntil = err.RetryAt
+	g.broadcastLoadAsync()
+	g.Log.Info("guard: The engine asks for rest.", zap.String("run", runID(r.key)), zap.Time("until", g.backoffUntil))
 }
 
-// resting returns why no run is sent to the engine while it rests; nil if it does not. The guard is
+// backoffRefusal returns why no run is sent to the engine while it rests; nil if it does not. The guard is
 // the engine's only sender, so what it refuses is not sent by another. g.mu is held.
-func (g *Guard) resting(now time.Time) *fault.Error {
-	if !now.Before(g.restsUntil) {
+func (g *Guard) backoffRefusal(now time.Time) *fault.Error {
+	if !now.Before(g.backoffUntil) {
 		return nil
 	}
-	return fault.New(fault.Overloaded, fault.NotRun, "The engine has asked for rest.").WithRetryAt(g.restsUntil)
+	return fault.New(fault.Overloaded, fault.NotRun, "The engine has asked for rest.").WithRetryAt(g.backoffUntil)
 }
--- a/internal/guard/rest_test.go
+++ b/internal/guard/backoff_test.go
@@ -24,58 +24,58 @@
 //
 // Seen, by reading, after routers had sent requests to endpoints that had asked for rest: a guard sent each
 // run to its engine, and told callers nothing of the time. Cause: of a refusal only the status was read.
-func TestEngineThatAsksForRestGetsIt(t *testing.T) {
-	const rest = time.Second
-	var asked atomic.Int64
+func TestBackoffOfEngineIsHonoured(t *testing.T) {
+	const backoff = time.Second
+	var calls atomic.Int64
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
-		w.Header().Set("Retry-After", fmt.Sprint(rest.Seconds()))
+		calls.Add(1)
+		w.Header().Set("Retry-After", fmt.Sprint(backoff.Seconds()))
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer engine.Close()
-	b := startBench(t)
+	b := startHarness(t)
 	b.g.endpoint.Run = NewEndpoint(KindEngine, engine.Listener.Addr().(*net.TCPAddr).AddrPort()).Run
 	c := b.dial(t)
 	first := time.Now()
 	for i := range 5 {
 		got := b.run(t, c, fmt.Sprint("run-", i), 1)
-		check(t, fmt.Sprint("run ", i), got, fault.Overloaded, fault.NotRun)
-		if at := got.Err.RetryAt; at.Before(first.Add(rest)) || at.After(time.Now().Add(rest)) {
-			t.Errorf("run %d: come back at: got %v after the first, want %v", i, at.Sub(first), rest)
+		checkReply(t, fmt.Sprint("run ", i), got, fault.Overloaded, fault.NotRun)
+		if at := got.Err.RetryAt; at.Before(first.Add(backoff)) || at.After(time.Now().Add(backoff)) {
+			t.Errorf("run %d: come back at: got %v after the first, want %v", i, at.Sub(first), backoff)
 		}
 	}
-	if got := asked.Load(); got != 1 {
+	if got := calls.Load(); got != 1 {
 		t.Errorf("runs that reached the engine during its rest: got %d, want 1", got)
 	}
-	<-time.After(rest)
+	<-time.After(backoff)
 	b.run(t, c, "run-later", 1)
-	if got := asked.Load(); got != 2 {
+	if got := calls.Load(); got != 2 {
 		t.Errorf("runs that reached the engine after its rest: got %d, want 2", got)
 	}
 }
 
 // A run that waited for a slot when the engine asked for rest is refused too.
-func TestQueuedRunIsRefusedDuringRest(t *testing.T) {
-	b := startBench(t)
-	begun, refuse := make(chan struct{}), make(chan struct{})
+func TestQueuedRunIsRefusedDuringBackoff(t *testing.T) {
+	b := startHarness(t)
+	started, refuse := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int64
 	until := time.Now().Add(time.Minute)
 	b.g.endpoint.Run = func(context.Context, wire.RunKey, *wire.Work, *stream.Buffer) (wire.Usage, *fault.Error) {
 		if runs.Add(1) == 1 {
-			close(begun)
+			close(started)
 		}
 		<-refuse
 		return wire.Usage{}, fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").WithRetryAt(until)
 	}
 	c := b.dial(t)
-	first := b.later(t, c, "first")
-	<-begun
-	second := b.later(t, c, "second")
+	first := b.runAsync(t, c, "first")
+	<-started
+	second := b.runAsync(t, c, "second")
 	b.waitQueued(t, 1)
 	close(refuse)
 	for name, reply := range map[string]<-chan wire.RunReply{"first": first, "second": second} {
 		got := <-reply
-		check(t, name, got, fault.Overloaded, fault.NotRun)
+		checkReply(t, name, got, fault.Overloaded, fault.NotRun)
 		if !got.Err.RetryAt.Equal(until) {
 			t.Errorf("%s: come back at: got %v, want %v", name, got.Err.RetryAt, until)
 		}
@@ -87,25 +87,25 @@
 
 // Entries hear that an engine rests, at once and with each heartbeat: one that refuses everything looks
 // idle, and would be drawn first.
-func TestEntriesHearOfRest(t *testing.T) {
-	b := startBench(t)
-	told := make(chan wire.Load, 4)
-	link.Inline(b.local.Mux, wire.MethodLoad, func(_ *link.Conn, n wire.LoadNotice) { told <- n.Load })
+func TestBackoffIsSentToEntries(t *testing.T) {
+	b := startHarness(t)
+	loads := make(chan wire.Load, 4)
+	link.HandleInline(b.local.Mux, wire.MethodLoad, func(_ *link.Conn, n wire.LoadNotice) { loads <- n.Load })
 	b.g.endpoint.Run = func(context.Context, wire.RunKey, *wire.Work, *stream.Buffer) (wire.Usage, *fault.Error) {
 		return wire.Usage{}, fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").WithRetryAt(time.Now().Add(time.Minute))
 	}
 	c := b.dial(t)
 	b.run(t, c, "run", 1)
 	select {
-	case l := <-told:
-		if l.RestMs <= 0 || l.RestMs > time.Minute.Milliseconds() {
-			t.Errorf("told at once: got %d ms of rest, want up to a minute", l.RestMs)
+	case l := <-loads:
+		if l.BackoffMs <= 0 || l.BackoffMs > time.Minute.Milliseconds() {
+			t.Errorf("told at once: got %d ms of rest, want up to a minute", l.BackoffMs)
 		}
 	case <-time.After(10 * time.Second):
 		t.Error("told at once: got nothing")
 	}
-	var reply wire.BeatReply
-	if err := c.Call(t.Context(), wire.MethodBeat, wire.Beat{}, &reply); err != nil || reply.Load.RestMs <= 0 {
-		t.Errorf("with a heartbeat: got %d ms of rest, %v, want some", reply.Load.RestMs, err)
+	var reply wire.HeartbeatReply
+	if err := c.Call(t.Context(), wire.MethodHeartbeat, wire.Heartbeat{}, &reply); err != nil || reply.Load.BackoffMs <= 0 {
+		t.Errorf("with a heartbeat: got %d ms of rest, %v, want some", reply.Load.BackoffMs, err)
 	}
 }
--- a/internal/guard/bills.go
+++ b/internal/guard/bills.go
@@ -11,8 +11,8 @@
 	"github.com/traildrift/traildrift/pkg/bill"
 )
 
-// unbilled is a bill line that waits for its entry.
-type unbilled struct {
+// unbilledLine is a bill line that waits for its entry.
+type unbilledLine struct {
 	line bill.Line
 	// entry is the link of the entry that should bill it.
 	entry *link.Conn
@@ -20,11 +20,11 @@
 	writeAt time.Time
 }
 
-// billNow writes every line that no entry has confirmed.
-func (g *Guard) billNow() {
+// billAll writes every line that no entry has confirmed.
+func (g *Guard) billAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for key, u := range g.unbilled {
+	for key, u := range g.unbilledLines {
 		g.billLocked(key, u.line)
 	}
 }
@@ -33,7 +33,7 @@
 	if !g.bills.Add(line) {
 		return
 	}
-	delete(g.unbilled, key)
+	delete(g.unbilledLines, key)
 	if r, ok := g.runs[key]; ok {
 		r.billed = true
 	}
@@ -42,7 +42,7 @@
 // settle notes that the entry has billed a run, and gives up its answer, which
 // the entry had whole; g.mu is held.
 func (g *Guard) settle(key wire.RunKey) {
-	delete(g.unbilled, key)
+	delete(g.unbilledLines, key)
 	if r, ok := g.runs[key]; ok {
 		r.settled = true
 		r.buf.Release()
--- a/internal/guard/crash.go
+++ b/internal/guard/crash.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// crashesMost bounds the runs that are told to entries as having been under way when the
+	// maxCrashes bounds the runs that are told to entries as having been under way when the
 	// endpoint crashed: those of an engine with 64 slots.
-	crashesMost = 64
-	// crashesFor is how long they are told. Entries that lost their link are back sooner.
-	crashesFor = 10 * time.Second
-	// crashedWithin bounds the question whether the endpoint beside the guard has crashed,
+	maxCrashes = 64
+	// crashTTL is how long they are told. Entries that lost their link are back sooner.
+	crashTTL = 10 * time.Second
+	// crashProbeTimeout bounds the question whether the endpoint beside the guard has crashed,
 	// which a failed run waits for: on one VM a port answers or refuses at once.
-	crashedWithin = 100 * time.Millisecond
-	// crashGather is how long word of a crash waits for the other runs that it broke off.
-	crashGather = config.Span(5 * time.Millisecond)
+	crashProbeTimeout = 100 * time.Millisecond
+	// crashBatchDelay is how long word of a crash waits for the other runs that it broke off.
+	crashBatchDelay = config.Span(5 * time.Millisecond)
 )
 
 // crash is a run that was under way when the endpoint crashed.
@@ -38,16 +38,16 @@
 	age         time.Duration
 }
 
-// askCrashed finds out whether a run that broke off did so as the endpoint crashed: its port
+// detectCrash finds out whether a run that broke off did so as the endpoint crashed: its port
 // refuses. If so all entries are told under which request, as it may be the cause, and its
 // repeats may come to any of them. r.work is still there.
-func (g *Guard) askCrashed(r *record, begun time.Time, err *fault.Error) {
+func (g *Guard) detectCrash(r *record, startedAt time.Time, err *fault.Error) {
 	if err == nil || err.Kind != fault.EndpointLost || err.Run == fault.NotRun || r.work.Fingerprint == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(g.kill, crashedWithin)
+	ctx, cancel := context.WithTimeout(g.kill, crashProbeTimeout)
 	defer cancel()
-	if _, alive := g.endpoint.Alive(ctx); alive == nil || ctx.Err() != nil {
+	if _, alive := g.endpoint.Probe(ctx); alive == nil || ctx.Err() != nil {
 		return
 	}
 	now := g.Now()
@@ -56,41 +56,41 @@
 	// Until it is seen alive again no entry sends it anything, which would be refused.
 	g.down = true
 	g.crashSeq++
-	g.crashes = append(g.crashes, crash{g.crashSeq, r.work.Fingerprint, now, now.Sub(begun)})
-	g.crashes = g.crashes[max(len(g.crashes)-crashesMost, 0):]
+	g.crashes = append(g.crashes, crash{g.crashSeq, r.work.Fingerprint, now, now.Sub(startedAt)})
+	g.crashes = g.crashes[max(len(g.crashes)-maxCrashes, 0):]
 	g.Log.Warn("guard: The endpoint has crashed under a run.", zap.String("run", runID(r.key)), zap.String("fingerprint", r.work.Fingerprint))
 	select {
-	case g.crashed <- struct{}{}:
+	case g.crashSignal <- struct{}{}:
 	default:
 	}
 }
 
 // recentCrashes returns the crashes as they are told; g.mu is held.
-func (g *Guard) recentCrashes(now time.Time) (told []wire.Crash) {
-	g.crashes = slices.DeleteFunc(g.crashes, func(c crash) bool { return now.Sub(c.at) > crashesFor })
+func (g *Guard) recentCrashes(now time.Time) (crashes []wire.Crash) {
+	g.crashes = slices.DeleteFunc(g.crashes, func(c crash) bool { return now.Sub(c.at) > crashTTL })
 	for _, c := range g.crashes {
-		told = append(told, wire.Crash{Seq: c.seq, Fingerprint: c.fingerprint, AgoMs: now.Sub(c.at).Milliseconds(), AgeMs: c.age.Milliseconds()})
+		crashes = append(crashes, wire.Crash{Seq: c.seq, Fingerprint: c.fingerprint, CrashAgeMs: now.Sub(c.at).Milliseconds(), RunAgeMs: c.age.Milliseconds()})
 	}
-	return told
+	return crashes
 }
 
-// tellCrashes tells all entries of crashes at once until ctx is done.
-func (g *Guard) tellCrashes(ctx context.Context) error {
+// broadcastCrashes tells all entries of crashes at once until ctx is done.
+func (g *Guard) broadcastCrashes(ctx context.Context) error {
 	for {
 		select {
-		case <-g.crashed:
-			tasks.Pause(ctx, crashGather.After(time.Now()))
-			g.notifyLoad(ctx)
+		case <-g.crashSignal:
+			tasks.Pause(ctx, crashBatchDelay.After(time.Now()))
+			g.broadcastLoad(ctx)
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// notifyLoad tells all entries the load.
-func (g *Guard) notifyLoad(ctx context.Context) {
+// broadcastLoad tells all entries the load.
+func (g *Guard) broadcastLoad(ctx context.Context) {
 	g.mu.Lock()
-	notice := wire.LoadNotice{Stamp: g.Stamp(), Load: g.load()}
+	notice := wire.LoadNotice{Stamp: g.Stamp(), Load: g.currentLoad()}
 	links := g.entryLinks()
 	g.mu.Unlock()
 	for _, l := range links {
--- a/internal/guard/drain.go
+++ b/internal/guard/drain.go
@@ -27,12 +27,12 @@
 		}
 	}
 	g.Log.Info("guard: Leaving.", zap.Int("running", g.queue.Running()))
-	g.tellLoad()
+	g.broadcastLoadAsync()
 }
 
-// tellLoad tells all entries the load without waiting for them; g.mu is held.
-func (g *Guard) tellLoad() {
-	notice := wire.LoadNotice{Stamp: g.Stamp(), Load: g.load()}
+// broadcastLoadAsync tells all entries the load without waiting for them; g.mu is held.
+func (g *Guard) broadcastLoadAsync() {
+	notice := wire.LoadNotice{Stamp: g.Stamp(), Load: g.currentLoad()}
 	for _, l := range g.entryLinks() {
 		g.Tasks.Go(g.kill, "load notice", func(ctx context.Context) error {
 			return l.conn.Notify(ctx, wire.MethodLoad, notice)
@@ -42,13 +42,13 @@
 
 // drain waits for the running runs and writes the bills.
 func (g *Guard) drain(kill context.Context) error {
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	linger := lingerFor.After(time.Now())
+	linger := releaseTimeout.After(time.Now())
 	for {
 		running, linked := g.busy()
 		if running > 0 {
-			linger = lingerFor.After(time.Now())
+			linger = releaseTimeout.After(time.Now())
 		} else if linked == 0 || time.Now().After(linger) {
 			break
 		}
@@ -58,7 +58,7 @@
 			return errors.Newf("guard: %d runs were cut off", running)
 		}
 	}
-	g.billNow()
+	g.billAll()
 	return g.bills.Flush(kill)
 }
 
--- a/internal/guard/endpoint.go
+++ b/internal/guard/endpoint.go
@@ -37,11 +37,11 @@
 	// Run does the work once and appends the answer to b under attempt 0. It
 	// returns what is billed, and nil for a whole answer.
 	Run func(ctx context.Context, key wire.RunKey, w *wire.Work, b *stream.Buffer) (wire.Usage, *fault.Error)
-	// Alive returns nil if the endpoint takes connections, and the versions
+	// Probe returns nil if the endpoint takes connections, and the versions
 	// that an engine says it has, as model@version; nil if it does not say.
-	Alive func(ctx context.Context) ([]string, error)
-	// Load has an engine load a version, under a fence that grows.
-	Load func(ctx context.Context, o *wire.Order) error
+	Probe func(ctx context.Context) ([]string, error)
+	// LoadVersion has an engine load a version, under a fence that grows.
+	LoadVersion func(ctx context.Context, o *wire.Order) error
 }
 
 // client is the HTTP form of an Endpoint.
@@ -55,13 +55,13 @@
 var errDial = errors.New("guard: the endpoint takes no connection")
 
 const (
-	// dialWithin bounds the opening of a connection to the endpoint.
-	dialWithin = time.Second
-	// resumeMost is how many resumptions of a cut answer in a row may bring nothing. One that
+	// dialTimeout bounds the opening of a connection to the endpoint.
+	dialTimeout = time.Second
+	// maxIdleResumes is how many resumptions of a cut answer in a row may bring nothing. One that
 	// brings it forward starts the count anew: the run goes on, and its deadline bounds it.
-	resumeMost = 3
-	// readSize is the size of one read of an answer.
-	readSize = 16 << 10
+	maxIdleResumes = 3
+	// readBufferBytes is the size of one read of an answer.
+	readBufferBytes = 16 << 10
 )
 
 // NewEndpoint returns an Endpoint of the given kind at addr.
@@ -71,26 +71,26 @@
 		Addr:                addr.String(),
 		MaxConns:            4096,
 		StreamResponseBody:  true,
-		MaxResponseBodySize: maxAnswer,
+		MaxResponseBodySize: maxAnswerBytes,
 		RetryIfErr:          func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		Dial:                dialEndpoint,
 		// A kept connection that the endpoint has closed would make a run
 		// that never started look like one that may have.
 		MaxIdleConnDuration: time.Second,
 	}
-	return &Endpoint{Run: c.run, Alive: c.alive, Load: c.load}
+	return &Endpoint{Run: c.run, Probe: c.probe, LoadVersion: c.loadVersion}
 }
 
 func dialEndpoint(addr string) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", addr, dialWithin)
+	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, errors.Mark(err, errDial)
 	}
 	return conn, nil
 }
 
-func (c *client) alive(ctx context.Context) ([]string, error) {
-	d := net.Dialer{Timeout: dialWithin}
+func (c *client) probe(ctx context.Context) ([]string, error) {
+	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", c.addr.String())
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	var report struct {
 		Versions []string `json:"versions"`
 	}
-	if body, err := c.ask(fasthttp.MethodGet, "/load", nil, time.Now().Add(dialWithin)); err == nil {
+	if body, err := c.request(fasthttp.MethodGet, "/load", nil, time.Now().Add(dialTimeout)); err == nil {
 		_ = json.Unmarshal(body, &report)
 	}
 	return report.Versions, nil
@@ -114,20 +114,20 @@
 	Model  string `json:"model"`
 }
 
-// loadWithin bounds one load.
-const loadWithin = time.Minute
+// versionLoadTimeout bounds one load.
+const versionLoadTimeout = time.Minute
 
-func (c *client) load(_ context.Context, o *wire.Order) error {
+func (c *client) loadVersion(_ context.Context, o *wire.Order) error {
 	body, err := json.Marshal(engineOrder{Fence: o.Fence, Action: "load", Model: o.Model + "@" + o.Version})
 	if err != nil {
 		return err
 	}
-	_, err = c.ask(fasthttp.MethodPost, "/v1/orders", body, time.Now().Add(loadWithin))
+	_, err = c.request(fasthttp.MethodPost, "/v1/orders", body, time.Now().Add(versionLoadTimeout))
 	return err
 }
 
-// ask makes one small call to the engine and returns the answer's body.
-func (c *client) ask(method, path string, body []byte, deadline time.Time) ([]byte, error) {
+// request makes one small call to the engine and returns the answer's body.
+func (c *client) request(method, path string, body []byte, deadline time.Time) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -159,7 +159,7 @@
 	stop := context.AfterFunc(ctx, func() { c.cancel(key) })
 	defer stop()
 	err := c.call(w, b, func(req *fasthttp.Request) { c.prepare(req, key, w) })
-	for idle := 0; idle < resumeMost && c.resumable(err, b) && ctx.Err() == nil; {
+	for idle := 0; idle < maxIdleResumes && c.resumable(err, b) && ctx.Err() == nil; {
 		had := b.Len()
 		err = c.call(w, b, func(req *fasthttp.Request) { c.prepareResume(req, key, had) })
 		if b.Len() > had {
@@ -171,7 +171,7 @@
 	body := b.Bytes()
 	usage := readUsage(body)
 	if err == nil && w.Model != "" {
-		err = checkWhole(body, w.Stream)
+		err = checkComplete(body, w.Stream)
 	}
 	return usage, err
 }
@@ -241,7 +241,7 @@
 
 func appendBody(resp *fasthttp.Response, b *stream.Buffer) *fault.Error {
 	r := bodyOf(resp)
-	p := make([]byte, readSize)
+	p := make([]byte, readBufferBytes)
 	for {
 		n, err := r.Read(p)
 		if n > 0 {
@@ -258,8 +258,8 @@
 	}
 }
 
-// checkWhole looks for the end marker of a model's answer.
-func checkWhole(body []byte, streamed bool) *fault.Error {
+// checkComplete looks for the end marker of a model's answer.
+func checkComplete(body []byte, streamed bool) *fault.Error {
 	if streamed && !strings.HasSuffix(strings.TrimSpace(string(tail(body))), endMarker) {
 		return fault.New(fault.NotWhole, fault.Ran, "The answer has no end marker.")
 	}
@@ -269,10 +269,10 @@
 	return nil
 }
 
-// tailSize is how much of an answer's end is looked at.
-const tailSize = 2 << 10
+// tailBytes is how much of an answer's end is looked at.
+const tailBytes = 2 << 10
 
-func tail(body []byte) []byte { return body[max(0, len(body)-tailSize):] }
+func tail(body []byte) []byte { return body[max(0, len(body)-tailBytes):] }
 
 // readUsage finds the usage that an engine reports at the end of an answer.
 func readUsage(body []byte) wire.Usage {
@@ -294,5 +294,5 @@
 	if c.kind != KindEngine {
 		return
 	}
-	_, _ = c.ask(fasthttp.MethodPost, "/v1/runs/"+runID(key)+"/cancel", nil, time.Now().Add(dialWithin))
+	_, _ = c.request(fasthttp.MethodPost, "/v1/runs/"+runID(key)+"/cancel", nil, time.Now().Add(dialTimeout))
 }
--- a/internal/guard/endpoint_test.go
+++ b/internal/guard/endpoint_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// runAgainst runs one request of a model against the engine.
-func runAgainst(t *testing.T, e *cutEngine) (string, *fault.Error) {
+// runWithEngine runs one request of a model against the engine.
+func runWithEngine(t *testing.T, e *cutEngine) (string, *fault.Error) {
 	t.Helper()
 	s := httptest.NewServer(e)
 	defer s.Close()
@@ -65,23 +65,23 @@
 // An answer of eighteen events, three to a connection, was lost half-way, though each
 // connection had brought it forward and its run went on: the guard resumed a fixed number of
 // times. Whether it came whole hung on how far the engine was ahead of the reader.
-func TestAnswerCutOftenIsWhole(t *testing.T) {
+func TestAnswerCutRepeatedlyIsComplete(t *testing.T) {
 	text := strings.Repeat("data: {}\n\n", 18) + endMarker + "\n\n"
 	e := &cutEngine{text: text, step: 3 * len("data: {}\n\n")}
-	got, err := runAgainst(t, e)
+	got, err := runWithEngine(t, e)
 	if err != nil || got != text {
 		t.Errorf("answer after %d calls: got %d bytes, %v, want %d bytes, nil", e.calls.Load(), len(got), err, len(text))
 	}
 }
 
 // Resumptions that bring nothing end after a few.
-func TestResumesThatBringNothingEnd(t *testing.T) {
+func TestIdleResumesAreBounded(t *testing.T) {
 	e := &cutEngine{text: strings.Repeat("x", 100)}
-	_, err := runAgainst(t, e)
+	_, err := runWithEngine(t, e)
 	if err == nil || err.Kind != fault.NotWhole {
 		t.Errorf("error: got %v, want %v", err, fault.NotWhole)
 	}
-	if got, want := int(e.calls.Load()), 1+resumeMost; got != want {
+	if got, want := int(e.calls.Load()), 1+maxIdleResumes; got != want {
 		t.Errorf("calls: got %d, want %d", got, want)
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -27,26 +27,26 @@
 )
 
 const (
-	// maxAnswer bounds one answer, in bytes.
-	maxAnswer = 8 << 20
+	// maxAnswerBytes bounds one answer, in bytes.
+	maxAnswerBytes = 8 << 20
 	// spareHandlers is how many link messages beyond runs are handled at a
 	// time.
 	spareHandlers = 128
-	// lingerFor bounds how long a leaving guard without runs waits for entries
+	// releaseTimeout bounds how long a leaving guard without runs waits for entries
 	// that do not say that they know.
-	lingerFor = config.Span(3 * time.Second)
-	// tickEvery is how often deadlines are looked at.
-	tickEvery = 100 * time.Millisecond
-	// orphanAfter is how long after the end of an entry's link its runs are
+	releaseTimeout = config.Span(3 * time.Second)
+	// tickInterval is how often deadlines are looked at.
+	tickInterval = 100 * time.Millisecond
+	// orphanBillDelay is how long after the end of an entry's link its runs are
 	// billed here; if the entry comes back and bills them too, folding makes
 	// one line of both.
-	orphanAfter = config.Span(200 * time.Millisecond)
-	// drainPoll is how often a leaving guard looks whether it is done.
-	drainPoll = 10 * time.Millisecond
-	// aliveEvery is how often the endpoint is tried.
-	aliveEvery = time.Second
-	// billsHeld bounds the bill lines that wait for the platform.
-	billsHeld = 100_000
+	orphanBillDelay = config.Span(200 * time.Millisecond)
+	// drainPollInterval is how often a leaving guard looks whether it is done.
+	drainPollInterval = 10 * time.Millisecond
+	// probeInterval is how often the endpoint is tried.
+	probeInterval = time.Second
+	// maxHeldBills bounds the bill lines that wait for the platform.
+	maxHeldBills = 100_000
 	// defaultBillAfter is how long after a run's deadline the guard waits for
 	// an entry to bill it.
 	defaultBillAfter = config.Span(30 * time.Second)
@@ -67,23 +67,23 @@
 	// leaving says that no new work is taken; it never goes back.
 	leaving bool
 	down    bool
-	// restsUntil is until when the engine wants no run; it only grows.
-	restsUntil time.Time
+	// backoffUntil is until when the engine wants no run; it only grows.
+	backoffUntil time.Time
 	// versions lists what the engine has loaded; nil if it does not say.
 	versions []string
-	// loads holds the loads of versions that are under way.
-	loads map[string]*load
+	// versionLoads holds the versionLoads of versions that are under way.
+	versionLoads map[string]*versionLoad
 	// fence is the highest one of the orders taken; it only grows.
 	fence int64
-	// unbilled holds the lines that no entry has confirmed yet.
-	unbilled map[wire.RunKey]unbilled
+	// unbilledLines holds the lines that no entry has confirmed yet.
+	unbilledLines map[wire.RunKey]unbilledLine
 	// crashes are the latest runs under which the endpoint crashed, by their rising numbers;
 	// crashSeq is the last of these. crashed says that there are new ones.
-	crashes  []crash
-	crashSeq uint64
-	crashed  chan struct{}
-	bills    *ledger.Writer[bill.Line]
-	counts   counts
+	crashes     []crash
+	crashSeq    uint64
+	crashSignal chan struct{}
+	bills       *ledger.Writer[bill.Line]
+	metrics     guardMetrics
 }
 
 // peerLink is the newest link of an entry.
@@ -94,8 +94,8 @@
 	released bool
 }
 
-// counts are the guard's metrics.
-type counts struct {
+// guardMetrics are the guard's metrics.
+type guardMetrics struct {
 	started, refused, tombstones, duplicates tally.Counter
 	running, queued                          tally.Gauge
 }
@@ -106,13 +106,13 @@
 		s.BillAfter = defaultBillAfter
 	}
 	g := &Guard{
-		settings: s,
-		endpoint: NewEndpoint(s.Kind, s.Endpoint),
-		runs:     make(map[wire.RunKey]*record),
-		links:    make(map[string]*peerLink),
-		loads:    make(map[string]*load),
-		unbilled: make(map[wire.RunKey]unbilled),
-		crashed:  make(chan struct{}, 1),
+		settings:      s,
+		endpoint:      NewEndpoint(s.Kind, s.Endpoint),
+		runs:          make(map[wire.RunKey]*record),
+		links:         make(map[string]*peerLink),
+		versionLoads:  make(map[string]*versionLoad),
+		unbilledLines: make(map[wire.RunKey]unbilledLine),
+		crashSignal:   make(chan struct{}, 1),
 	}
 	limits := admit.Limits{Slots: s.Slots, Reserved: s.Reserved, MaxWaiting: s.Waiting}
 	if s.AgeAfter > 0 {
@@ -122,7 +122,7 @@
 	p, err := proc.New(s.Common, proc.Options{
 		Role:     store.RoleEndpoint,
 		Handlers: s.Slots + s.Waiting + spareHandlers,
-		OnMove:   g.onMove,
+		OnMove:   g.onSettingsChange,
 		OnProven: g.onProven,
 		State:    g.state,
 	})
@@ -131,20 +131,20 @@
 	}
 	g.Proc = p
 	g.bills = ledger.New(p.Log, p.Store, ledger.Options[bill.Line]{
-		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: billsHeld, Every: p.Common.WriteEvery,
+		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: maxHeldBills, Every: p.Common.WriteEvery,
 	})
-	g.count()
-	link.On(p.Local.Mux, wire.MethodBeat, g.handleBeat)
-	link.On(p.Local.Mux, wire.MethodRun, g.handleRun)
-	link.On(p.Local.Mux, wire.MethodAsk, g.handleAsk)
-	link.Inline(p.Local.Mux, wire.MethodCancel, g.handleCancel)
-	link.On(p.Local.Mux, wire.MethodOrder, g.handleOrder)
+	g.initMetrics()
+	link.Handle(p.Local.Mux, wire.MethodHeartbeat, g.handleHeartbeat)
+	link.Handle(p.Local.Mux, wire.MethodRun, g.handleRun)
+	link.Handle(p.Local.Mux, wire.MethodRunQuery, g.handleRunQuery)
+	link.HandleInline(p.Local.Mux, wire.MethodCancel, g.handleCancel)
+	link.Handle(p.Local.Mux, wire.MethodOrder, g.handleOrder)
 	return g, nil
 }
 
-func (g *Guard) count() {
+func (g *Guard) initMetrics() {
 	s := g.Scope.SubScope("guard")
-	g.counts = counts{
+	g.metrics = guardMetrics{
 		started:    s.Counter("runs_started"),
 		refused:    s.Counter("runs_refused"),
 		tombstones: s.Counter("tombstones"),
@@ -163,8 +163,8 @@
 	defer end()
 	g.Start(ctx)
 	g.Tasks.Go(ctx, "ticks", g.tick)
-	g.Tasks.Go(ctx, "alive", g.watchEndpoint)
-	g.Tasks.Go(ctx, "crashes", g.tellCrashes)
+	g.Tasks.Go(ctx, "alive", g.probeEndpoint)
+	g.Tasks.Go(ctx, "crashes", g.broadcastCrashes)
 	g.Tasks.Go(ctx, "bills", g.bills.Run)
 	g.Log.Info("guard: Serving.", zap.String("vm", g.Common.VM), zap.String("pool", g.settings.Pool))
 	<-stages.Stop.Done()
@@ -178,20 +178,20 @@
 
 // tick looks at deadlines until ctx is done.
 func (g *Guard) tick(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			g.step(g.Now())
+			g.sweep(g.Now())
 		}
 	}
 }
 
-// step expires waiting runs, forgets old ones and bills orphans.
-func (g *Guard) step(now time.Time) {
+// sweep expires waiting runs, forgets old ones and bills orphans.
+func (g *Guard) sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, it := range g.queue.Expire(now, nil) {
@@ -200,28 +200,28 @@
 		}
 	}
 	g.admitNext(g.queue.Next(now, nil))
-	g.forget(now)
+	g.evictRecords(now)
 	maps.DeleteFunc(g.links, func(_ string, l *peerLink) bool { return tasks.IsDone(l.conn.Done()) })
-	for key, u := range g.unbilled {
+	for key, u := range g.unbilledLines {
 		if now.After(u.writeAt) {
 			g.billLocked(key, u.line)
 			continue
 		}
-		if at := orphanAfter.After(now); tasks.IsDone(u.entry.Done()) && at.Before(u.writeAt) {
+		if at := orphanBillDelay.After(now); tasks.IsDone(u.entry.Done()) && at.Before(u.writeAt) {
 			u.writeAt = at
-			g.unbilled[key] = u
+			g.unbilledLines[key] = u
 		}
 	}
-	g.counts.running.Update(float64(g.queue.Running()))
-	g.counts.queued.Update(float64(g.queue.Waiting()))
+	g.metrics.running.Update(float64(g.queue.Running()))
+	g.metrics.queued.Update(float64(g.queue.Waiting()))
 }
 
-// watchEndpoint tries the endpoint until ctx is done.
-func (g *Guard) watchEndpoint(ctx context.Context) error {
-	t := time.NewTicker(aliveEvery)
+// probeEndpoint tries the endpoint until ctx is done.
+func (g *Guard) probeEndpoint(ctx context.Context) error {
+	t := time.NewTicker(probeInterval)
 	defer t.Stop()
 	for {
-		versions, err := g.endpoint.Alive(ctx)
+		versions, err := g.endpoint.Probe(ctx)
 		g.mu.Lock()
 		changed := g.down != (err != nil)
 		g.down = err != nil
@@ -238,15 +238,15 @@
 	}
 }
 
-// onMove takes withdrawn versions out of the queue: queued work is new work.
-func (g *Guard) onMove(s *config.Snapshot) {
+// onSettingsChange takes withdrawn versions out of the queue: queued work is new work.
+func (g *Guard) onSettingsChange(s *config.Snapshot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range g.runs {
 		if r.phase != phaseQueued {
 			continue
 		}
-		if refused := g.notAllowed(s, &r.work); refused != nil && g.queue.Remove(r.queueID()) {
+		if refused := g.checkAllowed(s, &r.work); refused != nil && g.queue.Remove(r.queueID()) {
 			g.tombstone(r, wire.RunReply{Err: refused})
 		}
 	}
@@ -262,8 +262,8 @@
 	g.links[c.Peer.Incarnation] = &peerLink{conn: c}
 }
 
-// notAllowed returns why the settings forbid new work, or nil.
-func (g *Guard) notAllowed(s *config.Snapshot, w *wire.Work) *fault.Error {
+// checkAllowed returns why the settings forbid new work, or nil.
+func (g *Guard) checkAllowed(s *config.Snapshot, w *wire.Work) *fault.Error {
 	if w.Model == "" {
 		return nil
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -48,10 +48,10 @@
 
 // slowEngine answers "answer" in two pieces, the second once release is closed.
 type slowEngine struct {
-	mu      sync.Mutex
-	runs    map[wire.RunKey]int
-	begun   chan wire.RunKey
-	release chan struct{}
+	mu          sync.Mutex
+	runs        map[wire.RunKey]int
+	startedKeys chan wire.RunKey
+	release     chan struct{}
 }
 
 func (s *slowEngine) run(ctx context.Context, key wire.RunKey, _ *wire.Work, b *stream.Buffer) (wire.Usage, *fault.Error) {
@@ -59,7 +59,7 @@
 	s.runs[key]++
 	s.mu.Unlock()
 	_ = b.Append(0, 0, []byte("ans"))
-	s.begun <- key
+	s.startedKeys <- key
 	select {
 	case <-s.release:
 	case <-ctx.Done():
@@ -69,11 +69,11 @@
 	return wire.Usage{CompletionTokens: 2}, nil
 }
 
-// started waits until a run has begun.
-func (s *slowEngine) started(t *testing.T) wire.RunKey {
+// waitStarted waits until a run has begun.
+func (s *slowEngine) waitStarted(t *testing.T) wire.RunKey {
 	t.Helper()
 	select {
-	case key := <-s.begun:
+	case key := <-s.startedKeys:
 		return key
 	case <-time.After(10 * time.Second):
 		t.Fatal("no run has begun")
@@ -87,8 +87,8 @@
 	return s.runs[key]
 }
 
-// bench is a guard with one slot and a caller that speaks as an entry does.
-type bench struct {
+// harness is a guard with one slot and a caller that speaks as an entry does.
+type harness struct {
 	g      *Guard
 	engine *slowEngine
 	holder *spread.Holder
@@ -101,7 +101,7 @@
 	ended chan error
 }
 
-func startBench(t *testing.T) *bench {
+func startHarness(t *testing.T) *harness {
 	t.Helper()
 	keys := filepath.Join(t.TempDir(), "keys.yaml")
 	if err := os.WriteFile(keys, []byte(keysYAML), 0o600); err != nil {
@@ -119,9 +119,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{g: g, bufs: make(map[wire.RunKey]*stream.Buffer)}
-	b.engine = &slowEngine{runs: make(map[wire.RunKey]int), begun: make(chan wire.RunKey, 16), release: make(chan struct{})}
-	g.endpoint = &Endpoint{Run: b.engine.run, Alive: func(context.Context) ([]string, error) { return nil, nil }}
+	b := &harness{g: g, bufs: make(map[wire.RunKey]*stream.Buffer)}
+	b.engine = &slowEngine{runs: make(map[wire.RunKey]int), startedKeys: make(chan wire.RunKey, 16), release: make(chan struct{})}
+	g.endpoint = &Endpoint{Run: b.engine.run, Probe: func(context.Context) ([]string, error) { return nil, nil }}
 	stop, cancelStop := context.WithCancel(context.Background())
 	kill, cancelKill := context.WithCancel(context.Background())
 	b.stop, b.ended = cancelStop, make(chan error, 1)
@@ -136,8 +136,8 @@
 		}
 	})
 	b.holder = spread.New(zap.NewNop(), time.Now, nil)
-	b.move(t, serving)
-	b.local = b.localWith(t, keyHex, "entry-1")
+	b.applySettings(t, serving)
+	b.local = b.newLocal(t, keyHex, "entry-1")
 	return b
 }
 
@@ -152,20 +152,20 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// localWith returns a caller with a link key and an incarnation.
-func (b *bench) localWith(t *testing.T, hex, incarnation string) *link.Local {
+// newLocal returns a caller with a link key and an incarnation.
+func (b *harness) newLocal(t *testing.T, hex, incarnation string) *link.Local {
 	t.Helper()
 	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: hex}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	mux := link.NewMux(func(task func()) error { go task(); return nil }, nil)
-	link.On(mux, wire.MethodDelta, b.holder.Serve)
-	link.Inline(mux, wire.MethodChunk, func(_ *link.Conn, c wire.Chunk) { _ = b.buf(c.Key).Append(0, c.Offset, c.Data) })
+	link.Handle(mux, wire.MethodDelta, b.holder.Serve)
+	link.HandleInline(mux, wire.MethodChunk, func(_ *link.Conn, c wire.Chunk) { _ = b.buf(c.Key).Append(0, c.Offset, c.Data) })
 	return &link.Local{Identity: wire.Identity{VM: "e", Role: store.RoleEntry, Incarnation: incarnation}, Keys: ring, Mux: mux, Revision: b.holder.Revision}
 }
 
-func (b *bench) buf(key wire.RunKey) *stream.Buffer {
+func (b *harness) buf(key wire.RunKey) *stream.Buffer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.bufs[key] == nil {
@@ -174,8 +174,8 @@
 	return b.bufs[key]
 }
 
-// move puts settings in force at the caller.
-func (b *bench) move(t *testing.T, text string) {
+// applySettings puts settings in force at the caller.
+func (b *harness) applySettings(t *testing.T, text string) {
 	t.Helper()
 	f, err := config.ParseFile("bench", []byte(text))
 	if err != nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-func (b *bench) dial(t *testing.T) *link.Conn {
+func (b *harness) dial(t *testing.T) *link.Conn {
 	t.Helper()
 	c, err := b.local.Dial(t.Context(), b.g.LinkAddr())
 	if err != nil {
@@ -202,17 +202,17 @@
 }
 
 // run asks for a run of version 1 under the given revision.
-func (b *bench) run(t *testing.T, c *link.Conn, id string, revision int64) wire.RunReply {
+func (b *harness) run(t *testing.T, c *link.Conn, id string, revision int64) wire.RunReply {
 	t.Helper()
 	var reply wire.RunReply
-	if err := c.Call(context.Background(), wire.MethodRun, b.wanted(id, revision), &reply); err != nil {
+	if err := c.Call(context.Background(), wire.MethodRun, b.newRun(id, revision), &reply); err != nil {
 		reply.Err = fault.From(err, fault.MayHaveRun)
 	}
 	return reply
 }
 
-// wanted is a run of version 1 under the given revision.
-func (b *bench) wanted(id string, revision int64) *wire.Run {
+// newRun is a run of version 1 under the given revision.
+func (b *harness) newRun(id string, revision int64) *wire.Run {
 	return &wire.Run{
 		Stamp: wire.Stamp{Revision: revision},
 		Key:   wire.RunKey{RunID: id, Attempt: 1},
@@ -221,25 +221,25 @@
 	}
 }
 
-// later runs in the background.
-func (b *bench) later(t *testing.T, c *link.Conn, id string) <-chan wire.RunReply {
+// runAsync runs in the background.
+func (b *harness) runAsync(t *testing.T, c *link.Conn, id string) <-chan wire.RunReply {
 	out := make(chan wire.RunReply, 1)
 	go func() { out <- b.run(t, c, id, b.holder.Revision()) }()
 	return out
 }
 
-func (b *bench) ask(t *testing.T, c *link.Conn, id, guard string, offset int) wire.RunReply {
+func (b *harness) queryRun(t *testing.T, c *link.Conn, id, guard string, offset int) wire.RunReply {
 	t.Helper()
 	var reply wire.RunReply
-	p := wire.Ask{Key: wire.RunKey{RunID: id, Attempt: 1}, Guard: guard, Offset: offset, Deadline: time.Now().Add(time.Minute)}
-	if err := c.Call(t.Context(), wire.MethodAsk, p, &reply); err != nil {
+	p := wire.RunQuery{Key: wire.RunKey{RunID: id, Attempt: 1}, Guard: guard, Offset: offset, Deadline: time.Now().Add(time.Minute)}
+	if err := c.Call(t.Context(), wire.MethodRunQuery, p, &reply); err != nil {
 		t.Fatal(err)
 	}
 	return reply
 }
 
 // waitQueued waits until n runs wait in the guard's queue.
-func (b *bench) waitQueued(t *testing.T, n int) {
+func (b *harness) waitQueued(t *testing.T, n int) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		b.g.mu.Lock()
@@ -252,7 +252,7 @@
 	t.Fatalf("there are not %d waiting runs", n)
 }
 
-func check(t *testing.T, what string, got wire.RunReply, kind fault.Kind, run fault.RunState) {
+func checkReply(t *testing.T, what string, got wire.RunReply, kind fault.Kind, run fault.RunState) {
 	t.Helper()
 	if kind == "" {
 		if got.Err != nil {
@@ -266,74 +266,74 @@
 }
 
 func TestRunOnce(t *testing.T) {
-	b := startBench(t)
+	b := startHarness(t)
 	c := b.dial(t)
-	first := b.later(t, c, "r")
-	key := b.engine.started(t)
-	check(t, "the same run again", b.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
+	first := b.runAsync(t, c, "r")
+	key := b.engine.waitStarted(t)
+	checkReply(t, "the same run again", b.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
 	close(b.engine.release)
-	check(t, "the first", <-first, "", "")
-	check(t, "the same run after its end", b.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
+	checkReply(t, "the first", <-first, "", "")
+	checkReply(t, "the same run after its end", b.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
 	if got := b.engine.count(key); got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
 }
 
 func TestTombstone(t *testing.T) {
-	b := startBench(t)
+	b := startHarness(t)
 	c := b.dial(t)
-	check(t, "asked about a run never seen", b.ask(t, c, "r", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
-	check(t, "the run arrives late", b.run(t, c, "r", 1), fault.EndpointLost, fault.NotRun)
-	check(t, "asked of another incarnation", b.ask(t, c, "s", "before", 0), fault.EndpointLost, fault.MayHaveRun)
+	checkReply(t, "asked about a run never seen", b.queryRun(t, c, "r", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "the run arrives late", b.run(t, c, "r", 1), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "asked of another incarnation", b.queryRun(t, c, "s", "before", 0), fault.EndpointLost, fault.MayHaveRun)
 	if got := len(b.engine.runs); got != 0 {
 		t.Errorf("runs: got %d, want 0", got)
 	}
 }
 
-// TestOldLink refuses what arrives over a link that the peer has replaced.
-func TestOldLink(t *testing.T) {
-	b := startBench(t)
+// TestSupersededLink refuses what arrives over a link that the peer has replaced.
+func TestSupersededLink(t *testing.T) {
+	b := startHarness(t)
 	old := b.dial(t)
 	fresh := b.dial(t)
-	check(t, "over the old link", b.run(t, old, "r", 1), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "over the old link", b.run(t, old, "r", 1), fault.EndpointLost, fault.NotRun)
 	close(b.engine.release)
-	check(t, "over the new link", b.run(t, fresh, "s", 1), "", "")
+	checkReply(t, "over the new link", b.run(t, fresh, "s", 1), "", "")
 }
 
-// TestAskAfterBreak gets the whole answer over a second link.
-func TestAskAfterBreak(t *testing.T) {
-	b := startBench(t)
+// TestQueryAfterBrokenLink gets the whole answer over a second link.
+func TestQueryAfterBrokenLink(t *testing.T) {
+	b := startHarness(t)
 	c := b.dial(t)
-	lost := b.later(t, c, "r")
-	key := b.engine.started(t)
+	lost := b.runAsync(t, c, "r")
+	key := b.engine.waitStarted(t)
 	c.Close()
 	if got := (<-lost).Err; got == nil {
 		t.Error("the broken link's call: got nil, want an error")
 	}
 	fresh := b.dial(t)
 	close(b.engine.release)
-	got := b.ask(t, fresh, "r", b.g.Identity.Incarnation, b.buf(key).Len())
-	check(t, "asked", got, "", "")
+	got := b.queryRun(t, fresh, "r", b.g.Identity.Incarnation, b.buf(key).Len())
+	checkReply(t, "asked", got, "", "")
 	if text := string(b.buf(key).Bytes()); text != "answer" || b.engine.count(key) != 1 {
 		t.Errorf("got %q after %d runs, want answer after 1", text, b.engine.count(key))
 	}
 }
 
-// TestAskAfterOwnBill keeps record and answer of a run that the guard has billed
+// TestQueryAfterGuardBilled keeps record and answer of a run that the guard has billed
 // itself while its link was cut, since the entry may still ask.
-func TestAskAfterOwnBill(t *testing.T) {
-	b := startBench(t)
+func TestQueryAfterGuardBilled(t *testing.T) {
+	b := startHarness(t)
 	c := b.dial(t)
-	lost := b.later(t, c, "r")
-	key := b.engine.started(t)
+	lost := b.runAsync(t, c, "r")
+	key := b.engine.waitStarted(t)
 	c.Close()
 	<-lost
 	close(b.engine.release)
 	for held := 0; held == 0; time.Sleep(time.Millisecond) {
 		held, _ = b.g.bills.Held()
 	}
-	b.g.step(time.Now())
-	check(t, "asked", b.ask(t, b.dial(t), "r", b.g.Identity.Incarnation, b.buf(key).Len()), "", "")
+	b.g.sweep(time.Now())
+	checkReply(t, "asked", b.queryRun(t, b.dial(t), "r", b.g.Identity.Incarnation, b.buf(key).Len()), "", "")
 	if text := string(b.buf(key).Bytes()); text != "answer" {
 		t.Errorf("got %q, want answer", text)
 	}
@@ -341,13 +341,13 @@
 
 // TestOrphan never starts a queued run whose link broke.
 func TestOrphan(t *testing.T) {
-	b := startBench(t)
+	b := startHarness(t)
 	keep, lose := b.dial(t), (*link.Conn)(nil)
-	first := b.later(t, keep, "first")
-	b.engine.started(t)
-	b.local = b.localWith(t, keyHex, "entry-2")
+	first := b.runAsync(t, keep, "first")
+	b.engine.waitStarted(t)
+	b.local = b.newLocal(t, keyHex, "entry-2")
 	lose = b.dial(t)
-	lost := b.later(t, lose, "orphan")
+	lost := b.runAsync(t, lose, "orphan")
 	b.waitQueued(t, 1)
 	b.g.mu.Lock()
 	noticed := b.g.links["entry-2"].conn.Done()
@@ -356,37 +356,37 @@
 	<-lost
 	<-noticed
 	close(b.engine.release)
-	check(t, "the first", <-first, "", "")
-	check(t, "asked about the orphan", b.ask(t, b.dial(t), "orphan", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "the first", <-first, "", "")
+	checkReply(t, "asked about the orphan", b.queryRun(t, b.dial(t), "orphan", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
 	if got := b.engine.count(wire.RunKey{RunID: "orphan", Attempt: 1}); got != 0 {
 		t.Errorf("runs of the orphan: got %d, want 0", got)
 	}
 }
 
 // guardLink returns the guard's side of the link of an incarnation.
-func (b *bench) guardLink(incarnation string) *link.Conn {
+func (b *harness) guardLink(incarnation string) *link.Conn {
 	b.g.mu.Lock()
 	defer b.g.mu.Unlock()
 	return b.g.links[incarnation].conn
 }
 
-// TestOrphanAdopted holds that a run whose link broke while it waited is closed as
+// TestOrphanNotRevivedByQuery holds that a run whose link broke while it waited is closed as
 // soon as its slot comes free: an entry that asks for it at that moment finds it
 // closed, and does not bring it back to life.
-func TestOrphanAdopted(t *testing.T) {
-	b := startBench(t)
-	first := b.later(t, b.dial(t), "first")
-	b.engine.started(t)
-	b.local = b.localWith(t, keyHex, "entry-2")
+func TestOrphanNotRevivedByQuery(t *testing.T) {
+	b := startHarness(t)
+	first := b.runAsync(t, b.dial(t), "first")
+	b.engine.waitStarted(t)
+	b.local = b.newLocal(t, keyHex, "entry-2")
 	lose := b.dial(t)
 	owner := b.guardLink("entry-2")
-	orphan := b.enter(t, owner, "orphan")
+	orphan := b.enqueue(t, owner, "orphan")
 	lose.Close()
 	<-owner.Done()
 	close(b.engine.release)
-	check(t, "the first", <-first, "", "")
+	checkReply(t, "the first", <-first, "", "")
 	b.dial(t)
-	adopted, _ := b.g.lookUp(b.guardLink("entry-2"), &wire.Ask{Key: orphan.key, Guard: b.g.Identity.Incarnation})
+	adopted, _ := b.g.lookUp(b.guardLink("entry-2"), &wire.RunQuery{Key: orphan.key, Guard: b.g.Identity.Incarnation})
 	if adopted != orphan {
 		t.Fatalf("record found: got %v, want the orphan's", adopted)
 	}
@@ -395,64 +395,64 @@
 	if orphan.phase != phaseTombstone {
 		t.Fatalf("the orphan is %s, want it closed when its slot came free", orphan.phase)
 	}
-	check(t, "the orphan", orphan.reply, fault.EndpointLost, fault.NotRun)
+	checkReply(t, "the orphan", orphan.reply, fault.EndpointLost, fault.NotRun)
 }
 
-// enter offers a run to the guard without anyone who waits for it.
-func (b *bench) enter(t *testing.T, c *link.Conn, id string) *record {
+// enqueue offers a run to the guard without anyone who waits for it.
+func (b *harness) enqueue(t *testing.T, c *link.Conn, id string) *record {
 	t.Helper()
-	r, refused := b.g.enter(c, b.wanted(id, b.holder.Revision()))
+	r, refused := b.g.enqueue(c, b.newRun(id, b.holder.Revision()))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	return r
 }
 
-// TestWithdrawn holds that a withdrawn version gets no new work, whether the
+// TestWithdrawnVersion holds that a withdrawn version gets no new work, whether the
 // entry or the guard hears of it first, and that running work may finish.
-func TestWithdrawn(t *testing.T) {
-	b := startBench(t)
+func TestWithdrawnVersion(t *testing.T) {
+	b := startHarness(t)
 	c := b.dial(t)
-	running := b.later(t, c, "running")
-	b.engine.started(t)
-	queued := b.later(t, c, "queued")
+	running := b.runAsync(t, c, "running")
+	b.engine.waitStarted(t)
+	queued := b.runAsync(t, c, "queued")
 	b.waitQueued(t, 1)
-	b.move(t, withdrawn)
-	check(t, "from an entry with newer settings", b.run(t, c, "newer", 2), fault.VersionWithdrawn, fault.NotRun)
-	check(t, "queued before", <-queued, fault.VersionWithdrawn, fault.NotRun)
+	b.applySettings(t, withdrawn)
+	checkReply(t, "from an entry with newer settings", b.run(t, c, "newer", 2), fault.VersionWithdrawn, fault.NotRun)
+	checkReply(t, "queued before", <-queued, fault.VersionWithdrawn, fault.NotRun)
 	got := b.run(t, c, "older", 1)
-	check(t, "from an entry with older settings", got, fault.VersionWithdrawn, fault.NotRun)
+	checkReply(t, "from an entry with older settings", got, fault.VersionWithdrawn, fault.NotRun)
 	if got.Revision != 2 {
 		t.Errorf("revision in the refusal: got %d, want 2", got.Revision)
 	}
 	close(b.engine.release)
-	check(t, "running before", <-running, "", "")
+	checkReply(t, "running before", <-running, "", "")
 }
 
-// TestLeaving refuses queued and new work as not run and lets running work
+// TestLeavingGuardRefusesWork refuses queued and new work as not run and lets running work
 // finish.
-func TestLeaving(t *testing.T) {
-	b := startBench(t)
+func TestLeavingGuardRefusesWork(t *testing.T) {
+	b := startHarness(t)
 	c := b.dial(t)
-	running := b.later(t, c, "running")
-	b.engine.started(t)
-	queued := b.later(t, c, "queued")
+	running := b.runAsync(t, c, "running")
+	b.engine.waitStarted(t)
+	queued := b.runAsync(t, c, "queued")
 	b.waitQueued(t, 1)
 	b.g.leave()
-	check(t, "queued", <-queued, fault.Stopping, fault.NotRun)
-	check(t, "new", b.run(t, c, "new", 1), fault.Stopping, fault.NotRun)
+	checkReply(t, "queued", <-queued, fault.Stopping, fault.NotRun)
+	checkReply(t, "new", b.run(t, c, "new", 1), fault.Stopping, fault.NotRun)
 	close(b.engine.release)
-	check(t, "running", <-running, "", "")
+	checkReply(t, "running", <-running, "", "")
 }
 
 // TestStopWaitsForEntries keeps a stopping guard there to refuse work until the
 // entry says that it has no run there and will send none.
 func TestStopWaitsForEntries(t *testing.T) {
-	b := startBench(t)
+	b := startHarness(t)
 	c := b.dial(t)
-	beat := func(released bool) (wire.BeatReply, error) {
-		var reply wire.BeatReply
-		return reply, c.Call(t.Context(), wire.MethodBeat, wire.Beat{Released: released}, &reply)
+	beat := func(released bool) (wire.HeartbeatReply, error) {
+		var reply wire.HeartbeatReply
+		return reply, c.Call(t.Context(), wire.MethodHeartbeat, wire.Heartbeat{Released: released}, &reply)
 	}
 	if _, err := beat(false); err != nil {
 		t.Fatal(err)
@@ -464,7 +464,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	check(t, "a run that was sent meanwhile", b.run(t, c, "late", 1), fault.Stopping, fault.NotRun)
+	checkReply(t, "a run that was sent meanwhile", b.run(t, c, "late", 1), fault.Stopping, fault.NotRun)
 	_, _ = beat(true)
 	select {
 	case err := <-b.ended:
@@ -478,8 +478,8 @@
 
 // TestLinkKey lets nobody in without the link key.
 func TestLinkKey(t *testing.T) {
-	b := startBench(t)
-	stranger := b.localWith(t, "ffffffffffffffffffffffffffffffff", "stranger")
+	b := startHarness(t)
+	stranger := b.newLocal(t, "ffffffffffffffffffffffffffffffff", "stranger")
 	if _, err := stranger.Dial(t.Context(), b.g.LinkAddr()); !errors.Is(err, link.ErrProof) {
 		t.Errorf("with another key: got %v, want %v", err, link.ErrProof)
 	}
--- a/internal/guard/handle.go
+++ b/internal/guard/handle.go
@@ -19,8 +19,8 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// handleBeat answers an entry's heartbeat with the load.
-func (g *Guard) handleBeat(_ context.Context, c *link.Conn, p wire.Beat) (wire.BeatReply, error) {
+// handleHeartbeat answers an entry's heartbeat with the load.
+func (g *Guard) handleHeartbeat(_ context.Context, c *link.Conn, p wire.Heartbeat) (wire.HeartbeatReply, error) {
 	g.Holder.Heard()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,38 +30,38 @@
 	for _, key := range p.Settled {
 		g.settle(key)
 	}
-	return wire.BeatReply{Stamp: g.Stamp(), Load: g.load()}, nil
+	return wire.HeartbeatReply{Stamp: g.Stamp(), Load: g.currentLoad()}, nil
 }
 
-// load returns what the guard says of its endpoint; g.mu is held.
-func (g *Guard) load() wire.Load {
+// currentLoad returns what the guard says of its endpoint; g.mu is held.
+func (g *Guard) currentLoad() wire.Load {
 	now := g.Now()
 	return wire.Load{
-		Pool:     g.settings.Pool,
-		Slots:    g.settings.Slots,
-		Running:  g.queue.Running(),
-		Queued:   g.queue.Waiting(),
-		Leaving:  g.leaving,
-		Down:     g.down,
-		Versions: g.versions,
-		RestMs:   max(g.restsUntil.Sub(now).Milliseconds(), 0),
-		Crashes:  g.recentCrashes(now),
+		Pool:      g.settings.Pool,
+		Slots:     g.settings.Slots,
+		Running:   g.queue.Running(),
+		Queued:    g.queue.Waiting(),
+		Leaving:   g.leaving,
+		Down:      g.down,
+		Versions:  g.versions,
+		BackoffMs: max(g.backoffUntil.Sub(now).Milliseconds(), 0),
+		Crashes:   g.recentCrashes(now),
 	}
 }
 
 // handleRun does the work once, or says why not.
 func (g *Guard) handleRun(ctx context.Context, c *link.Conn, p wire.Run) (wire.RunReply, error) {
-	r, refused := g.enter(c, &p)
+	r, refused := g.enqueue(c, &p)
 	if refused != nil {
-		g.counts.refused.Inc(1)
+		g.metrics.refused.Inc(1)
 		return wire.RunReply{Stamp: g.Stamp(), Err: refused}, nil
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		link.Follow(ctx, c, r.key, r.buf, 0)
+		link.SendAnswer(ctx, c, r.key, r.buf, 0)
 	}()
-	g.work(r)
+	g.execute(r)
 	<-done
 	return g.replyOf(r), nil
 }
@@ -75,12 +75,12 @@
 	return reply
 }
 
-// enter records a run and offers it to the queue.
-func (g *Guard) enter(c *link.Conn, p *wire.Run) (*record, *fault.Error) {
+// enqueue records a run and offers it to the queue.
+func (g *Guard) enqueue(c *link.Conn, p *wire.Run) (*record, *fault.Error) {
 	now := g.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if refused := g.mayEnter(c, p, now); refused != nil {
+	if refused := g.checkRun(c, p, now); refused != nil {
 		return nil, refused
 	}
 	r := g.newRecord(p.Key, p.Work, c)
@@ -101,13 +101,13 @@
 	return r, nil
 }
 
-// mayEnter returns why a run is refused at once; g.mu is held.
-func (g *Guard) mayEnter(c *link.Conn, p *wire.Run, now time.Time) *fault.Error {
+// checkRun returns why a run is refused at once; g.mu is held.
+func (g *Guard) checkRun(c *link.Conn, p *wire.Run, now time.Time) *fault.Error {
 	if p.Guard != g.Identity.Incarnation {
 		return fault.New(fault.EndpointLost, fault.NotRun, "The run was meant for another incarnation.")
 	}
 	if old, ok := g.runs[p.Key]; ok {
-		g.counts.duplicates.Inc(1)
+		g.metrics.duplicates.Inc(1)
 		if old.phase == phaseTombstone {
 			return old.reply.Err
 		}
@@ -125,21 +125,21 @@
 	if g.down {
 		return fault.New(fault.EndpointLost, fault.NotRun, "The endpoint takes no connection.")
 	}
-	if refused := g.resting(now); refused != nil {
+	if refused := g.backoffRefusal(now); refused != nil {
 		return refused
 	}
-	return g.notAllowed(g.Holder.Current(), &p.Work)
+	return g.checkAllowed(g.Holder.Current(), &p.Work)
 }
 
-// work waits for a slot and does the run; it returns once the run is over.
-func (g *Guard) work(r *record) {
+// execute waits for a slot and does the run; it returns once the run is over.
+func (g *Guard) execute(r *record) {
 	defer r.cancel()
 	select {
 	case <-r.admitted:
 	case <-r.ended:
 		return
 	case <-r.ctx.Done():
-		if g.withdraw(r, fault.DeadlinePassed, "The run was given up in the queue.") {
+		if g.dequeue(r, fault.DeadlinePassed, "The run was given up in the queue.") {
 			return
 		}
 		<-r.admitted
@@ -147,15 +147,15 @@
 	if !g.begin(r) {
 		return
 	}
-	begun := g.Now()
+	startedAt := g.Now()
 	usage, err := g.endpoint.Run(r.ctx, r.key, &r.work, r.buf)
-	g.askCrashed(r, begun, err)
+	g.detectCrash(r, startedAt, err)
 	g.end(r, usage, err)
 }
 
-// withdraw takes a waiting run out of the queue; it reports false if the run
+// dequeue takes a waiting run out of the queue; it reports false if the run
 // is not waiting any more.
-func (g *Guard) withdraw(r *record, k fault.Kind, message string) bool {
+func (g *Guard) dequeue(r *record, k fault.Kind, message string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.phase == phaseTombstone {
@@ -173,9 +173,9 @@
 func (g *Guard) begin(r *record) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	refused := g.notAllowed(g.Holder.Current(), &r.work)
+	refused := g.checkAllowed(g.Holder.Current(), &r.work)
 	if refused == nil {
-		refused = g.resting(g.Now())
+		refused = g.backoffRefusal(g.Now())
 	}
 	switch {
 	case refused != nil:
@@ -193,7 +193,7 @@
 	}
 	assert.That(r.phase == phaseQueued, "runStartsOnce", zap.String("run", runID(r.key)), zap.String("phase", string(r.phase)))
 	r.phase = phaseRunning
-	g.counts.started.Inc(1)
+	g.metrics.started.Inc(1)
 	return true
 }
 
@@ -206,18 +206,18 @@
 	r.work.Body = nil
 	r.reply = wire.RunReply{Length: r.buf.Len(), Usage: usage, Err: err}
 	r.buf.Finish(r.reply.Length, err)
-	g.rests(r, err)
+	g.recordBackoff(r, err)
 	if err != nil && err.Run == fault.NotRun {
 		r.settled = true
 	} else {
-		g.unbilled[r.key] = unbilled{line: g.line(r, usage), entry: r.owner, writeAt: g.settings.BillAfter.After(r.work.Deadline)}
+		g.unbilledLines[r.key] = unbilledLine{line: g.billLine(r, usage), entry: r.owner, writeAt: g.settings.BillAfter.After(r.work.Deadline)}
 	}
 	close(r.ended)
 	g.admitNext(g.queue.Done(g.Now(), r.queueID(), nil))
 }
 
-// line is what the guard would bill for a run.
-func (g *Guard) line(r *record, u wire.Usage) bill.Line {
+// billLine is what the guard would bill for a run.
+func (g *Guard) billLine(r *record, u wire.Usage) bill.Line {
 	w := &r.work
 	return bill.Line{
 		ID:        w.BillID,
@@ -238,13 +238,13 @@
 	}
 }
 
-// handleAsk says what became of a run after a broken link.
-func (g *Guard) handleAsk(ctx context.Context, c *link.Conn, p wire.Ask) (wire.RunReply, error) {
+// handleRunQuery says what became of a run after a broken link.
+func (g *Guard) handleRunQuery(ctx context.Context, c *link.Conn, p wire.RunQuery) (wire.RunReply, error) {
 	r, reply := g.lookUp(c, &p)
 	if r == nil {
 		return reply, nil
 	}
-	link.Follow(ctx, c, r.key, r.buf, p.Offset)
+	link.SendAnswer(ctx, c, r.key, r.buf, p.Offset)
 	select {
 	case <-r.ended:
 		return g.replyOf(r), nil
@@ -254,7 +254,7 @@
 }
 
 // lookUp finds the run that is asked about. A run never seen gets a tombstone.
-func (g *Guard) lookUp(c *link.Conn, p *wire.Ask) (*record, wire.RunReply) {
+func (g *Guard) lookUp(c *link.Conn, p *wire.RunQuery) (*record, wire.RunReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p.Guard != g.Identity.Incarnation {
@@ -265,7 +265,7 @@
 		r.owner = c
 		return r, wire.RunReply{}
 	}
-	g.counts.tombstones.Inc(1)
+	g.metrics.tombstones.Inc(1)
 	r := g.newRecord(p.Key, wire.Work{Call: wire.Call{Deadline: p.Deadline}}, c)
 	r.cancel()
 	g.tombstone(r, g.refusal(fault.EndpointLost, "The run never arrived and is closed."))
--- a/internal/guard/order.go
+++ b/internal/guard/order.go
@@ -25,10 +25,10 @@
 	if err != nil {
 		return wire.Empty{}, fault.New(fault.PlatformDown, fault.NotRun, "The roll-outs cannot be read.")
 	}
-	if !g.takeFence(p.Fence, version) {
+	if !g.acceptFence(p.Fence, version) {
 		return wire.Empty{}, fault.New(fault.NotAllowed, fault.NotRun, "The order is of an older state of the roll-outs.")
 	}
-	if err := g.loadOnce(ctx, &p); err != nil {
+	if err := g.loadVersionOnce(ctx, &p); err != nil {
 		g.Log.Warn("guard: The engine did not load a version.", zap.String("model", p.Model), zap.String("version", p.Version), logs.Err(err))
 		return wire.Empty{}, fault.New(fault.EndpointFailed, fault.MayHaveRun, "The engine did not load the version.")
 	}
@@ -36,22 +36,22 @@
 	return wire.Empty{Stamp: g.Stamp()}, nil
 }
 
-// load is one load under way.
-type load struct {
+// versionLoad is one versionLoad under way.
+type versionLoad struct {
 	done chan struct{}
 	err  error
 }
 
-// loadOnce has the engine load a version, or waits for the load of the same
+// loadVersionOnce has the engine load a version, or waits for the load of the same
 // version that is under way: an order is repeated when the process that gave it
 // is lost, and the weight store must not be asked twice.
-func (g *Guard) loadOnce(ctx context.Context, o *wire.Order) error {
+func (g *Guard) loadVersionOnce(ctx context.Context, o *wire.Order) error {
 	name := o.Model + "@" + o.Version
 	g.mu.Lock()
-	l, under := g.loads[name]
+	l, under := g.versionLoads[name]
 	if !under {
-		l = &load{done: make(chan struct{})}
-		g.loads[name] = l
+		l = &versionLoad{done: make(chan struct{})}
+		g.versionLoads[name] = l
 	}
 	g.mu.Unlock()
 	if under {
@@ -62,16 +62,16 @@
 			return ctx.Err()
 		}
 	}
-	l.err = g.endpoint.Load(ctx, o)
+	l.err = g.endpoint.LoadVersion(ctx, o)
 	close(l.done)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.loads, name)
+	delete(g.versionLoads, name)
 	return l.err
 }
 
-// takeFence reports whether an order's fence is the newest.
-func (g *Guard) takeFence(fence, version int64) bool {
+// acceptFence reports whether an order's fence is the newest.
+func (g *Guard) acceptFence(fence, version int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if fence < version || fence < g.fence {
--- a/internal/guard/runs.go
+++ b/internal/guard/runs.go
@@ -42,9 +42,9 @@
 	cancel context.CancelFunc
 	// owner is the link that follows the run; a later Ask replaces it.
 	owner *link.Conn
-	// forgetAt is when the record may go: the run's deadline, after which a
+	// evictAfter is when the record may go: the run's deadline, after which a
 	// late message of the same run is refused by its deadline.
-	forgetAt time.Time
+	evictAfter time.Time
 	// settled says that the entry has billed the run, and so asks no more, or
 	// that there is nothing to bill. billed says that the guard did instead:
 	// the entry may still ask.
@@ -54,16 +54,16 @@
 // queueID names the run in the admission queue.
 func (r *record) queueID() string { return runID(r.key) }
 
-// keepAfterDeadline is how long a record outlives the deadline of its run.
-const keepAfterDeadline = 30 * time.Second
+// recordRetention is how long a record outlives the deadline of its run.
+const recordRetention = 30 * time.Second
 
-// forget drops records whose time has come: those of repeatable runs once their
+// evictRecords drops records whose time has come: those of repeatable runs once their
 // entry has billed them, others after their deadline; g.mu is held.
-func (g *Guard) forget(now time.Time) {
+func (g *Guard) evictRecords(now time.Time) {
 	for key, r := range g.runs {
 		over := r.phase == phaseEnded || r.phase == phaseTombstone
 		early := r.phase == phaseEnded && r.work.Repeatable && r.settled
-		if over && (early || (now.After(r.forgetAt) && (r.settled || r.billed))) {
+		if over && (early || (now.After(r.evictAfter) && (r.settled || r.billed))) {
 			delete(g.runs, key)
 		}
 	}
@@ -81,14 +81,14 @@
 // newRecord enters a run; g.mu is held.
 func (g *Guard) newRecord(key wire.RunKey, w wire.Work, owner *link.Conn) *record {
 	r := &record{
-		key:      key,
-		work:     w,
-		phase:    phaseQueued,
-		buf:      stream.New(maxAnswer),
-		admitted: make(chan struct{}),
-		ended:    make(chan struct{}),
-		owner:    owner,
-		forgetAt: w.Deadline.Add(keepAfterDeadline),
+		key:        key,
+		work:       w,
+		phase:      phaseQueued,
+		buf:        stream.New(maxAnswerBytes),
+		admitted:   make(chan struct{}),
+		ended:      make(chan struct{}),
+		owner:      owner,
+		evictAfter: w.Deadline.Add(recordRetention),
 	}
 	r.ctx, r.cancel = context.WithDeadline(g.kill, w.Deadline)
 	g.runs[key] = r
--- a/internal/link/follow.go
+++ b/internal/link/answer.go
@@ -10,12 +10,12 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// chunkMost bounds the data of one chunk, in bytes.
-const chunkMost = 256 << 10
+// maxChunkBytes bounds the data of one chunk, in bytes.
+const maxChunkBytes = 256 << 10
 
-// Follow sends an answer over a link in chunks, from an offset on, until it
+// SendAnswer sends an answer over a link in chunks, from an offset on, until it
 // ends, the link breaks or ctx is done.
-func Follow(ctx context.Context, c *Conn, key wire.RunKey, b *stream.Buffer, offset int) {
+func SendAnswer(ctx context.Context, c *Conn, key wire.RunKey, b *stream.Buffer, offset int) {
 	var sent stream.Head
 	for {
 		head, p, end, err := b.Next(ctx, offset)
@@ -23,7 +23,7 @@
 			return
 		}
 		for len(p) > 0 {
-			n := min(len(p), chunkMost)
+			n := min(len(p), maxChunkBytes)
 			chunk := wire.Chunk{Stamp: c.local.stamp(), Key: key, Offset: offset, Data: p[:n]}
 			if head != sent {
 				chunk.Head = &head
--- a/internal/link/codec.go
+++ b/internal/link/codec.go
@@ -12,21 +12,21 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// frames is jsonrpc2's varint framing with a limit on the size of a frame, so
+// frameCodec is jsonrpc2's varint framing with a limit on the size of a frame, so
 // that a peer cannot make this process allocate without bound.
-type frames struct {
+type frameCodec struct {
 	jsonrpc2.VarintObjectCodec
 	limit uint64
 }
 
 // ReadObject reads one frame. It returns ErrFrame for one over the limit.
-func (f frames) ReadObject(r *bufio.Reader, v any) error {
+func (f frameCodec) ReadObject(r *bufio.Reader, v any) error {
 	n, err := binary.ReadUvarint(r)
 	if err != nil {
 		return err
 	}
 	if n > f.limit {
-		return ErrFrame
+		return ErrFrameTooLarge
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(r, body); err != nil {
--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -31,8 +31,8 @@
 	// ErrBroken says that the link ended before the answer; whether the
 	// other side got the message is not known.
 	ErrBroken fault.Const = "link: the link is broken"
-	// ErrFrame says that a frame was over the limit.
-	ErrFrame fault.Const = "link: a frame is too large"
+	// ErrFrameTooLarge says that a frame was over the limit.
+	ErrFrameTooLarge fault.Const = "link: a frame is too large"
 	// ErrProof says that the other side does not hold the link key.
 	ErrProof fault.Const = "link: the other side does not prove the link key"
 )
@@ -40,10 +40,10 @@
 const (
 	// MaxFrame is the greatest size of a message, in bytes.
 	MaxFrame = 16 << 20
-	// dialWithin bounds the opening of a connection and its handshake.
-	dialWithin = 2 * time.Second
-	// writeWithin bounds one write to a peer that does not read.
-	writeWithin = 5 * time.Second
+	// dialTimeout bounds the opening of a connection and its handshake.
+	dialTimeout = 2 * time.Second
+	// writeTimeout bounds one write to a peer that does not read.
+	writeTimeout = 5 * time.Second
 )
 
 // codeFault marks an error reply whose data is a fault.Error.
@@ -97,22 +97,22 @@
 // Close ends the link.
 func (c *Conn) Close() { _ = c.rpc.Close() }
 
-// meter counts bytes and bounds each write.
-type meter struct {
+// meteredConn counts bytes and bounds each write.
+type meteredConn struct {
 	net.Conn
 	local *Local
 }
 
 // Read counts what it reads.
-func (m *meter) Read(p []byte) (int, error) {
+func (m *meteredConn) Read(p []byte) (int, error) {
 	n, err := m.Conn.Read(p)
 	m.local.Bytes.Add(int64(n))
 	return n, err
 }
 
 // Write counts what it writes and fails when the peer does not read.
-func (m *meter) Write(p []byte) (int, error) {
-	if err := m.SetWriteDeadline(time.Now().Add(writeWithin)); err != nil {
+func (m *meteredConn) Write(p []byte) (int, error) {
+	if err := m.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := m.Conn.Write(p)
@@ -121,15 +121,15 @@
 }
 
 func (l *Local) open(ctx context.Context, raw net.Conn, onProven func(*Conn)) *Conn {
-	c := &Conn{local: l, raw: raw, nonce: freshNonce(), onProven: onProven}
-	s := jsonrpc2.NewBufferedStream(&meter{Conn: raw, local: l}, frames{limit: MaxFrame})
+	c := &Conn{local: l, raw: raw, nonce: newNonce(), onProven: onProven}
+	s := jsonrpc2.NewBufferedStream(&meteredConn{Conn: raw, local: l}, frameCodec{limit: MaxFrame})
 	ready := make(chan struct{})
 	c.rpc = jsonrpc2.NewConn(ctx, s, handler{conn: c, ready: ready}, jsonrpc2.SetLogger(logs.LibraryLogger{}))
 	close(ready)
 	return c
 }
 
-func freshNonce() string {
+func newNonce() string {
 	var b [16]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -137,7 +137,7 @@
 
 // Dial opens a link and proves the key both ways.
 func (l *Local) Dial(ctx context.Context, addr netip.AddrPort) (*Conn, error) {
-	d := net.Dialer{Timeout: dialWithin}
+	d := net.Dialer{Timeout: dialTimeout}
 	raw, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
 		return nil, errors.Mark(err, ErrBroken)
@@ -146,15 +146,15 @@
 		raw = tls.Client(raw, l.TLS)
 	}
 	c := l.open(context.WithoutCancel(ctx), raw, nil)
-	if err := c.shake(ctx); err != nil {
+	if err := c.handshake(ctx); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Conn) shake(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, dialWithin)
+func (c *Conn) handshake(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	l := c.local
 	var reply wire.HelloReply
@@ -189,7 +189,7 @@
 			raw = tls.Server(raw, l.TLS)
 		}
 		c := l.open(ctx, raw, onProven)
-		time.AfterFunc(dialWithin, func() {
+		time.AfterFunc(dialTimeout, func() {
 			if !c.Proven() {
 				c.Close()
 			}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -44,7 +44,7 @@
 		r := bufio.NewReader(bytes.NewReader(data))
 		for {
 			var v json.RawMessage
-			err := frames{limit: 1 << 12}.ReadObject(r, &v)
+			err := frameCodec{limit: 1 << 12}.ReadObject(r, &v)
 			if err != nil {
 				return
 			}
@@ -58,28 +58,28 @@
 	})
 }
 
-// server serves links until the test ends and counts the echo calls it handled.
-func server(t *testing.T) (*Local, netip.AddrPort) {
+// startServer serves links until the test ends and counts the echo calls it handled.
+func startServer(t *testing.T) (*Local, netip.AddrPort) {
 	t.Helper()
-	l := local(t, "server")
-	On(l.Mux, "echo", func(_ context.Context, _ *Conn, p wire.Cancel) (wire.Cancel, error) { return p, nil })
-	On(l.Mux, "fail", func(context.Context, *Conn, wire.Empty) (wire.Empty, error) {
+	l := newLocal(t, "server")
+	Handle(l.Mux, "echo", func(_ context.Context, _ *Conn, p wire.Cancel) (wire.Cancel, error) { return p, nil })
+	Handle(l.Mux, "fail", func(context.Context, *Conn, wire.Empty) (wire.Empty, error) {
 		return wire.Empty{}, fault.New(fault.Overloaded, fault.NotRun, "full").WithRetryAt(time.Unix(7, 0))
 	})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- l.Serve(context.Background(), ln, func(*Conn) {}) }()
+	served := make(chan error, 1)
+	go func() { served <- l.Serve(context.Background(), ln, func(*Conn) {}) }()
 	t.Cleanup(func() {
 		_ = ln.Close()
-		<-ended
+		<-served
 	})
 	return l, ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func local(t *testing.T, name string) *Local {
+func newLocal(t *testing.T, name string) *Local {
 	t.Helper()
 	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: "00112233445566778899aabbccddeeff"}})
 	if err != nil {
@@ -91,8 +91,8 @@
 
 // TestCall carries replies and typed failures.
 func TestCall(t *testing.T) {
-	_, addr := server(t)
-	c, err := local(t, "client").Dial(t.Context(), addr)
+	_, addr := startServer(t)
+	c, err := newLocal(t, "client").Dial(t.Context(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,10 +116,10 @@
 	}
 }
 
-// TestStranger sends messages without the handshake, and garbage: none is
+// TestUnauthenticatedPeer sends messages without the handshake, and garbage: none is
 // handled, and the connection ends.
-func TestStranger(t *testing.T) {
-	l, addr := server(t)
+func TestUnauthenticatedPeer(t *testing.T) {
+	l, addr := startServer(t)
 	tests := []struct {
 		name string
 		data []byte
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -26,34 +26,34 @@
 	// Submit runs a handler outside the reading goroutine, in a bounded pool;
 	// it returns an error when the pool is full.
 	Submit func(task func()) error
-	// Newer is called before a handler when the peer has a newer revision;
+	// OnNewerRevision is called before a handler when the peer has a newer revision;
 	// it returns once the settings have caught up or cannot.
-	Newer func(ctx context.Context, c *Conn, revision int64)
+	OnNewerRevision func(ctx context.Context, c *Conn, revision int64)
 }
 
 // NewMux returns a Mux without routes.
 func NewMux(submit func(func()) error, newer func(context.Context, *Conn, int64)) *Mux {
-	return &Mux{routes: make(map[string]route), Submit: submit, Newer: newer}
+	return &Mux{routes: make(map[string]route), Submit: submit, OnNewerRevision: newer}
 }
 
-// On handles a method with fn in the pool, after the settings have caught up
+// Handle handles a method with fn in the pool, after the settings have caught up
 // with the peer's revision.
-func On[P wire.Stamped, R any](m *Mux, method string, fn func(ctx context.Context, c *Conn, p P) (R, error)) {
+func Handle[P wire.Stamped, R any](m *Mux, method string, fn func(ctx context.Context, c *Conn, p P) (R, error)) {
 	m.routes[method] = route{handle: func(ctx context.Context, c *Conn, raw json.RawMessage) (any, error) {
 		p, err := decode[P](raw)
 		if err != nil {
 			return nil, err
 		}
-		if p.StampedRevision() > c.local.Revision() && m.Newer != nil {
-			m.Newer(ctx, c, p.StampedRevision())
+		if p.StampedRevision() > c.local.Revision() && m.OnNewerRevision != nil {
+			m.OnNewerRevision(ctx, c, p.StampedRevision())
 		}
 		return fn(ctx, c, p)
 	}}
 }
 
-// Inline handles a method with fn in the reading goroutine, so that messages
+// HandleInline handles a method with fn in the reading goroutine, so that messages
 // keep their order. fn must not wait.
-func Inline[P wire.Stamped](m *Mux, method string, fn func(c *Conn, p P)) {
+func HandleInline[P wire.Stamped](m *Mux, method string, fn func(c *Conn, p P)) {
 	m.routes[method] = route{inline: true, handle: func(_ context.Context, c *Conn, raw json.RawMessage) (any, error) {
 		p, err := decode[P](raw)
 		if err != nil {
@@ -88,12 +88,12 @@
 		raw = *req.Params
 	}
 	if !c.Proven() {
-		c.answer(ctx, req, func() (any, error) { return c.opening(req.Method, raw) })
+		c.reply(ctx, req, func() (any, error) { return c.handleHandshake(req.Method, raw) })
 		return
 	}
 	r, ok := c.local.Mux.routes[req.Method]
 	if !ok {
-		c.answer(ctx, req, func() (any, error) {
+		c.reply(ctx, req, func() (any, error) {
 			return nil, fault.New(fault.NotFound, fault.NotRun, "There is no method %s.", req.Method)
 		})
 		return
@@ -101,7 +101,7 @@
 	c.local.Handling.Add(1)
 	work := func() {
 		defer c.local.Handling.Add(-1)
-		c.answer(ctx, req, func() (any, error) { return r.handle(ctx, c, raw) })
+		c.reply(ctx, req, func() (any, error) { return r.handle(ctx, c, raw) })
 	}
 	if r.inline {
 		work()
@@ -109,13 +109,13 @@
 	}
 	if err := c.local.Mux.Submit(work); err != nil {
 		defer c.local.Handling.Add(-1)
-		c.answer(ctx, req, func() (any, error) {
+		c.reply(ctx, req, func() (any, error) {
 			return nil, fault.New(fault.Overloaded, fault.NotRun, "Too many messages are being handled.")
 		})
 	}
 }
 
-func (c *Conn) answer(ctx context.Context, req *jsonrpc2.Request, fn func() (any, error)) {
+func (c *Conn) reply(ctx context.Context, req *jsonrpc2.Request, fn func() (any, error)) {
 	result, err := fn()
 	if req.Notif {
 		return
@@ -127,8 +127,8 @@
 	_ = c.rpc.Reply(ctx, req.ID, result)
 }
 
-// opening handles the handshake of a taken link; anything else ends it.
-func (c *Conn) opening(method string, raw json.RawMessage) (any, error) {
+// handleHandshake handles the handshake of a taken link; anything else ends it.
+func (c *Conn) handleHandshake(method string, raw json.RawMessage) (any, error) {
 	l := c.local
 	if c.onProven == nil {
 		return nil, fault.New(fault.Unauthorized, fault.NotRun, "The link is not open yet.")
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -103,7 +103,7 @@
 		p.Local.TLS = source.Mutual()
 	}
 	p.Local.Mux = link.NewMux(p.Pool.Submit, p.Holder.Newer)
-	link.On(p.Local.Mux, wire.MethodDelta, p.Holder.Serve)
+	link.Handle(p.Local.Mux, wire.MethodDelta, p.Holder.Serve)
 	if err := p.listen(o); err != nil {
 		return nil, err
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -17,19 +17,19 @@
 
 // Methods of the inner link.
 const (
-	MethodHello  = "hello"
-	MethodProve  = "prove"
-	MethodBeat   = "beat"
-	MethodDelta  = "delta"
-	MethodRun    = "run"
-	MethodAsk    = "ask"
-	MethodCancel = "cancel"
-	MethodChunk  = "chunk"
-	MethodJoin   = "join"
-	MethodLoad   = "load"
-	MethodClaim  = "claim"
-	MethodOrder  = "order"
-	MethodAlive  = "alive"
+	MethodHello     = "hello"
+	MethodProve     = "prove"
+	MethodHeartbeat = "beat"
+	MethodDelta     = "delta"
+	MethodRun       = "run"
+	MethodRunQuery  = "ask"
+	MethodCancel    = "cancel"
+	MethodChunk     = "chunk"
+	MethodJoin      = "join"
+	MethodLoad      = "load"
+	MethodClaim     = "claim"
+	MethodOrder     = "order"
+	MethodPing      = "alive"
 )
 
 // Stamp is the sender's settings revision.
@@ -87,8 +87,8 @@
 	Stamp
 }
 
-// Beat is the heartbeat of an entry towards a guard or another entry.
-type Beat struct {
+// Heartbeat is the heartbeat of an entry towards a guard or another entry.
+type Heartbeat struct {
 	Stamp
 	// Settled lists the runs whose bill line the platform has confirmed.
 	Settled []RunKey `json:"settled,omitempty"`
@@ -104,8 +104,8 @@
 	Load Load `json:"load"`
 }
 
-// BeatReply answers Beat with the load of the endpoint.
-type BeatReply struct {
+// HeartbeatReply answers Beat with the load of the endpoint.
+type HeartbeatReply struct {
 	Stamp
 	Load Load `json:"load"`
 }
@@ -125,8 +125,8 @@
 	Versions []string `json:"versions,omitempty"`
 	// Down says that the endpoint itself does not answer.
 	Down bool `json:"down,omitempty"`
-	// RestMs is how much longer the endpoint wants no run, in milliseconds; 0 for not at all.
-	RestMs int64 `json:"restMs,omitempty"`
+	// BackoffMs is how much longer the endpoint wants no run, in milliseconds; 0 for not at all.
+	BackoffMs int64 `json:"restMs,omitempty"`
 	// Crashes are the runs of the last seconds that were under way when the endpoint
 	// crashed, in the order of their numbers.
 	Crashes []Crash `json:"crashes,omitempty"`
@@ -138,9 +138,9 @@
 	Seq uint64 `json:"seq"`
 	// Fingerprint is that of the run's request.
 	Fingerprint string `json:"fingerprint"`
-	// AgoMs is how long ago it was, AgeMs how long the run had been there, in milliseconds.
-	AgoMs int64 `json:"agoMs"`
-	AgeMs int64 `json:"ageMs"`
+	// CrashAgeMs is how long ago it was, AgeMs how long the run had been there, in milliseconds.
+	CrashAgeMs int64 `json:"agoMs"`
+	RunAgeMs   int64 `json:"ageMs"`
 }
 
 // Delta asks for the settings that follow revision Have.
@@ -190,10 +190,10 @@
 	Guard string `json:"guard"`
 }
 
-// Ask asks what became of a run, after a broken link. A guard that has never
+// RunQuery asks what became of a run, after a broken link. A guard that has never
 // seen the run leaves a tombstone and answers that it did not run; one that
 // has sends the chunks from Offset and answers as Run does.
-type Ask struct {
+type RunQuery struct {
 	Stamp
 	Key      RunKey    `json:"key"`
 	Guard    string    `json:"guard"`
@@ -240,20 +240,20 @@
 	Stamp
 	// Incarnation is the entry that is meant.
 	Incarnation string `json:"incarnation"`
-	// Run is the request that holds the key; empty with Start.
-	Run string `json:"run,omitempty"`
+	// RunID is the request that holds the key; empty with Start.
+	RunID string `json:"run,omitempty"`
 	// Key is the caller's own key or ticket.
 	Key string `json:"key"`
 	// BodyHash is that of the request, as the key binds it.
 	BodyHash string `json:"bodyHash"`
-	// Stream numbers the chunks sent back for this call.
-	Stream RunKey `json:"stream"`
+	// StreamKey numbers the chunks sent back for this call.
+	StreamKey RunKey `json:"stream"`
 	// Start is the request of a ticket; nil only asks.
 	Start *Call `json:"start,omitempty"`
 }
 
-// Alive asks whether a process still answers.
-type Alive struct{ Stamp }
+// Ping asks whether a process still answers.
+type Ping struct{ Stamp }
 
 // Order asks a guard to have its engine load a version.
 type Order struct {
@@ -276,9 +276,9 @@
 // was not written, or that it may have been.
 type ClaimReply struct {
 	Stamp
-	Held       claim.Record `json:"held"`
-	NotWritten bool         `json:"notWritten,omitempty"`
-	Doubt      bool         `json:"doubt,omitempty"`
+	Record         claim.Record `json:"held"`
+	NotWritten     bool         `json:"notWritten,omitempty"`
+	OutcomeUnknown bool         `json:"doubt,omitempty"`
 }
 
 // Call is a caller's request.
