--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package wire holds the typed messages between entries and guards. Every
-// message and every reply carries the sender's settings revision.
+// Package wire defines the messages that entries and guards exchange over an
+// internal/link connection. They are encoded as JSON. Every message and every
+// reply carries the sender's settings revision.
 package wire
 
 import (
@@ -15,7 +16,11 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// Methods of the inner link.
+// Methods of the link protocol. MethodDelta is served by every process,
+// MethodChunk and MethodLoad are notifications to an entry, and MethodCancel is
+// a notification to a guard. MethodHeartbeat, MethodRun, MethodRunQuery and
+// MethodOrder are calls from an entry to a guard; MethodJoin, MethodClaim and
+// MethodPing are calls between entries.
 const (
 	MethodHello     = "hello"
 	MethodProve     = "prove"
@@ -32,103 +37,114 @@
 	MethodPing      = "alive"
 )
 
-// Stamp is the sender's settings revision.
+// Stamp is the part that all messages share.
 type Stamp struct {
+	// Revision is the settings revision in force at the sender.
 	Revision int64 `json:"revision,omitempty"`
 }
 
-// Stamped is what every message is.
+// Stamped is implemented by every message, through its embedded Stamp.
 type Stamped interface {
-	// StampedRevision returns the sender's revision.
+	// StampedRevision returns the settings revision in force at the sender.
 	StampedRevision() int64
 }
 
-// StampedRevision returns the sender's revision.
+// StampedRevision returns the settings revision in force at the sender.
 func (s Stamp) StampedRevision() int64 { return s.Revision }
 
-// Identity names a process to its peers.
+// Identity identifies a process to its peers.
 type Identity struct {
-	// VM names the machine it runs on.
+	// VM is the name of the VM that the process runs on.
 	VM string `json:"vm"`
-	// Role is entry or endpoint.
+	// Role is store.RoleEntry or store.RoleEndpoint.
 	Role string `json:"role"`
-	// Incarnation is new at every start of a process.
+	// Incarnation is an ID that is unique to each start of a process.
 	Incarnation      string `json:"incarnation"`
 	AvailabilityZone string `json:"availabilityZone"`
-	// Link is where the process listens for its peers.
+	// Link is the address at which the process accepts links.
 	Link netip.AddrPort `json:"link"`
 }
 
-// Hello opens a link.
+// Hello is the first message of the handshake, sent by the process that dialled.
 type Hello struct {
 	Stamp
+	// Identity identifies the sender.
 	Identity Identity `json:"identity"`
-	// Nonce is fresh; the other side answers it with a MAC.
+	// Nonce is a random challenge, new for each link. The peer authenticates it
+	// in HelloReply.MAC.
 	Nonce string `json:"nonce"`
 }
 
 // HelloReply answers Hello.
 type HelloReply struct {
 	Stamp
+	// Identity identifies the process that accepted the link.
 	Identity Identity `json:"identity"`
-	Nonce    string   `json:"nonce"`
-	// MAC proves the answerer's key over the caller's nonce.
+	// Nonce is a random challenge, new for each link, for Prove.MAC.
+	Nonce string `json:"nonce"`
+	// MAC authenticates Hello.Nonce and the replying incarnation with the link key.
 	MAC []byte `json:"mac"`
 }
 
-// Prove answers the nonce of HelloReply.
+// Prove is the last message of the handshake.
 type Prove struct {
 	Stamp
+	// MAC authenticates HelloReply.Nonce and the dialling incarnation with the link key.
 	MAC []byte `json:"mac"`
 }
 
-// Empty is a reply that carries nothing but the stamp.
+// Empty is a reply without further content.
 type Empty struct {
 	Stamp
 }
 
-// Heartbeat is the heartbeat of an entry towards a guard or another entry.
+// Heartbeat is sent periodically by an entry to each guard.
 type Heartbeat struct {
 	Stamp
-	// Settled lists the runs whose bill line the platform has confirmed.
+	// Settled lists the runs at the guard whose bill line the platform has
+	// confirmed since the last heartbeat that was answered.
 	Settled []RunKey `json:"settled,omitempty"`
-	// Released says that the sender has heard that the guard is leaving, has
-	// no run there and will send none.
+	// Released reports that the entry knows that the guard is leaving, has no
+	// run there and will send none.
 	Released bool `json:"released,omitempty"`
 }
 
-// LoadNotice is sent by a guard whose load must be known at once, as when it
-// leaves.
+// LoadNotice is sent by a guard to all entries when a change of its load cannot
+// wait for the next heartbeat: when it starts to leave, when its endpoint has
+// crashed and when its engine asks for backoff.
 type LoadNotice struct {
 	Stamp
 	Load Load `json:"load"`
 }
 
-// HeartbeatReply answers Beat with the load of the endpoint.
+// HeartbeatReply answers Heartbeat.
 type HeartbeatReply struct {
 	Stamp
 	Load Load `json:"load"`
 }
 
-// Load is what a guard says of its endpoint.
+// Load is the state of a guard and of its endpoint, as reported by the guard.
 type Load struct {
+	// Pool is the pool that the endpoint belongs to.
 	Pool string `json:"pool"`
-	// Slots is how many runs the endpoint takes at a time.
+	// Slots is the maximum number of concurrent runs at the endpoint.
 	Slots int `json:"slots"`
-	// Running and Queued count runs.
+	// Running is the number of runs that hold a slot, Queued the number of runs
+	// that wait for one.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// Leaving says that no new work is taken.
+	// Leaving reports that the guard is stopping and refuses new runs.
 	Leaving bool `json:"leaving,omitempty"`
-	// Versions lists what the engine has loaded, as model@version; nil if it
-	// does not say.
+	// Versions lists the versions that the engine has loaded, as model@version;
+	// nil if the engine does not report them.
 	Versions []string `json:"versions,omitempty"`
-	// Down says that the endpoint itself does not answer.
+	// Down reports that the endpoint does not accept connections.
 	Down bool `json:"down,omitempty"`
-	// BackoffMs is how much longer the endpoint wants no run, in milliseconds; 0 for not at all.
+	// BackoffMs is how much longer the endpoint refuses all runs, in
+	// milliseconds, as it asked with Retry-After; 0 if it accepts runs.
 	BackoffMs int64 `json:"restMs,omitempty"`
-	// Crashes are the runs of the last seconds that were under way when the endpoint
-	// crashed, in the order of their numbers.
+	// Crashes lists the runs that were in progress when the endpoint crashed
+	// within the last 10 s, by increasing Seq.
 	Crashes []Crash `json:"crashes,omitempty"`
 }
 
@@ -143,142 +159,166 @@
 	RunAgeMs   int64 `json:"ageMs"`
 }
 
-// Delta asks for the settings that follow revision Have.
+// Delta queries the settings in force at the peer. A process that lags behind
+// first queries the head and then the nodes that it does not hold.
 type Delta struct {
 	Stamp
-	// Hashes names the nodes wanted; empty asks for the head alone.
+	// Hashes lists the hashes of the nodes to return; if it is empty, the head
+	// alone is returned.
 	Hashes []string `json:"hashes,omitempty"`
 }
 
 // DeltaReply answers Delta.
 type DeltaReply struct {
 	Stamp
-	Head   config.Head       `json:"head"`
+	// Head is the head of the settings in force; zero if Delta named hashes.
+	Head config.Head `json:"head"`
+	// Bodies holds the encoded nodes by hash. Nodes that the peer does not hold
+	// are left out.
 	Bodies map[string][]byte `json:"bodies,omitempty"`
 }
 
-// RunKey names one attempt of a run.
+// RunKey identifies one attempt of a run.
 type RunKey struct {
-	// RunID is unique to a request.
+	// RunID is the ID of the request that the run serves.
 	RunID string `json:"runID"`
 	// Attempt counts from 1.
 	Attempt int `json:"attempt"`
 }
 
-// Work is what an endpoint is asked to do.
+// Work is the work of a run.
 type Work struct {
-	// Call is what the caller asked for, with the chosen model.
+	// Call is the caller's request, with the chosen model and without the session.
 	Call
-	// Version is the chosen one; empty for a plain service.
-	Version    string `json:"version,omitempty"`
-	Repeatable bool   `json:"repeatable,omitempty"`
-	// BillID names the line that the run is billed on.
+	// Version is the chosen version of the model; empty for a plain service.
+	Version string `json:"version,omitempty"`
+	// Repeatable reports that the request may run more than once.
+	Repeatable bool `json:"repeatable,omitempty"`
+	// BillID is the ID of the bill line of the request.
 	BillID string `json:"billID"`
-	// Cost is per million tokens.
+	// Cost is the price of the version per million tokens.
 	Cost float64 `json:"cost,omitempty"`
-	// Fingerprint names the caller's request among its repeats.
+	// Fingerprint is equal for a request of the caller and its repeats; the body
+	// is not, as it names the version.
 	Fingerprint string `json:"fingerprint,omitempty"`
 }
 
-// Run asks a guard to run work once.
+// Run asks a guard to run Work once. A guard refuses a Key that it has received
+// before.
 type Run struct {
 	Stamp
 	Key  RunKey `json:"key"`
 	Work Work   `json:"work"`
-	// Guard is the incarnation that the request is meant for; another one
+	// Guard is the incarnation of the guard that may run the work; any other
 	// refuses it.
 	Guard string `json:"guard"`
 }
 
-// RunQuery asks what became of a run, after a broken link. A guard that has never
-// seen the run leaves a tombstone and answers that it did not run; one that
-// has sends the chunks from Offset and answers as Run does.
+// RunQuery asks a guard for the outcome of a run after the link broke. A guard
+// that has not received the run stores a tombstone, which refuses the run if it
+// arrives later, and answers that it did not run. A guard that has received it
+// sends the chunks from Offset on and answers as it answers Run.
 type RunQuery struct {
 	Stamp
-	Key      RunKey    `json:"key"`
-	Guard    string    `json:"guard"`
-	Offset   int       `json:"offset"`
+	Key RunKey `json:"key"`
+	// Guard is the incarnation that Run was sent to. Another one answers that
+	// the run may have run.
+	Guard string `json:"guard"`
+	// Offset is the number of bytes of the answer that the entry holds.
+	Offset int `json:"offset"`
+	// Deadline is the deadline of the request; a tombstone is kept until after it.
 	Deadline time.Time `json:"deadline"`
 }
 
-// Cancel ends a run that is no longer wanted.
+// Cancel ends a run whose answer is no longer needed.
 type Cancel struct {
 	Stamp
 	Key RunKey `json:"key"`
 }
 
-// Chunk is a piece of an answer.
+// Chunk is a part of an answer.
 type Chunk struct {
 	Stamp
-	Key    RunKey `json:"key"`
-	Offset int    `json:"offset"`
-	// Head comes with the first chunk.
+	// Key is the key of the run, or Join.StreamKey.
+	Key RunKey `json:"key"`
+	// Offset is the position of Data in the answer, in bytes.
+	Offset int `json:"offset"`
+	// Head is set in the first chunk of an answer and whenever the head has
+	// changed; nil otherwise.
 	Head *stream.Head `json:"head,omitempty"`
 	Data []byte       `json:"data,omitempty"`
 }
 
-// RunReply says how a run ended.
+// RunReply is the outcome of a run.
 type RunReply struct {
 	Stamp
-	// Length is the whole answer's, in bytes.
+	// Length is the length of the answer in bytes.
 	Length int `json:"length"`
-	// Usage is what is billed.
+	// Usage is the number of tokens to be billed.
 	Usage Usage `json:"usage"`
-	// Err is nil for a whole answer.
+	// Err is why the run was refused or its answer is incomplete; nil for a
+	// complete answer.
 	Err *fault.Error `json:"err,omitempty"`
 }
 
-// Usage counts tokens.
+// Usage holds the token counts of a run, as reported by the engine.
 type Usage struct {
 	PromptTokens     int `json:"promptTokens"`
 	CompletionTokens int `json:"completionTokens"`
 }
 
-// Join asks another entry for the answer of a request that it claimed, or
-// brings it the request of a ticket that only it may start.
+// Join asks another entry for the answer of a request that it has claimed, or
+// forwards the request of a ticket to the one entry that may start it. The answer
+// is sent in chunks, starting with an empty one as soon as the request is known.
 type Join struct {
 	Stamp
-	// Incarnation is the entry that is meant.
+	// Incarnation is the incarnation of the entry that holds the claim; any
+	// other refuses.
 	Incarnation string `json:"incarnation"`
-	// RunID is the request that holds the key; empty with Start.
+	// RunID is the ID of the request that holds the key; empty if Start is set.
 	RunID string `json:"run,omitempty"`
-	// Key is the caller's own key or ticket.
+	// Key is the idempotency key or ticket that the caller sent.
 	Key string `json:"key"`
-	// BodyHash is that of the request, as the key binds it.
+	// BodyHash is the hash of the request that the key is bound to.
 	BodyHash string `json:"bodyHash"`
-	// StreamKey numbers the chunks sent back for this call.
+	// StreamKey is the key of the chunks that are sent back for this call.
 	StreamKey RunKey `json:"stream"`
-	// Start is the request of a ticket; nil only asks.
+	// Start is the request of a ticket, to be started; nil to join a request
+	// that was started before.
 	Start *Call `json:"start,omitempty"`
 }
 
-// Ping asks whether a process still answers.
+// Ping asks whether a process still answers. A process that is frozen or cut off
+// closes no connection, so that a broken link alone does not show its failure.
 type Ping struct{ Stamp }
 
 // Order asks a guard to have its engine load a version.
 type Order struct {
 	Stamp
-	// Fence is the version of the roll-outs' object that the order stands in.
-	// An order with an older one is refused.
+	// Fence is the fencing token of the order: the version of the stored object
+	// of roll-outs that the order was read from. An order of an older version
+	// is refused.
 	Fence   int64  `json:"fence"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// Claim asks the entry that serves a bucket of the claim log to enter a record.
-// A repeat of it is harmless, as the record names its run.
+// Claim asks the entry that serves a bucket of the claim log to write a record.
+// It is idempotent, as the record names its run.
 type Claim struct {
 	Stamp
 	Record claim.Record `json:"record"`
 }
 
-// ClaimReply holds the record that stands for the key, or says that the claim
-// was not written, or that it may have been.
+// ClaimReply answers Claim. If neither NotWritten nor OutcomeUnknown is set,
+// Record is the record that holds the key, which may be that of another run.
 type ClaimReply struct {
 	Stamp
-	Record         claim.Record `json:"held"`
-	NotWritten     bool         `json:"notWritten,omitempty"`
-	OutcomeUnknown bool         `json:"doubt,omitempty"`
+	Record claim.Record `json:"held"`
+	// NotWritten reports that the claim was not written and will not be.
+	NotWritten bool `json:"notWritten,omitempty"`
+	// OutcomeUnknown reports that the claim may have been written.
+	OutcomeUnknown bool `json:"doubt,omitempty"`
 }
 
 // Call is a caller's request.
@@ -286,20 +326,25 @@
 	Workspace string `json:"workspace"`
 	Workload  string `json:"workload"`
 	District  string `json:"district,omitempty"`
-	// Model is empty for a plain service, and where the workload leaves it
-	// open; Service is empty for a model.
-	Model   string `json:"model,omitempty"`
+	// Model is the requested model; empty for a plain service and if the
+	// workload does not name one.
+	Model string `json:"model,omitempty"`
+	// Service is the requested plain service; empty for a model.
 	Service string `json:"service,omitempty"`
-	// Session is the caller's session header.
+	// Session is the value of the caller's session header.
 	Session string `json:"session,omitempty"`
-	// Method, Path and ContentType are those of the call.
+	// Method, Path and ContentType are those of the HTTP request; Path is the
+	// path at the endpoint.
 	Method      string `json:"method"`
 	Path        string `json:"path"`
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Stream asks for the answer in pieces.
-	Stream    bool      `json:"stream,omitempty"`
-	MaxTokens int       `json:"maxTokens,omitempty"`
-	Priority  string    `json:"priority,omitempty"`
-	Deadline  time.Time `json:"deadline"`
+	// Stream reports that the answer is requested as an event stream.
+	Stream bool `json:"stream,omitempty"`
+	// MaxTokens is the maximum number of tokens to generate; 0 if not given.
+	MaxTokens int `json:"maxTokens,omitempty"`
+	// Priority is a priority of pkg/config, such as config.Patient.
+	Priority string `json:"priority,omitempty"`
+	// Deadline is when the answer must be complete.
+	Deadline time.Time `json:"deadline"`
 }
