--- a/internal/link/answer.go
+++ b/internal/link/answer.go
@@ -10,11 +10,13 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// maxChunkBytes bounds the data of one chunk, in bytes.
+// maxChunkBytes is the maximum length of the data of one chunk.
 const maxChunkBytes = 256 << 10
 
-// SendAnswer sends an answer over a link in chunks, from an offset on, until it
-// ends, the link breaks or ctx is done.
+// SendAnswer sends the answer in b over c as wire.Chunk notifications with the
+// given key, from a byte offset on and as the bytes arrive. It returns when the
+// answer has ended and all of it is sent, when the link breaks or when ctx is
+// done. The receiver gets the end of the answer with the reply to its call.
 func SendAnswer(ctx context.Context, c *Conn, key wire.RunKey, b *stream.Buffer, offset int) {
 	var sent stream.Head
 	for {
--- a/internal/link/codec.go
+++ b/internal/link/codec.go
@@ -12,14 +12,17 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// frameCodec is jsonrpc2's varint framing with a limit on the size of a frame, so
-// that a peer cannot make this process allocate without bound.
+// frameCodec reads and writes JSON objects, each preceded by its length as an
+// unsigned varint. It bounds the length of frames that it reads, so that a peer
+// cannot make this process allocate without limit.
 type frameCodec struct {
 	jsonrpc2.VarintObjectCodec
+	// limit is the maximum length of a frame that is read, in bytes.
 	limit uint64
 }
 
-// ReadObject reads one frame. It returns ErrFrame for one over the limit.
+// ReadObject reads one frame and decodes it into v. It returns ErrFrameTooLarge,
+// without reading the body, if the frame exceeds the limit.
 func (f frameCodec) ReadObject(r *bufio.Reader, v any) error {
 	n, err := binary.ReadUvarint(r)
 	if err != nil {
--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package link carries typed messages between the system's own processes:
-// jsonrpc2 over one kept TCP connection, opened by a handshake in which both
-// sides prove that they hold the link key.
+// Package link carries the messages of internal/wire between entries and guards.
+// A link is a persistent TCP connection, optionally with TLS, that carries
+// JSON-RPC 2.0. It starts with a handshake in which both sides prove that they
+// hold the link key: each authenticates a nonce of the other with a MAC.
 package link
 
 import (
@@ -28,89 +29,103 @@
 
 // Errors of this package.
 const (
-	// ErrBroken says that the link ended before the answer; whether the
-	// other side got the message is not known.
+	// ErrBroken is returned if the link could not be opened or ended before
+	// the reply. Whether the peer has received the message is not known.
 	ErrBroken fault.Const = "link: the link is broken"
-	// ErrFrameTooLarge says that a frame was over the limit.
+	// ErrFrameTooLarge is the error of a link that has received a frame of more
+	// than MaxFrame bytes; the link then ends.
 	ErrFrameTooLarge fault.Const = "link: a frame is too large"
-	// ErrProof says that the other side does not hold the link key.
+	// ErrProof is returned by Dial if the peer does not hold the link key.
 	ErrProof fault.Const = "link: the other side does not prove the link key"
 )
 
 const (
-	// MaxFrame is the greatest size of a message, in bytes.
+	// MaxFrame is the maximum length of an encoded message, in bytes.
 	MaxFrame = 16 << 20
-	// dialTimeout bounds the opening of a connection and its handshake.
+	// dialTimeout bounds the opening of a connection, and then its handshake.
 	dialTimeout = 2 * time.Second
-	// writeTimeout bounds one write to a peer that does not read.
+	// writeTimeout bounds one write, as a peer may have stopped reading.
 	writeTimeout = 5 * time.Second
 )
 
-// codeFault marks an error reply whose data is a fault.Error.
+// codeFault is the JSON-RPC error code of a reply whose data is a fault.Error.
 const codeFault = -32000
 
-// Local is what a process brings to all of its links.
+// Local is the local side of all links of a process. Its fields must be set
+// before the first link is dialled or served; the counters start at zero.
 type Local struct {
+	// Identity is sent to each peer in the handshake.
 	Identity wire.Identity
-	Keys     *seal.Keyring
-	Mux      *Mux
-	// TLS secures every link from both sides; nil leaves them plain.
+	// Keys holds the link keys.
+	Keys *seal.Keyring
+	// Mux handles the messages that peers send.
+	Mux *Mux
+	// TLS is used for every link that is dialled or accepted; nil means plain
+	// TCP.
 	TLS *tls.Config
-	// Revision returns the settings revision in force.
+	// Revision returns the settings revision in force in this process.
 	Revision func() int64
-	// Bytes counts what the links carried, both ways.
+	// Bytes counts the bytes that were sent and received, without those of TLS.
 	Bytes atomic.Int64
-	// Messages counts messages sent and taken.
+	// Messages counts the calls and notifications that were sent and received.
 	Messages atomic.Int64
-	// Handling counts the messages whose answer is not written yet.
+	// Handling is the number of received messages that are being handled and
+	// not yet replied to.
 	Handling atomic.Int64
 }
 
-// Conn is an open link.
+// Conn is an open link. It is safe for concurrent use.
 type Conn struct {
 	local *Local
 	rpc   *jsonrpc2.Conn
 	raw   net.Conn
-	// Peer is who is on the other side; set before the link is used.
+	// Peer is the identity that the peer sent in the handshake. It is set before
+	// Dial returns or onProven is called, and not changed later.
 	Peer wire.Identity
-	// proven says that the peer holds the key; it never goes back.
+	// proven reports that the peer has proved the link key; it is never reset.
 	proven atomic.Bool
-	// superseded says that the peer has opened a newer link; it never goes
-	// back.
+	// superseded reports that the peer has opened a newer link; it is never
+	// reset.
 	superseded atomic.Bool
-	nonce      string
-	onProven   func(*Conn)
+	// nonce is the challenge for the peer.
+	nonce string
+	// onProven is called once the peer has proved the link key; nil for a link
+	// that this process dialled.
+	onProven func(*Conn)
 }
 
-// Proven reports whether the peer proved the link key.
+// Proven reports whether the peer has proved the link key.
 func (c *Conn) Proven() bool { return c.proven.Load() }
 
-// Superseded reports whether the peer has opened a newer link.
+// Superseded reports whether Supersede was called.
 func (c *Conn) Superseded() bool { return c.superseded.Load() }
 
-// Supersede marks the link as replaced by a newer one.
+// Supersede marks the link as replaced by a newer one of the same peer. It does
+// not close the link.
 func (c *Conn) Supersede() { c.superseded.Store(true) }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the link has ended.
 func (c *Conn) Done() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
-// Close ends the link.
+// Close ends the link. Waiting calls return ErrBroken.
 func (c *Conn) Close() { _ = c.rpc.Close() }
 
-// meteredConn counts bytes and bounds each write.
+// meteredConn is a connection that counts its bytes in Local.Bytes and bounds
+// the time of each write.
 type meteredConn struct {
 	net.Conn
 	local *Local
 }
 
-// Read counts what it reads.
+// Read reads from the connection and counts the bytes.
 func (m *meteredConn) Read(p []byte) (int, error) {
 	n, err := m.Conn.Read(p)
 	m.local.Bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what it writes and fails when the peer does not read.
+// Write writes to the connection and counts the bytes. It fails after
+// writeTimeout if the peer does not read.
 func (m *meteredConn) Write(p []byte) (int, error) {
 	if err := m.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
@@ -120,6 +135,7 @@
 	return n, err
 }
 
+// open starts to read messages from raw. The handshake is still to come.
 func (l *Local) open(ctx context.Context, raw net.Conn, onProven func(*Conn)) *Conn {
 	c := &Conn{local: l, raw: raw, nonce: newNonce(), onProven: onProven}
 	s := jsonrpc2.NewBufferedStream(&meteredConn{Conn: raw, local: l}, frameCodec{limit: MaxFrame})
@@ -135,7 +151,11 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Dial opens a link and proves the key both ways.
+// Dial opens a link to addr and performs the handshake. It takes at most
+// dialTimeout for each of the two. It returns ErrBroken if the connection cannot
+// be made or breaks, ErrProof if the peer does not prove the link key, a
+// *fault.Error of kind Unauthorized if the peer rejects the key of this process,
+// and the error of the context if the handshake times out.
 func (l *Local) Dial(ctx context.Context, addr netip.AddrPort) (*Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	raw, err := d.DialContext(ctx, "tcp", addr.String())
@@ -153,6 +173,7 @@
 	return c, nil
 }
 
+// handshake performs the handshake of a link that this process dialled.
 func (c *Conn) handshake(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -171,14 +192,20 @@
 	return c.Call(ctx, wire.MethodProve, proof, &wire.Empty{})
 }
 
+// proofText returns the text that a MAC of the handshake authenticates. side is
+// "answer" for the process that accepted the link and "call" for the one that
+// dialled, so that a MAC of one side cannot be replayed as that of the other. id
+// is the identity of the process that makes the MAC.
 func proofText(side, nonce string, id wire.Identity) string {
 	return "traildrift link " + side + " " + nonce + " " + id.Incarnation
 }
 
 func (l *Local) stamp() wire.Stamp { return wire.Stamp{Revision: l.Revision()} }
 
-// Serve takes links from ln until it is closed. onProven is called for each
-// link whose peer proved the key, before any other message of it is handled.
+// Serve accepts links from ln until ln is closed, and returns the error of
+// Accept. Links that have not proved the link key within dialTimeout are closed.
+// onProven is called for each link that has proved it, before any other message
+// of the link is handled.
 func (l *Local) Serve(ctx context.Context, ln net.Listener, onProven func(*Conn)) error {
 	for {
 		raw, err := ln.Accept()
@@ -197,8 +224,9 @@
 	}
 }
 
-// Call sends a message and waits for the reply. The error is a *fault.Error
-// that the other side answered, ErrBroken, or that of ctx.
+// Call sends a message, waits for the reply and decodes it into reply. It returns
+// the *fault.Error that the peer replied with, the cause of ctx if ctx is done
+// first, or else ErrBroken.
 func (c *Conn) Call(ctx context.Context, method string, params, reply any) error {
 	c.local.Messages.Add(1)
 	err := c.rpc.Call(ctx, method, params, reply)
@@ -215,7 +243,8 @@
 	return errors.Mark(err, ErrBroken)
 }
 
-// Notify sends a message that has no reply.
+// Notify sends a message that has no reply. It returns ErrBroken if the message
+// could not be written; a nil error does not mean that the peer received it.
 func (c *Conn) Notify(ctx context.Context, method string, params any) error {
 	c.local.Messages.Add(1)
 	if err := c.rpc.Notify(ctx, method, params); err != nil {
@@ -224,6 +253,8 @@
 	return nil
 }
 
+// decodeFault returns the fault.Error in an error reply. Any other error reply
+// becomes a fault of kind Internal that may have run.
 func decodeFault(e *jsonrpc2.Error) error {
 	var f fault.Error
 	if e.Code == codeFault && e.Data != nil && json.Unmarshal(*e.Data, &f) == nil {
@@ -232,6 +263,7 @@
 	return fault.New(fault.Internal, fault.MayHaveRun, "%s", e.Message)
 }
 
+// encodeFault returns the error reply that carries f.
 func encodeFault(f *fault.Error) *jsonrpc2.Error {
 	e := &jsonrpc2.Error{Code: codeFault, Message: f.Message}
 	e.SetError(f)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -29,13 +29,13 @@
 	os.Exit(m.Run())
 }
 
-// frame returns a message as it stands on the wire.
+// frame returns body as a frame: with its length as a varint before it.
 func frame(body string) []byte {
 	return append(binary.AppendUvarint(nil, uint64(len(body))), body...)
 }
 
-// FuzzFrames decodes any bytes without a panic and without allocating more than
-// the limit allows.
+// FuzzFrames checks that no input makes the codec or the decoding of parameters
+// panic, and that no frame longer than the limit is accepted.
 func FuzzFrames(f *testing.F) {
 	f.Add(frame(`{"jsonrpc":"2.0","id":1,"method":"run","params":{"key":{"runID":"r","attempt":1}}}`))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
@@ -58,7 +58,8 @@
 	})
 }
 
-// startServer serves links until the test ends and counts the echo calls it handled.
+// startServer serves links with the methods echo and fail until the test ends. It
+// returns the local side and the address.
 func startServer(t *testing.T) (*Local, netip.AddrPort) {
 	t.Helper()
 	l := newLocal(t, "server")
@@ -79,6 +80,8 @@
 	return l, ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
+// newLocal returns the local side of a process with the given name as VM and
+// incarnation. Messages are handled without a bound.
 func newLocal(t *testing.T, name string) *Local {
 	t.Helper()
 	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: "00112233445566778899aabbccddeeff"}})
@@ -89,7 +92,8 @@
 	return &Local{Identity: wire.Identity{VM: name, Incarnation: name}, Keys: ring, Mux: mux, Revision: func() int64 { return 0 }}
 }
 
-// TestCall carries replies and typed failures.
+// TestCall checks that Call returns replies, faults with their fields, NotFound
+// for an unknown method, and ErrBroken once the link is closed.
 func TestCall(t *testing.T) {
 	_, addr := startServer(t)
 	c, err := newLocal(t, "client").Dial(t.Context(), addr)
@@ -116,8 +120,8 @@
 	}
 }
 
-// TestUnauthenticatedPeer sends messages without the handshake, and garbage: none is
-// handled, and the connection ends.
+// TestUnauthenticatedPeer checks that messages before the handshake, oversized
+// frames and malformed data are not handled, and that the connection is closed.
 func TestUnauthenticatedPeer(t *testing.T) {
 	l, addr := startServer(t)
 	tests := []struct {
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -13,31 +13,38 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// route handles one method.
+// route is the registered handler of one method.
 type route struct {
-	// inline routes run in the reading goroutine, in order; they never wait.
+	// inline reports whether handle runs in the goroutine that reads the link.
+	// It must not block then.
 	inline bool
+	// handle decodes the parameters and returns the reply.
 	handle func(ctx context.Context, c *Conn, raw json.RawMessage) (any, error)
 }
 
-// Mux finds the handler of a method.
+// Mux dispatches received messages to handlers by method. Handlers must be
+// registered before the first link is opened.
 type Mux struct {
+	// routes holds the handlers by method.
 	routes map[string]route
-	// Submit runs a handler outside the reading goroutine, in a bounded pool;
-	// it returns an error when the pool is full.
+	// Submit runs a handler in a bounded pool of goroutines, without blocking.
+	// It returns an error if the pool is full.
 	Submit func(task func()) error
-	// OnNewerRevision is called before a handler when the peer has a newer revision;
-	// it returns once the settings have caught up or cannot.
+	// OnNewerRevision is called before a handler if the message carries a newer
+	// settings revision than the one in force here. It fetches the settings from
+	// the peer and returns when they are in force or could not be fetched. It may
+	// be nil.
 	OnNewerRevision func(ctx context.Context, c *Conn, revision int64)
 }
 
-// NewMux returns a Mux without routes.
+// NewMux returns a Mux without handlers. newer is its OnNewerRevision.
 func NewMux(submit func(func()) error, newer func(context.Context, *Conn, int64)) *Mux {
 	return &Mux{routes: make(map[string]route), Submit: submit, OnNewerRevision: newer}
 }
 
-// Handle handles a method with fn in the pool, after the settings have caught up
-// with the peer's revision.
+// Handle registers fn for a method. fn runs in the pool, after
+// Mux.OnNewerRevision if the peer has newer settings. Its error is sent to the
+// peer as a fault.Error.
 func Handle[P wire.Stamped, R any](m *Mux, method string, fn func(ctx context.Context, c *Conn, p P) (R, error)) {
 	m.routes[method] = route{handle: func(ctx context.Context, c *Conn, raw json.RawMessage) (any, error) {
 		p, err := decode[P](raw)
@@ -51,8 +58,9 @@
 	}}
 }
 
-// HandleInline handles a method with fn in the reading goroutine, so that messages
-// keep their order. fn must not wait.
+// HandleInline registers fn for a method without a reply. fn runs in the
+// goroutine that reads the link, so that messages are handled in the order in
+// which they were sent. It must not block.
 func HandleInline[P wire.Stamped](m *Mux, method string, fn func(c *Conn, p P)) {
 	m.routes[method] = route{inline: true, handle: func(_ context.Context, c *Conn, raw json.RawMessage) (any, error) {
 		p, err := decode[P](raw)
@@ -64,21 +72,24 @@
 	}}
 }
 
+// decode decodes the parameters of a message.
 func decode[P any](raw json.RawMessage) (P, error) {
 	var p P
 	if err := json.Unmarshal(raw, &p); err != nil {
-		return p, fault.New(fault.BadRequest, fault.NotRun, "The message does not decode.")
+		return p, fault.New(fault.BadRequest, fault.NotRun, "The parameters of the message could not be decoded.")
 	}
 	return p, nil
 }
 
-// handler takes the messages of one link.
+// handler receives the messages of one link.
 type handler struct {
-	conn  *Conn
+	conn *Conn
+	// ready is closed once all fields of conn are set.
 	ready <-chan struct{}
 }
 
-// Handle takes one message in the reading goroutine.
+// Handle dispatches one message; it is called in the goroutine that reads the
+// link. Until the peer has proved the link key, only the handshake is handled.
 func (h handler) Handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	<-h.ready
 	c := h.conn
@@ -94,7 +105,7 @@
 	r, ok := c.local.Mux.routes[req.Method]
 	if !ok {
 		c.reply(ctx, req, func() (any, error) {
-			return nil, fault.New(fault.NotFound, fault.NotRun, "There is no method %s.", req.Method)
+			return nil, fault.New(fault.NotFound, fault.NotRun, "The method %s is not known.", req.Method)
 		})
 		return
 	}
@@ -115,6 +126,8 @@
 	}
 }
 
+// reply calls fn and sends its result or error, unless the message is a
+// notification.
 func (c *Conn) reply(ctx context.Context, req *jsonrpc2.Request, fn func() (any, error)) {
 	result, err := fn()
 	if req.Notif {
@@ -127,11 +140,13 @@
 	_ = c.rpc.Reply(ctx, req.ID, result)
 }
 
-// handleHandshake handles the handshake of a taken link; anything else ends it.
+// handleHandshake handles a message of an accepted link whose peer has not proved
+// the link key yet. Any message but those of the handshake is refused with
+// Unauthorized, as is every message of a dialled link before its handshake ends.
 func (c *Conn) handleHandshake(method string, raw json.RawMessage) (any, error) {
 	l := c.local
 	if c.onProven == nil {
-		return nil, fault.New(fault.Unauthorized, fault.NotRun, "The link is not open yet.")
+		return nil, fault.New(fault.Unauthorized, fault.NotRun, "The handshake of the link is not complete.")
 	}
 	switch method {
 	case wire.MethodHello:
@@ -154,5 +169,5 @@
 			return wire.Empty{Stamp: l.stamp()}, nil
 		}
 	}
-	return nil, fault.New(fault.Unauthorized, fault.NotRun, "The link key is not proven.")
+	return nil, fault.New(fault.Unauthorized, fault.NotRun, "The peer has not proved the link key.")
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -148,15 +148,18 @@
 	Crashes []Crash `json:"crashes,omitempty"`
 }
 
-// Crash is a run that was under way when its endpoint crashed.
+// Crash is a run that was in progress when its endpoint crashed. Its request may
+// be the cause of the crash.
 type Crash struct {
-	// Seq numbers the crashes that one incarnation of a guard tells of, from 1.
+	// Seq numbers the crashes that one incarnation of a guard reports, from 1.
+	// Entries use it to skip those that they have received before.
 	Seq uint64 `json:"seq"`
-	// Fingerprint is that of the run's request.
+	// Fingerprint is the fingerprint of the run's request, as in Work.
 	Fingerprint string `json:"fingerprint"`
-	// CrashAgeMs is how long ago it was, AgeMs how long the run had been there, in milliseconds.
+	// CrashAgeMs is the time since the crash was detected, in milliseconds.
 	CrashAgeMs int64 `json:"agoMs"`
-	RunAgeMs   int64 `json:"ageMs"`
+	// RunAgeMs is the time from the start of the run to the crash, in milliseconds.
+	RunAgeMs int64 `json:"ageMs"`
 }
 
 // Delta queries the settings in force at the peer. A process that lags behind
