--- a/internal/guard/backoff_test.go
+++ b/internal/guard/backoff_test.go
@@ -19,11 +19,9 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// An engine that refuses a run and asks for rest gets no other run until that is over, and callers
-// are told when it is.
-//
-// Seen, by reading, after routers had sent requests to endpoints that had asked for rest: a guard sent each
-// run to its engine, and told callers nothing of the time. Cause: of a refusal only the status was read.
+// TestBackoffOfEngineIsHonoured checks that an engine that refuses a run with Retry-After gets no other run
+// until that time, and that the refusals carry it. When the guard read only the status of a refusal, it sent
+// every further run to the engine and passed no time to callers. Routers had the same fault.
 func TestBackoffOfEngineIsHonoured(t *testing.T) {
 	const backoff = time.Second
 	var calls atomic.Int64
@@ -41,20 +39,21 @@
 		got := b.run(t, c, fmt.Sprint("run-", i), 1)
 		checkReply(t, fmt.Sprint("run ", i), got, fault.Overloaded, fault.NotRun)
 		if at := got.Err.RetryAt; at.Before(first.Add(backoff)) || at.After(time.Now().Add(backoff)) {
-			t.Errorf("run %d: come back at: got %v after the first, want %v", i, at.Sub(first), backoff)
+			t.Errorf("run %d: time to retry: got %v after the first run, want %v", i, at.Sub(first), backoff)
 		}
 	}
 	if got := calls.Load(); got != 1 {
-		t.Errorf("runs that reached the engine during its rest: got %d, want 1", got)
+		t.Errorf("runs that reached the engine up to the end of its backoff: got %d, want 1", got)
 	}
 	<-time.After(backoff)
 	b.run(t, c, "run-later", 1)
 	if got := calls.Load(); got != 2 {
-		t.Errorf("runs that reached the engine after its rest: got %d, want 2", got)
+		t.Errorf("runs that reached the engine in total, with one after its backoff: got %d, want 2", got)
 	}
 }
 
-// A run that waited for a slot when the engine asked for rest is refused too.
+// TestQueuedRunIsRefusedDuringBackoff checks that a run that waits for a slot when the engine asks for
+// backoff is refused too.
 func TestQueuedRunIsRefusedDuringBackoff(t *testing.T) {
 	b := startHarness(t)
 	started, refuse := make(chan struct{}), make(chan struct{})
@@ -77,7 +76,7 @@
 		got := <-reply
 		checkReply(t, name, got, fault.Overloaded, fault.NotRun)
 		if !got.Err.RetryAt.Equal(until) {
-			t.Errorf("%s: come back at: got %v, want %v", name, got.Err.RetryAt, until)
+			t.Errorf("%s: time to retry: got %v, want %v", name, got.Err.RetryAt, until)
 		}
 	}
 	if got := runs.Load(); got != 1 {
@@ -85,8 +84,8 @@
 	}
 }
 
-// Entries hear that an engine rests, at once and with each heartbeat: one that refuses everything looks
-// idle, and would be drawn first.
+// TestBackoffIsSentToEntries checks that the load that is sent at once and with each heartbeat carries the
+// backoff: an endpoint that refuses every run appears idle, and entries would choose it first.
 func TestBackoffIsSentToEntries(t *testing.T) {
 	b := startHarness(t)
 	loads := make(chan wire.Load, 4)
@@ -99,13 +98,13 @@
 	select {
 	case l := <-loads:
 		if l.BackoffMs <= 0 || l.BackoffMs > time.Minute.Milliseconds() {
-			t.Errorf("told at once: got %d ms of rest, want up to a minute", l.BackoffMs)
+			t.Errorf("load notice: got %d ms of backoff, want more than 0 and at most a minute", l.BackoffMs)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("told at once: got nothing")
+		t.Error("load notice: got none within 10 s")
 	}
 	var reply wire.HeartbeatReply
 	if err := c.Call(t.Context(), wire.MethodHeartbeat, wire.Heartbeat{}, &reply); err != nil || reply.Load.BackoffMs <= 0 {
-		t.Errorf("with a heartbeat: got %d ms of rest, %v, want some", reply.Load.BackoffMs, err)
+		t.Errorf("heartbeat reply: got %d ms of backoff, %v, want more than 0 and no error", reply.Load.BackoffMs, err)
 	}
 }
--- a/internal/guard/bills.go
+++ b/internal/guard/bills.go
@@ -11,16 +11,17 @@
 	"github.com/traildrift/traildrift/pkg/bill"
 )
 
-// unbilledLine is a bill line that waits for its entry.
+// unbilledLine is the bill line of a run that its entry has not reported as settled.
 type unbilledLine struct {
 	line bill.Line
-	// entry is the link of the entry that should bill it.
+	// entry is the link of the entry that should bill the run.
 	entry *link.Conn
-	// writeAt is when the guard writes it itself.
+	// writeAt is when the guard writes the line if the entry has not billed the
+	// run by then.
 	writeAt time.Time
 }
 
-// billAll writes every line that no entry has confirmed.
+// billAll bills all runs that no entry has reported as settled.
 func (g *Guard) billAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -29,6 +30,8 @@
 	}
 }
 
+// billLocked passes a bill line to the writer; g.mu is held. If the writer's buffer
+// is full, the line stays in unbilledLines and is tried again at the next sweep.
 func (g *Guard) billLocked(key wire.RunKey, line bill.Line) {
 	if !g.bills.Add(line) {
 		return
@@ -39,8 +42,8 @@
 	}
 }
 
-// settle notes that the entry has billed a run, and gives up its answer, which
-// the entry had whole; g.mu is held.
+// settle records that the entry has billed a run, and releases the bytes of the
+// answer, as the entry has received all of it; g.mu is held.
 func (g *Guard) settle(key wire.RunKey) {
 	delete(g.unbilledLines, key)
 	if r, ok := g.runs[key]; ok {
--- a/internal/guard/crash.go
+++ b/internal/guard/crash.go
@@ -18,29 +18,35 @@
 )
 
 const (
-	// maxCrashes bounds the runs that are told to entries as having been under way when the
-	// endpoint crashed: those of an engine with 64 slots.
+	// maxCrashes is the maximum number of runs that are reported to entries as in progress when
+	// the endpoint crashed. It is enough for one crash of an engine with 64 slots.
 	maxCrashes = 64
-	// crashTTL is how long they are told. Entries that lost their link are back sooner.
+	// crashTTL is how long a crash is reported. Entries that lost their link reconnect sooner.
 	crashTTL = 10 * time.Second
-	// crashProbeTimeout bounds the question whether the endpoint beside the guard has crashed,
-	// which a failed run waits for: on one VM a port answers or refuses at once.
+	// crashProbeTimeout is the timeout of the probe that tells whether the endpoint has crashed. The
+	// failed run waits for it. On the same VM a port accepts or refuses a connection at once.
 	crashProbeTimeout = 100 * time.Millisecond
-	// crashBatchDelay is how long word of a crash waits for the other runs that it broke off.
+	// crashBatchDelay is the delay before a crash is reported, so that one report covers all the
+	// runs that the crash interrupted.
 	crashBatchDelay = config.Span(5 * time.Millisecond)
 )
 
-// crash is a run that was under way when the endpoint crashed.
+// crash is a run that was in progress when the endpoint crashed.
 type crash struct {
-	seq         uint64
+	// seq numbers the crashes of this guard incarnation from 1.
+	seq uint64
+	// fingerprint is the fingerprint of the run's request.
 	fingerprint string
-	at          time.Time
-	age         time.Duration
+	// at is when the crash was detected.
+	at time.Time
+	// age is the time from the start of the run to at.
+	age time.Duration
 }
 
-// detectCrash finds out whether a run that broke off did so as the endpoint crashed: its port
-// refuses. If so all entries are told under which request, as it may be the cause, and its
-// repeats may come to any of them. r.work is still there.
+// detectCrash probes the endpoint after a run that was interrupted with err. If the port refuses the
+// connection, the endpoint has crashed, and the fingerprint of the request is reported to all entries:
+// the request may be the cause, and any entry may receive a repeat of it. A probe that times out counts
+// as no crash. It must be called before end, which drops the work.
 func (g *Guard) detectCrash(r *record, startedAt time.Time, err *fault.Error) {
 	if err == nil || err.Kind != fault.EndpointLost || err.Run == fault.NotRun || r.work.Fingerprint == "" {
 		return
@@ -53,19 +59,20 @@
 	now := g.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Until it is seen alive again no entry sends it anything, which would be refused.
+	// The endpoint would refuse connections, so entries send no run until a probe succeeds.
 	g.down = true
 	g.crashSeq++
 	g.crashes = append(g.crashes, crash{g.crashSeq, r.work.Fingerprint, now, now.Sub(startedAt)})
 	g.crashes = g.crashes[max(len(g.crashes)-maxCrashes, 0):]
-	g.Log.Warn("guard: The endpoint has crashed under a run.", zap.String("run", runID(r.key)), zap.String("fingerprint", r.work.Fingerprint))
+	g.Log.Warn("guard: The endpoint has crashed during a run.", zap.String("run", runID(r.key)), zap.String("fingerprint", r.work.Fingerprint))
 	select {
 	case g.crashSignal <- struct{}{}:
 	default:
 	}
 }
 
-// recentCrashes returns the crashes as they are told; g.mu is held.
+// recentCrashes removes the crashes older than crashTTL and returns the others as reported to entries;
+// g.mu is held.
 func (g *Guard) recentCrashes(now time.Time) (crashes []wire.Crash) {
 	g.crashes = slices.DeleteFunc(g.crashes, func(c crash) bool { return now.Sub(c.at) > crashTTL })
 	for _, c := range g.crashes {
@@ -74,7 +81,7 @@
 	return crashes
 }
 
-// broadcastCrashes tells all entries of crashes at once until ctx is done.
+// broadcastCrashes sends the load to all entries crashBatchDelay after each crash, until ctx is done.
 func (g *Guard) broadcastCrashes(ctx context.Context) error {
 	for {
 		select {
@@ -87,16 +94,16 @@
 	}
 }
 
-// broadcastLoad tells all entries the load.
+// broadcastLoad sends the load to all entries, one after the other.
 func (g *Guard) broadcastLoad(ctx context.Context) {
 	g.mu.Lock()
 	notice := wire.LoadNotice{Stamp: g.Stamp(), Load: g.currentLoad()}
 	links := g.entryLinks()
 	g.mu.Unlock()
 	for _, l := range links {
-		// An entry whose link is broken hears of it with its next heartbeat.
+		// An entry whose link is broken receives the load in reply to its next heartbeat.
 		if err := l.conn.Notify(ctx, wire.MethodLoad, notice); err != nil {
-			g.Log.Debug("guard: An entry was not told of the load.", zap.String("vm", l.conn.Peer.VM), zap.Error(err))
+			g.Log.Debug("guard: The load could not be sent to an entry.", zap.String("vm", l.conn.Peer.VM), zap.Error(err))
 		}
 	}
 }
--- a/internal/guard/drain.go
+++ b/internal/guard/drain.go
@@ -16,7 +16,8 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// leave refuses everything that has no slot yet.
+// leave begins a planned stop: it refuses the queued runs and all later ones, and
+// sends the load to all entries.
 func (g *Guard) leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -26,11 +27,12 @@
 			g.tombstone(r, g.refusal(fault.Stopping, "The endpoint is leaving."))
 		}
 	}
-	g.Log.Info("guard: Leaving.", zap.Int("running", g.queue.Running()))
+	g.Log.Info("guard: Leaving; new runs are refused.", zap.Int("running", g.queue.Running()))
 	g.broadcastLoadAsync()
 }
 
-// broadcastLoadAsync tells all entries the load without waiting for them; g.mu is held.
+// broadcastLoadAsync sends the load to all entries concurrently and does not wait
+// for them; g.mu is held.
 func (g *Guard) broadcastLoadAsync() {
 	notice := wire.LoadNotice{Stamp: g.Stamp(), Load: g.currentLoad()}
 	for _, l := range g.entryLinks() {
@@ -40,7 +42,9 @@
 	}
 }
 
-// drain waits for the running runs and writes the bills.
+// drain waits until the running runs have ended and every linked entry has released
+// the guard, for the latter at most releaseTimeout. Then it writes the bill lines
+// that are left. It returns an error if kill is done first.
 func (g *Guard) drain(kill context.Context) error {
 	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
@@ -55,15 +59,15 @@
 		select {
 		case <-tick.C:
 		case <-kill.Done():
-			return errors.Newf("guard: %d runs were cut off", running)
+			return errors.Newf("guard: killed with %d runs in progress", running)
 		}
 	}
 	g.billAll()
 	return g.bills.Flush(kill)
 }
 
-// busy returns how many runs have a slot, and how many entries may still send
-// one.
+// busy returns the number of runs that hold a slot, and the number of linked entries
+// that have not released the guard and so may still send a run.
 func (g *Guard) busy() (running, linked int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/guard/endpoint.go
+++ b/internal/guard/endpoint.go
@@ -22,49 +22,54 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// Headers towards engines and services.
+// Headers of requests to endpoints.
 const (
 	runHeader      = "X-Run-Id"
 	priorityHeader = "X-Priority"
 )
 
-// endMarker ends a whole event stream.
+// endMarker is the last event of a complete event stream.
 const endMarker = "data: [DONE]"
 
-// Endpoint reaches the engine or service beside the guard. Its fields are
-// seams: tests replace them.
+// Endpoint makes the calls to the engine or service on the guard's VM. Its fields
+// are functions so that tests can replace them.
 type Endpoint struct {
-	// Run does the work once and appends the answer to b under attempt 0. It
-	// returns what is billed, and nil for a whole answer.
+	// Run runs the work once and appends the answer to b as attempt 0. It returns
+	// the usage to be billed, and nil for a complete answer. Run of the returned
+	// error tells whether the work may have run.
 	Run func(ctx context.Context, key wire.RunKey, w *wire.Work, b *stream.Buffer) (wire.Usage, *fault.Error)
-	// Probe returns nil if the endpoint takes connections, and the versions
-	// that an engine says it has, as model@version; nil if it does not say.
+	// Probe returns an error if the endpoint does not accept connections. For an
+	// engine it also returns the loaded versions, as model@version; nil if the
+	// engine does not report them.
 	Probe func(ctx context.Context) ([]string, error)
-	// LoadVersion has an engine load a version, under a fence that grows.
+	// LoadVersion has an engine load a version, with the order's fence as fencing
+	// token, and returns when the version is loaded.
 	LoadVersion func(ctx context.Context, o *wire.Order) error
 }
 
-// client is the HTTP form of an Endpoint.
+// client implements the functions of Endpoint over HTTP.
 type client struct {
 	addr netip.AddrPort
 	kind string
 	http *fasthttp.HostClient
 }
 
-// errDial marks that no connection was made, so that nothing was sent.
-var errDial = errors.New("guard: the endpoint takes no connection")
+// errDial marks errors of connections that were not made, so that nothing was sent.
+var errDial = errors.New("guard: could not connect to the endpoint")
 
 const (
-	// dialTimeout bounds the opening of a connection to the endpoint.
+	// dialTimeout bounds the opening of a connection to the endpoint, and each short call to it.
 	dialTimeout = time.Second
-	// maxIdleResumes is how many resumptions of a cut answer in a row may bring nothing. One that
-	// brings it forward starts the count anew: the run goes on, and its deadline bounds it.
+	// maxIdleResumes is the maximum number of consecutive resumes of a cut answer that bring no
+	// bytes. A resume that brings some resets the count, as the run is still in progress; the
+	// run's deadline bounds their total number.
 	maxIdleResumes = 3
-	// readBufferBytes is the size of one read of an answer.
+	// readBufferBytes is the maximum length of one read of an answer.
 	readBufferBytes = 16 << 10
 )
 
-// NewEndpoint returns an Endpoint of the given kind at addr.
+// NewEndpoint returns an Endpoint of the given kind, KindEngine or KindService, at
+// addr.
 func NewEndpoint(kind string, addr netip.AddrPort) *Endpoint {
 	c := &client{addr: addr, kind: kind}
 	c.http = &fasthttp.HostClient{
@@ -74,13 +79,14 @@
 		MaxResponseBodySize: maxAnswerBytes,
 		RetryIfErr:          func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		Dial:                dialEndpoint,
-		// A kept connection that the endpoint has closed would make a run
-		// that never started look like one that may have.
+		// A request on a kept connection that the endpoint has closed meanwhile
+		// fails as one that may have run, although it did not start.
 		MaxIdleConnDuration: time.Second,
 	}
 	return &Endpoint{Run: c.run, Probe: c.probe, LoadVersion: c.loadVersion}
 }
 
+// dialEndpoint opens a connection. Its errors are marked with errDial.
 func dialEndpoint(addr string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
@@ -89,6 +95,7 @@
 	return conn, nil
 }
 
+// probe implements Endpoint.Probe. A failed query of the versions is not an error.
 func (c *client) probe(ctx context.Context) ([]string, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", c.addr.String())
@@ -107,16 +114,17 @@
 	return report.Versions, nil
 }
 
-// engineOrder is an order as engines take it.
+// engineOrder is the body of an order to an engine.
 type engineOrder struct {
 	Fence  int64  `json:"fence"`
 	Action string `json:"action"`
 	Model  string `json:"model"`
 }
 
-// versionLoadTimeout bounds one load.
+// versionLoadTimeout bounds the load of one version.
 const versionLoadTimeout = time.Minute
 
+// loadVersion implements Endpoint.LoadVersion.
 func (c *client) loadVersion(_ context.Context, o *wire.Order) error {
 	body, err := json.Marshal(engineOrder{Fence: o.Fence, Action: "load", Model: o.Model + "@" + o.Version})
 	if err != nil {
@@ -126,7 +134,8 @@
 	return err
 }
 
-// request makes one small call to the engine and returns the answer's body.
+// request makes one short call to the engine and returns the body of the response.
+// Any status but 200 is an error.
 func (c *client) request(method, path string, body []byte, deadline time.Time) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -145,6 +154,7 @@
 	return out, err
 }
 
+// bodyOf returns a reader of the response body, streamed or not.
 func bodyOf(resp *fasthttp.Response) io.Reader {
 	if r := resp.BodyStream(); r != nil {
 		return r
@@ -152,9 +162,11 @@
 	return bytes.NewReader(resp.Body())
 }
 
-// runID is how the endpoint knows an attempt.
+// runID returns the ID of an attempt at the endpoint.
 func runID(k wire.RunKey) string { return k.RunID + "." + strconv.Itoa(k.Attempt) }
 
+// run implements Endpoint.Run. It cancels the run at an engine when ctx is done, and
+// resumes a cut answer of an engine from the last byte received.
 func (c *client) run(ctx context.Context, key wire.RunKey, w *wire.Work, b *stream.Buffer) (wire.Usage, *fault.Error) {
 	stop := context.AfterFunc(ctx, func() { c.cancel(key) })
 	defer stop()
@@ -176,10 +188,13 @@
 	return usage, err
 }
 
+// resumable reports whether an answer that ended with err can be resumed: it is an
+// engine's, was cut and has begun.
 func (c *client) resumable(err *fault.Error, b *stream.Buffer) bool {
 	return c.kind == KindEngine && err != nil && err.Kind == fault.NotWhole && b.Len() > 0
 }
 
+// prepare sets up the request that starts a run.
 func (c *client) prepare(req *fasthttp.Request, key wire.RunKey, w *wire.Work) {
 	req.SetRequestURI("http://" + c.addr.String() + w.Path)
 	req.Header.SetMethod(w.Method)
@@ -191,11 +206,13 @@
 	req.SetBodyRaw(w.Body)
 }
 
+// prepareResume sets up the request for the answer of a run from a byte offset on.
 func (c *client) prepareResume(req *fasthttp.Request, key wire.RunKey, offset int) {
 	req.SetRequestURI("http://" + c.addr.String() + "/v1/runs/" + runID(key) + "?offset=" + strconv.Itoa(offset))
 }
 
-// call makes one HTTP call and appends its body to b.
+// call makes one HTTP call of a run and appends the body of the response to b. For
+// an engine any status but 200 is an error.
 func (c *client) call(w *wire.Work, b *stream.Buffer, prepare func(*fasthttp.Request)) *fault.Error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -213,24 +230,26 @@
 	return appendBody(resp, b)
 }
 
+// callFault returns the fault for a call without a response.
 func callFault(err error, deadline time.Time) *fault.Error {
 	switch {
 	case errors.Is(err, errDial):
-		return fault.New(fault.EndpointLost, fault.NotRun, "The endpoint takes no connection.")
+		return fault.New(fault.EndpointLost, fault.NotRun, "The endpoint does not accept connections.")
 	case errors.Is(err, fasthttp.ErrTimeout) && !time.Now().Before(deadline):
 		return fault.New(fault.DeadlinePassed, fault.MayHaveRun, "The endpoint did not answer before the deadline.")
 	default:
-		return fault.New(fault.EndpointLost, fault.MayHaveRun, "The endpoint's connection broke.")
+		return fault.New(fault.EndpointLost, fault.MayHaveRun, "The connection to the endpoint broke.")
 	}
 }
 
-// engineRefusal reads a status other than 200: by the engines' protocol 429
-// and 503 say that the run was not taken.
+// engineRefusal returns the fault for a status other than 200 of an engine. In the
+// engines' protocol 429 and 503 mean that the run was not accepted; Retry-After is
+// then the time to retry.
 func engineRefusal(status int, resp *fasthttp.Response) *fault.Error {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
 		at := fault.ParseRetryAfter(string(resp.Header.Peek(fasthttp.HeaderRetryAfter)), time.Now())
-		return fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").WithRetryAt(at)
+		return fault.New(fault.Overloaded, fault.NotRun, "The engine accepts no more runs.").WithRetryAt(at)
 	case fasthttp.StatusBadRequest, fasthttp.StatusNotFound:
 		return fault.New(fault.BadRequest, fault.NotRun, "The engine refused the request.")
 	default:
@@ -239,6 +258,7 @@
 	}
 }
 
+// appendBody appends the body of a response to b as it arrives.
 func appendBody(resp *fasthttp.Response, b *stream.Buffer) *fault.Error {
 	r := bodyOf(resp)
 	p := make([]byte, readBufferBytes)
@@ -253,12 +273,13 @@
 			return nil
 		}
 		if err != nil {
-			return fault.New(fault.NotWhole, fault.Ran, "The endpoint broke off its answer.")
+			return fault.New(fault.NotWhole, fault.Ran, "The connection to the endpoint broke during the answer.")
 		}
 	}
 }
 
-// checkComplete looks for the end marker of a model's answer.
+// checkComplete returns a NotWhole fault unless a model's answer is complete: an
+// event stream ends with endMarker, any other answer is valid JSON.
 func checkComplete(body []byte, streamed bool) *fault.Error {
 	if streamed && !strings.HasSuffix(strings.TrimSpace(string(tail(body))), endMarker) {
 		return fault.New(fault.NotWhole, fault.Ran, "The answer has no end marker.")
@@ -269,12 +290,15 @@
 	return nil
 }
 
-// tailBytes is how much of an answer's end is looked at.
+// tailBytes is the length of the end of an answer that is searched for the end
+// marker and the usage.
 const tailBytes = 2 << 10
 
+// tail returns the last tailBytes of body.
 func tail(body []byte) []byte { return body[max(0, len(body)-tailBytes):] }
 
-// readUsage finds the usage that an engine reports at the end of an answer.
+// readUsage returns the usage that an engine reports at the end of an answer; zero
+// if there is none.
 func readUsage(body []byte) wire.Usage {
 	var found struct {
 		Prompt     int `json:"prompt_tokens"`
@@ -289,7 +313,8 @@
 	return wire.Usage{PromptTokens: found.Prompt, CompletionTokens: found.Completion}
 }
 
-// cancel asks the engine to end a run; a service has no such call.
+// cancel asks the engine to end a run and ignores failures. A service has no such
+// call.
 func (c *client) cancel(key wire.RunKey) {
 	if c.kind != KindEngine {
 		return
--- a/internal/guard/endpoint_test.go
+++ b/internal/guard/endpoint_test.go
@@ -19,11 +19,12 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// cutEngine answers with text and cuts each connection after step more bytes of it. It
-// counts the calls.
+// cutEngine is an engine that answers with text and cuts each connection after step
+// further bytes; with a step of 0 only the first call brings a byte.
 type cutEngine struct {
-	text  string
-	step  int
+	text string
+	step int
+	// calls counts the requests.
 	calls atomic.Int32
 }
 
@@ -44,7 +45,7 @@
 	}
 }
 
-// runWithEngine runs one request of a model against the engine.
+// runWithEngine runs one streamed request at the engine and returns the answer.
 func runWithEngine(t *testing.T, e *cutEngine) (string, *fault.Error) {
 	t.Helper()
 	s := httptest.NewServer(e)
@@ -62,9 +63,10 @@
 	return string(b.Bytes()), err
 }
 
-// An answer of eighteen events, three to a connection, was lost half-way, though each
-// connection had brought it forward and its run went on: the guard resumed a fixed number of
-// times. Whether it came whole hung on how far the engine was ahead of the reader.
+// TestAnswerCutRepeatedlyIsComplete guards against a fixed limit of resumes per answer. An
+// answer of 18 events, 3 per connection, was then lost half-way although each connection
+// brought bytes and the run was in progress. Whether an answer was complete depended on how
+// far the engine was ahead of the reader.
 func TestAnswerCutRepeatedlyIsComplete(t *testing.T) {
 	text := strings.Repeat("data: {}\n\n", 18) + endMarker + "\n\n"
 	e := &cutEngine{text: text, step: 3 * len("data: {}\n\n")}
@@ -74,7 +76,8 @@
 	}
 }
 
-// Resumptions that bring nothing end after a few.
+// TestIdleResumesAreBounded checks that a run ends as NotWhole after maxIdleResumes
+// resumes without a byte.
 func TestIdleResumesAreBounded(t *testing.T) {
 	e := &cutEngine{text: strings.Repeat("x", 100)}
 	_, err := runWithEngine(t, e)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -27,80 +27,92 @@
 )
 
 const (
-	// maxAnswerBytes bounds one answer, in bytes.
+	// maxAnswerBytes is the maximum length of one answer.
 	maxAnswerBytes = 8 << 20
-	// spareHandlers is how many link messages beyond runs are handled at a
-	// time.
+	// spareHandlers is the maximum number of concurrent handlers of link messages,
+	// beyond those of the runs in slots and queue.
 	spareHandlers = 128
-	// releaseTimeout bounds how long a leaving guard without runs waits for entries
-	// that do not say that they know.
+	// releaseTimeout is how long a leaving guard without runs waits for entries
+	// that have not reported Released in a heartbeat.
 	releaseTimeout = config.Span(3 * time.Second)
-	// tickInterval is how often deadlines are looked at.
+	// tickInterval is the interval between sweeps.
 	tickInterval = 100 * time.Millisecond
-	// orphanBillDelay is how long after the end of an entry's link its runs are
-	// billed here; if the entry comes back and bills them too, folding makes
-	// one line of both.
+	// orphanBillDelay is the time from the end of an entry's link to when the guard
+	// bills the entry's runs. If the entry reconnects and bills them too, bill.Fold
+	// merges both lines.
 	orphanBillDelay = config.Span(200 * time.Millisecond)
-	// drainPollInterval is how often a leaving guard looks whether it is done.
+	// drainPollInterval is how often a leaving guard checks whether it may stop.
 	drainPollInterval = 10 * time.Millisecond
-	// probeInterval is how often the endpoint is tried.
+	// probeInterval is the interval between probes of the endpoint.
 	probeInterval = time.Second
-	// maxHeldBills bounds the bill lines that wait for the platform.
+	// maxHeldBills is the maximum number of bill lines that the platform has not
+	// confirmed.
 	maxHeldBills = 100_000
-	// defaultBillAfter is how long after a run's deadline the guard waits for
-	// an entry to bill it.
+	// defaultBillAfter is the default of Settings.BillAfter.
 	defaultBillAfter = config.Span(30 * time.Second)
 )
 
-// Guard is one guard process. Use New.
+// Guard is one guard process. It must be created with New.
 type Guard struct {
 	*proc.Proc
 	settings Settings
 	endpoint *Endpoint
-	kill     context.Context
-	killNow  context.CancelFunc
-	mu       sync.Mutex
-	queue    *admit.Queue
-	runs     map[wire.RunKey]*record
-	// links holds the newest link of each peer incarnation.
+	// kill is the parent of the contexts of all runs; killNow ends it.
+	kill    context.Context
+	killNow context.CancelFunc
+	// mu protects the fields below, except crashSignal, bills and metrics.
+	mu    sync.Mutex
+	queue *admit.Queue
+	// runs holds the records of runs, with those of ended runs and tombstones.
+	runs map[wire.RunKey]*record
+	// links holds the newest link of each peer, by incarnation.
 	links map[string]*peerLink
-	// leaving says that no new work is taken; it never goes back.
+	// leaving reports that no new runs are accepted; it is never reset.
 	leaving bool
-	down    bool
-	// backoffUntil is until when the engine wants no run; it only grows.
+	// down reports that the last probe of the endpoint failed, or that it has
+	// crashed since.
+	down bool
+	// backoffUntil is when the backoff that the engine asked for ends; it never
+	// decreases.
 	backoffUntil time.Time
-	// versions lists what the engine has loaded; nil if it does not say.
+	// versions lists the versions that the engine has loaded, as of the last
+	// probe; nil if the engine does not report them.
 	versions []string
-	// versionLoads holds the versionLoads of versions that are under way.
+	// versionLoads holds the loads of versions that are in progress, by
+	// model@version.
 	versionLoads map[string]*versionLoad
-	// fence is the highest one of the orders taken; it only grows.
+	// fence is the fencing token of the newest order accepted; it never decreases.
 	fence int64
-	// unbilledLines holds the lines that no entry has confirmed yet.
+	// unbilledLines holds the bill lines of runs that no entry has reported as
+	// settled.
 	unbilledLines map[wire.RunKey]unbilledLine
-	// crashes are the latest runs under which the endpoint crashed, by their rising numbers;
-	// crashSeq is the last of these. crashed says that there are new ones.
-	crashes     []crash
-	crashSeq    uint64
+	// crashes holds the latest runs that were in progress when the endpoint
+	// crashed, by increasing seq. It holds at most maxCrashes.
+	crashes []crash
+	// crashSeq is the seq of the latest of them, or 0.
+	crashSeq uint64
+	// crashSignal signals that there are crashes to broadcast.
 	crashSignal chan struct{}
 	bills       *ledger.Writer[bill.Line]
 	metrics     guardMetrics
 }
 
-// peerLink is the newest link of an entry.
+// peerLink is the newest link of a peer.
 type peerLink struct {
 	conn *link.Conn
-	// released says that the entry has no run here and will send none, as it
-	// knows that the guard is leaving.
+	// released reports that the entry knows that the guard is leaving, has no run
+	// here and will send none. It is set from the entry's heartbeats.
 	released bool
 }
 
-// guardMetrics are the guard's metrics.
+// guardMetrics holds the guard's metrics.
 type guardMetrics struct {
 	started, refused, tombstones, duplicates tally.Counter
 	running, queued                          tally.Gauge
 }
 
-// New builds a guard; Run starts it.
+// New returns a guard that listens but handles nothing until Run. It returns an
+// error if a listener cannot be opened or a key file cannot be read.
 func New(s Settings) (*Guard, error) {
 	if s.BillAfter == 0 {
 		s.BillAfter = defaultBillAfter
@@ -154,8 +166,9 @@
 	}
 }
 
-// Run serves until the stages end it. It returns nil after a planned stop
-// that cut off nothing.
+// Run serves until stages.Stop is done, then lets the running runs finish. It
+// returns an error if stages.Kill is done before they have ended and their bill
+// lines are written.
 func (g *Guard) Run(stages proc.Stages) error {
 	g.kill, g.killNow = context.WithCancel(stages.Kill)
 	defer g.killNow()
@@ -176,7 +189,7 @@
 	return err
 }
 
-// tick looks at deadlines until ctx is done.
+// tick calls sweep at each tickInterval until ctx is done.
 func (g *Guard) tick(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -190,7 +203,8 @@
 	}
 }
 
-// sweep expires waiting runs, forgets old ones and bills orphans.
+// sweep refuses waiting runs whose deadline has passed, evicts old records, removes
+// ended links and bills the runs that their entry has not billed in time.
 func (g *Guard) sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -216,7 +230,7 @@
 	g.metrics.queued.Update(float64(g.queue.Waiting()))
 }
 
-// probeEndpoint tries the endpoint until ctx is done.
+// probeEndpoint probes the endpoint at each probeInterval until ctx is done.
 func (g *Guard) probeEndpoint(ctx context.Context) error {
 	t := time.NewTicker(probeInterval)
 	defer t.Stop()
@@ -228,7 +242,7 @@
 		g.versions = versions
 		g.mu.Unlock()
 		if changed {
-			g.Log.Warn("guard: The endpoint has changed.", zap.Bool("down", err != nil), logs.Err(err))
+			g.Log.Warn("guard: The availability of the endpoint has changed.", zap.Bool("down", err != nil), logs.Err(err))
 		}
 		select {
 		case <-ctx.Done():
@@ -238,7 +252,8 @@
 	}
 }
 
-// onSettingsChange takes withdrawn versions out of the queue: queued work is new work.
+// onSettingsChange removes the queued runs that the new settings forbid. A version
+// that is withdrawn gets no new work, and a queued run has not started yet.
 func (g *Guard) onSettingsChange(s *config.Snapshot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -252,7 +267,7 @@
 	}
 }
 
-// onProven replaces the older link of the same incarnation.
+// onProven stores a new link and supersedes the older one of the same incarnation.
 func (g *Guard) onProven(c *link.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -262,7 +277,8 @@
 	g.links[c.Peer.Incarnation] = &peerLink{conn: c}
 }
 
-// checkAllowed returns why the settings forbid new work, or nil.
+// checkAllowed returns why the settings s forbid to start w, or nil. Work of plain
+// services is always allowed.
 func (g *Guard) checkAllowed(s *config.Snapshot, w *wire.Work) *fault.Error {
 	if w.Model == "" {
 		return nil
@@ -280,12 +296,12 @@
 	return fault.New(fault.NotAllowed, fault.NotRun, "The workspace does not allow %s@%s.", w.Model, w.Version)
 }
 
-// refusal is the reply of a run that never started.
+// refusal returns the reply to a run that was not started.
 func (g *Guard) refusal(k fault.Kind, message string) wire.RunReply {
 	return wire.RunReply{Err: fault.New(k, fault.NotRun, "%s", message)}
 }
 
-// byQueueID finds the record of an item; g.mu is held.
+// byQueueID returns the queued run with the given queue ID, or nil; g.mu is held.
 func (g *Guard) byQueueID(id string) *record {
 	for _, r := range g.runs {
 		if r.phase == phaseQueued && r.queueID() == id {
@@ -295,10 +311,10 @@
 	return nil
 }
 
-// admitNext gives slots to items that the queue has started; g.mu is held. An item
-// whose link has ended is closed here, and its slot goes to the next one: were that
-// left to its own goroutine, an entry that asks for the run first would take it over
-// after it had been orphaned.
+// admitNext passes on the slots of items that the queue has admitted; g.mu is held.
+// A run whose link has ended gets a tombstone here, and its slot goes to the next
+// one. If its own goroutine did this later, an entry that queries the run in between
+// would become its owner, and the orphaned run would start.
 func (g *Guard) admitNext(items []admit.Item) {
 	for len(items) > 0 {
 		it := items[0]
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -46,10 +46,12 @@
 `
 )
 
-// slowEngine answers "answer" in two pieces, the second once release is closed.
+// slowEngine answers "answer" in two parts, the second once release is closed.
 type slowEngine struct {
-	mu          sync.Mutex
-	runs        map[wire.RunKey]int
+	mu sync.Mutex
+	// runs counts the runs of each key.
+	runs map[wire.RunKey]int
+	// startedKeys receives the key of each run that starts.
 	startedKeys chan wire.RunKey
 	release     chan struct{}
 }
@@ -69,38 +71,41 @@
 	return wire.Usage{CompletionTokens: 2}, nil
 }
 
-// waitStarted waits until a run has begun.
+// waitStarted waits until the next run has started and returns its key.
 func (s *slowEngine) waitStarted(t *testing.T) wire.RunKey {
 	t.Helper()
 	select {
 	case key := <-s.startedKeys:
 		return key
 	case <-time.After(10 * time.Second):
-		t.Fatal("no run has begun")
+		t.Fatal("no run has started within 10 s")
 		return wire.RunKey{}
 	}
 }
 
+// count returns the number of runs of key.
 func (s *slowEngine) count(key wire.RunKey) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// harness is a guard with one slot and a caller that speaks as an entry does.
+// harness is a guard with one slot and a client that acts as an entry.
 type harness struct {
 	g      *Guard
 	engine *slowEngine
+	// holder and local are the settings and the link side of the client.
 	holder *spread.Holder
 	local  *link.Local
 	mu     sync.Mutex
-	// bufs takes the chunks of each run.
+	// bufs receives the chunks of each run.
 	bufs map[wire.RunKey]*stream.Buffer
-	// stop asks the guard for a planned stop; ended takes how it ended.
+	// stop starts a planned stop of the guard; ended receives the result of Run.
 	stop  context.CancelFunc
 	ended chan error
 }
 
+// startHarness starts a guard with a queue of 8 and the settings serving.
 func startHarness(t *testing.T) *harness {
 	t.Helper()
 	keys := filepath.Join(t.TempDir(), "keys.yaml")
@@ -141,7 +146,7 @@
 	return b
 }
 
-// closedPort returns an address that nothing listens on.
+// closedPort returns a loopback address with a port that refuses connections.
 func closedPort(t *testing.T) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -152,7 +157,8 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// newLocal returns a caller with a link key and an incarnation.
+// newLocal returns the link side of an entry with the given link key and
+// incarnation.
 func (b *harness) newLocal(t *testing.T, hex, incarnation string) *link.Local {
 	t.Helper()
 	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: hex}})
@@ -174,7 +180,8 @@
 	return b.bufs[key]
 }
 
-// applySettings puts settings in force at the caller.
+// applySettings puts the settings in text in force at the client, as the next
+// revision.
 func (b *harness) applySettings(t *testing.T, text string) {
 	t.Helper()
 	f, err := config.ParseFile("bench", []byte(text))
@@ -201,7 +208,8 @@
 	return c
 }
 
-// run asks for a run of version 1 under the given revision.
+// run sends a run of version 1 with the given settings revision and returns the
+// reply.
 func (b *harness) run(t *testing.T, c *link.Conn, id string, revision int64) wire.RunReply {
 	t.Helper()
 	var reply wire.RunReply
@@ -211,7 +219,7 @@
 	return reply
 }
 
-// newRun is a run of version 1 under the given revision.
+// newRun returns a run of version 1 with the given settings revision.
 func (b *harness) newRun(id string, revision int64) *wire.Run {
 	return &wire.Run{
 		Stamp: wire.Stamp{Revision: revision},
@@ -221,13 +229,14 @@
 	}
 }
 
-// runAsync runs in the background.
+// runAsync is run in a goroutine, with the client's revision.
 func (b *harness) runAsync(t *testing.T, c *link.Conn, id string) <-chan wire.RunReply {
 	out := make(chan wire.RunReply, 1)
 	go func() { out <- b.run(t, c, id, b.holder.Revision()) }()
 	return out
 }
 
+// queryRun sends a RunQuery to the given guard incarnation and returns the reply.
 func (b *harness) queryRun(t *testing.T, c *link.Conn, id, guard string, offset int) wire.RunReply {
 	t.Helper()
 	var reply wire.RunReply
@@ -249,14 +258,16 @@
 			return
 		}
 	}
-	t.Fatalf("there are not %d waiting runs", n)
+	t.Fatalf("the queue did not hold %d runs within 10 s", n)
 }
 
+// checkReply checks that a reply has an error of the given kind and run state, or
+// none if kind is empty.
 func checkReply(t *testing.T, what string, got wire.RunReply, kind fault.Kind, run fault.RunState) {
 	t.Helper()
 	if kind == "" {
 		if got.Err != nil {
-			t.Errorf("%s: got %v, want a whole answer", what, got.Err)
+			t.Errorf("%s: got %v, want a complete answer", what, got.Err)
 		}
 		return
 	}
@@ -265,6 +276,8 @@
 	}
 }
 
+// TestRunOnce checks that a run that arrives again is refused and not started again,
+// both while the first is running and after its end.
 func TestRunOnce(t *testing.T) {
 	b := startHarness(t)
 	c := b.dial(t)
@@ -279,18 +292,21 @@
 	}
 }
 
+// TestTombstone checks that a run that was queried before it arrives is refused, and
+// that a query to an earlier incarnation answers that the run may have run.
 func TestTombstone(t *testing.T) {
 	b := startHarness(t)
 	c := b.dial(t)
-	checkReply(t, "asked about a run never seen", b.queryRun(t, c, "r", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "query of a run that has not arrived", b.queryRun(t, c, "r", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
 	checkReply(t, "the run arrives late", b.run(t, c, "r", 1), fault.EndpointLost, fault.NotRun)
-	checkReply(t, "asked of another incarnation", b.queryRun(t, c, "s", "before", 0), fault.EndpointLost, fault.MayHaveRun)
+	checkReply(t, "query to another incarnation", b.queryRun(t, c, "s", "before", 0), fault.EndpointLost, fault.MayHaveRun)
 	if got := len(b.engine.runs); got != 0 {
 		t.Errorf("runs: got %d, want 0", got)
 	}
 }
 
-// TestSupersededLink refuses what arrives over a link that the peer has replaced.
+// TestSupersededLink checks that a run is refused if it arrives over a link that the
+// peer has replaced by a newer one.
 func TestSupersededLink(t *testing.T) {
 	b := startHarness(t)
 	old := b.dial(t)
@@ -300,7 +316,8 @@
 	checkReply(t, "over the new link", b.run(t, fresh, "s", 1), "", "")
 }
 
-// TestQueryAfterBrokenLink gets the whole answer over a second link.
+// TestQueryAfterBrokenLink checks that a query over a second link returns the rest of
+// the answer without a second run.
 func TestQueryAfterBrokenLink(t *testing.T) {
 	b := startHarness(t)
 	c := b.dial(t)
@@ -313,14 +330,15 @@
 	fresh := b.dial(t)
 	close(b.engine.release)
 	got := b.queryRun(t, fresh, "r", b.g.Identity.Incarnation, b.buf(key).Len())
-	checkReply(t, "asked", got, "", "")
+	checkReply(t, "query", got, "", "")
 	if text := string(b.buf(key).Bytes()); text != "answer" || b.engine.count(key) != 1 {
 		t.Errorf("got %q after %d runs, want answer after 1", text, b.engine.count(key))
 	}
 }
 
-// TestQueryAfterGuardBilled keeps record and answer of a run that the guard has billed
-// itself while its link was cut, since the entry may still ask.
+// TestQueryAfterGuardBilled checks that the record and the answer of a run are kept
+// after the guard has billed it because its link broke, as the entry may still query
+// the run.
 func TestQueryAfterGuardBilled(t *testing.T) {
 	b := startHarness(t)
 	c := b.dial(t)
@@ -333,13 +351,13 @@
 		held, _ = b.g.bills.Held()
 	}
 	b.g.sweep(time.Now())
-	checkReply(t, "asked", b.queryRun(t, b.dial(t), "r", b.g.Identity.Incarnation, b.buf(key).Len()), "", "")
+	checkReply(t, "query", b.queryRun(t, b.dial(t), "r", b.g.Identity.Incarnation, b.buf(key).Len()), "", "")
 	if text := string(b.buf(key).Bytes()); text != "answer" {
 		t.Errorf("got %q, want answer", text)
 	}
 }
 
-// TestOrphan never starts a queued run whose link broke.
+// TestOrphan checks that a queued run whose link broke is never started.
 func TestOrphan(t *testing.T) {
 	b := startHarness(t)
 	keep, lose := b.dial(t), (*link.Conn)(nil)
@@ -357,7 +375,7 @@
 	<-noticed
 	close(b.engine.release)
 	checkReply(t, "the first", <-first, "", "")
-	checkReply(t, "asked about the orphan", b.queryRun(t, b.dial(t), "orphan", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "query of the orphan", b.queryRun(t, b.dial(t), "orphan", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
 	if got := b.engine.count(wire.RunKey{RunID: "orphan", Attempt: 1}); got != 0 {
 		t.Errorf("runs of the orphan: got %d, want 0", got)
 	}
@@ -370,9 +388,9 @@
 	return b.g.links[incarnation].conn
 }
 
-// TestOrphanNotRevivedByQuery holds that a run whose link broke while it waited is closed as
-// soon as its slot comes free: an entry that asks for it at that moment finds it
-// closed, and does not bring it back to life.
+// TestOrphanNotRevivedByQuery checks that a queued run whose link broke gets its tombstone
+// at once when a slot is free for it. Otherwise an entry that queries the run at that
+// moment would become its owner, and the run would start.
 func TestOrphanNotRevivedByQuery(t *testing.T) {
 	b := startHarness(t)
 	first := b.runAsync(t, b.dial(t), "first")
@@ -388,17 +406,17 @@
 	b.dial(t)
 	adopted, _ := b.g.lookUp(b.guardLink("entry-2"), &wire.RunQuery{Key: orphan.key, Guard: b.g.Identity.Incarnation})
 	if adopted != orphan {
-		t.Fatalf("record found: got %v, want the orphan's", adopted)
+		t.Fatalf("record returned by the query: got %v, want the orphan's", adopted)
 	}
 	b.g.mu.Lock()
 	defer b.g.mu.Unlock()
 	if orphan.phase != phaseTombstone {
-		t.Fatalf("the orphan is %s, want it closed when its slot came free", orphan.phase)
+		t.Fatalf("phase of the orphan once a slot is free: got %s, want tombstone", orphan.phase)
 	}
 	checkReply(t, "the orphan", orphan.reply, fault.EndpointLost, fault.NotRun)
 }
 
-// enqueue offers a run to the guard without anyone who waits for it.
+// enqueue offers a run to the guard's queue without a handler that waits for it.
 func (b *harness) enqueue(t *testing.T, c *link.Conn, id string) *record {
 	t.Helper()
 	r, refused := b.g.enqueue(c, b.newRun(id, b.holder.Revision()))
@@ -408,8 +426,8 @@
 	return r
 }
 
-// TestWithdrawnVersion holds that a withdrawn version gets no new work, whether the
-// entry or the guard hears of it first, and that running work may finish.
+// TestWithdrawnVersion checks that a withdrawn version gets no new run, whether the
+// entry or the guard receives the settings first, and that a running run may finish.
 func TestWithdrawnVersion(t *testing.T) {
 	b := startHarness(t)
 	c := b.dial(t)
@@ -429,8 +447,8 @@
 	checkReply(t, "running before", <-running, "", "")
 }
 
-// TestLeavingGuardRefusesWork refuses queued and new work as not run and lets running work
-// finish.
+// TestLeavingGuardRefusesWork checks that a leaving guard refuses queued and new runs as
+// not run, and lets a running run finish.
 func TestLeavingGuardRefusesWork(t *testing.T) {
 	b := startHarness(t)
 	c := b.dial(t)
@@ -445,8 +463,8 @@
 	checkReply(t, "running", <-running, "", "")
 }
 
-// TestStopWaitsForEntries keeps a stopping guard there to refuse work until the
-// entry says that it has no run there and will send none.
+// TestStopWaitsForEntries checks that a stopping guard keeps refusing runs until the
+// entry reports that it has no run there and will send none, and then ends.
 func TestStopWaitsForEntries(t *testing.T) {
 	b := startHarness(t)
 	c := b.dial(t)
@@ -460,7 +478,7 @@
 	b.stop()
 	for range 40 {
 		if _, err := beat(false); err != nil {
-			t.Fatalf("the guard went before the entry knew: %v", err)
+			t.Fatalf("the guard stopped before the entry released it: %v", err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -472,11 +490,11 @@
 			t.Errorf("end: got %v, want nil", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the guard does not end")
+		t.Error("the guard did not stop within 10 s of its release")
 	}
 }
 
-// TestLinkKey lets nobody in without the link key.
+// TestLinkKey checks that a peer with another link key cannot open a link.
 func TestLinkKey(t *testing.T) {
 	b := startHarness(t)
 	stranger := b.newLocal(t, "ffffffffffffffffffffffffffffffff", "stranger")
--- a/internal/guard/handle.go
+++ b/internal/guard/handle.go
@@ -19,7 +19,9 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// handleHeartbeat answers an entry's heartbeat with the load.
+// handleHeartbeat answers an entry's heartbeat with the load. Each heartbeat counts
+// as a confirmation that the settings here are current: if the entry has newer
+// ones, the link has fetched them before, or has tried to.
 func (g *Guard) handleHeartbeat(_ context.Context, c *link.Conn, p wire.Heartbeat) (wire.HeartbeatReply, error) {
 	g.Holder.Heard()
 	g.mu.Lock()
@@ -33,7 +35,7 @@
 	return wire.HeartbeatReply{Stamp: g.Stamp(), Load: g.currentLoad()}, nil
 }
 
-// currentLoad returns what the guard says of its endpoint; g.mu is held.
+// currentLoad returns the load to report to entries; g.mu is held.
 func (g *Guard) currentLoad() wire.Load {
 	now := g.Now()
 	return wire.Load{
@@ -49,7 +51,8 @@
 	}
 }
 
-// handleRun does the work once, or says why not.
+// handleRun runs the work of p and sends the answer in chunks over c. It replies
+// when the run has ended, or at once with the reason if the run is refused.
 func (g *Guard) handleRun(ctx context.Context, c *link.Conn, p wire.Run) (wire.RunReply, error) {
 	r, refused := g.enqueue(c, &p)
 	if refused != nil {
@@ -66,7 +69,7 @@
 	return g.replyOf(r), nil
 }
 
-// replyOf returns the reply of an ended run with a fresh stamp.
+// replyOf returns the reply to an ended run, with the current settings revision.
 func (g *Guard) replyOf(r *record) wire.RunReply {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,7 +78,8 @@
 	return reply
 }
 
-// enqueue records a run and offers it to the queue.
+// enqueue creates the record of a run and offers the run to the queue. It returns
+// the reason if the run is refused.
 func (g *Guard) enqueue(c *link.Conn, p *wire.Run) (*record, *fault.Error) {
 	now := g.Now()
 	g.mu.Lock()
@@ -101,17 +105,18 @@
 	return r, nil
 }
 
-// checkRun returns why a run is refused at once; g.mu is held.
+// checkRun returns why a run is refused before it is offered to the queue, or nil;
+// g.mu is held.
 func (g *Guard) checkRun(c *link.Conn, p *wire.Run, now time.Time) *fault.Error {
 	if p.Guard != g.Identity.Incarnation {
-		return fault.New(fault.EndpointLost, fault.NotRun, "The run was meant for another incarnation.")
+		return fault.New(fault.EndpointLost, fault.NotRun, "The run was sent to another incarnation of the guard.")
 	}
 	if old, ok := g.runs[p.Key]; ok {
 		g.metrics.duplicates.Inc(1)
 		if old.phase == phaseTombstone {
 			return old.reply.Err
 		}
-		return fault.New(fault.AlreadyRan, fault.MayHaveRun, "The run was seen before.")
+		return fault.New(fault.AlreadyRan, fault.MayHaveRun, "The guard has received the run before.")
 	}
 	if c.Superseded() {
 		return fault.New(fault.EndpointLost, fault.NotRun, "The link was replaced by a newer one.")
@@ -123,7 +128,7 @@
 		return fault.New(fault.Stopping, fault.NotRun, "The endpoint is leaving.")
 	}
 	if g.down {
-		return fault.New(fault.EndpointLost, fault.NotRun, "The endpoint takes no connection.")
+		return fault.New(fault.EndpointLost, fault.NotRun, "The endpoint does not accept connections.")
 	}
 	if refused := g.backoffRefusal(now); refused != nil {
 		return refused
@@ -131,7 +136,8 @@
 	return g.checkAllowed(g.Holder.Current(), &p.Work)
 }
 
-// execute waits for a slot and does the run; it returns once the run is over.
+// execute waits for a slot, runs the work at the endpoint and records its end. It
+// returns when the run has ended or has a tombstone.
 func (g *Guard) execute(r *record) {
 	defer r.cancel()
 	select {
@@ -153,8 +159,8 @@
 	g.end(r, usage, err)
 }
 
-// dequeue takes a waiting run out of the queue; it reports false if the run
-// is not waiting any more.
+// dequeue removes a waiting run from the queue and gives it a tombstone. It
+// returns false if the run holds a slot by now.
 func (g *Guard) dequeue(r *record, k fault.Kind, message string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,8 +174,9 @@
 	return true
 }
 
-// begin makes an admitted run a running one, unless it is no longer wanted or
-// allowed.
+// begin marks an admitted run as running and returns true. It returns false and
+// gives the run a tombstone if the settings, a backoff of the engine, the run's
+// context, the end of its link or the leaving of the guard forbid to start it.
 func (g *Guard) begin(r *record) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,7 +187,7 @@
 	switch {
 	case refused != nil:
 	case r.ctx.Err() != nil:
-		refused = fault.New(fault.DeadlinePassed, fault.NotRun, "The run was given up before it started.")
+		refused = fault.New(fault.DeadlinePassed, fault.NotRun, "The run was cancelled or its deadline passed before it started.")
 	case tasks.IsDone(r.owner.Done()):
 		refused = fault.New(fault.EndpointLost, fault.NotRun, "Nobody follows the run any more.")
 	case g.leaving:
@@ -197,7 +204,8 @@
 	return true
 }
 
-// end records how a run ended, holds its bill line and frees its slot.
+// end records the outcome of a run, stores its bill line for the case that no
+// entry bills it, and frees its slot.
 func (g *Guard) end(r *record, usage wire.Usage, err *fault.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -216,7 +224,7 @@
 	g.admitNext(g.queue.Done(g.Now(), r.queueID(), nil))
 }
 
-// billLine is what the guard would bill for a run.
+// billLine returns the bill line of a run that has just ended.
 func (g *Guard) billLine(r *record, u wire.Usage) bill.Line {
 	w := &r.work
 	return bill.Line{
@@ -238,7 +246,8 @@
 	}
 }
 
-// handleRunQuery says what became of a run after a broken link.
+// handleRunQuery answers an entry whose link broke during a run. It sends the chunks
+// that the entry lacks and replies when the run has ended.
 func (g *Guard) handleRunQuery(ctx context.Context, c *link.Conn, p wire.RunQuery) (wire.RunReply, error) {
 	r, reply := g.lookUp(c, &p)
 	if r == nil {
@@ -253,13 +262,15 @@
 	}
 }
 
-// lookUp finds the run that is asked about. A run never seen gets a tombstone.
+// lookUp returns the run that p queries and makes c its owner. For an unknown run
+// it stores a tombstone, so that the run is refused if it arrives later, and returns
+// nil and the reply.
 func (g *Guard) lookUp(c *link.Conn, p *wire.RunQuery) (*record, wire.RunReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p.Guard != g.Identity.Incarnation {
 		return nil, wire.RunReply{Stamp: g.Stamp(), Err: fault.New(fault.EndpointLost, fault.MayHaveRun,
-			"The guard was restarted; what its predecessor ran is not known.")}
+			"The guard was restarted; whether it ran the request before is not known.")}
 	}
 	if r, ok := g.runs[p.Key]; ok {
 		r.owner = c
@@ -274,7 +285,7 @@
 	return nil, reply
 }
 
-// handleCancel gives up a run that is no longer wanted.
+// handleCancel ends a run whose answer is no longer needed.
 func (g *Guard) handleCancel(_ *link.Conn, p wire.Cancel) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/guard/runs.go
+++ b/internal/guard/runs.go
@@ -12,11 +12,11 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// phase is how far a run has come.
+// phase is the state of a run.
 type phase string
 
-// The phases of a run. A tombstone is a run that was asked about before it was
-// seen, or refused: it never runs.
+// Phases of a run. A tombstone is a run that was refused, or queried before it
+// arrived; it is never started.
 const (
 	phaseQueued    phase = "queued"
 	phaseRunning   phase = "running"
@@ -24,41 +24,47 @@
 	phaseTombstone phase = "tombstone"
 )
 
-// record is what the guard knows of one attempt.
+// record is the state of one attempt of a run. Guard.mu protects phase, reply,
+// owner, settled and billed.
 type record struct {
-	key  wire.RunKey
+	key wire.RunKey
+	// work is the work to run; its body is dropped when the run has ended.
 	work wire.Work
-	// phase only moves forward: queued, running, ended; or to tombstone from
-	// queued or at once. It never leaves ended or tombstone.
+	// phase moves from queued to running to ended, or from queued to tombstone.
+	// It never leaves ended or tombstone.
 	phase phase
-	buf   *stream.Buffer
-	// admitted is closed when the run has its slot.
+	// buf holds the answer.
+	buf *stream.Buffer
+	// admitted is closed when the run gets its slot.
 	admitted chan struct{}
-	// ended is closed with the phase ended or tombstone; reply is set then.
+	// ended is closed when the phase becomes ended or tombstone; reply is set
+	// before that.
 	ended chan struct{}
 	reply wire.RunReply
-	// ctx is done when the run is no longer wanted.
+	// ctx is done when the run is cancelled or its deadline has passed.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// owner is the link that follows the run; a later Ask replaces it.
+	// owner is the link that the answer is sent over; a RunQuery replaces it.
 	owner *link.Conn
-	// evictAfter is when the record may go: the run's deadline, after which a
-	// late message of the same run is refused by its deadline.
+	// evictAfter is recordRetention after the run's deadline. The record need not
+	// be kept for longer, as a late message of the run is refused because of its
+	// deadline.
 	evictAfter time.Time
-	// settled says that the entry has billed the run, and so asks no more, or
-	// that there is nothing to bill. billed says that the guard did instead:
-	// the entry may still ask.
+	// settled reports that the entry has billed the run, and so sends no further
+	// query, or that there is nothing to bill. billed reports that the guard has
+	// billed it instead; the entry may still query the run.
 	settled, billed bool
 }
 
-// queueID names the run in the admission queue.
+// queueID returns the ID of the run in the admission queue.
 func (r *record) queueID() string { return runID(r.key) }
 
-// recordRetention is how long a record outlives the deadline of its run.
+// recordRetention is how long a record is kept after the deadline of its run.
 const recordRetention = 30 * time.Second
 
-// evictRecords drops records whose time has come: those of repeatable runs once their
-// entry has billed them, others after their deadline; g.mu is held.
+// evictRecords removes the records of billed runs that have ended: those of
+// repeatable runs as soon as the entry has billed them, others after evictAfter.
+// g.mu is held.
 func (g *Guard) evictRecords(now time.Time) {
 	for key, r := range g.runs {
 		over := r.phase == phaseEnded || r.phase == phaseTombstone
@@ -69,7 +75,7 @@
 	}
 }
 
-// tombstone closes a run for good without running it; g.mu is held.
+// tombstone ends a run that has not started with a reply; g.mu is held.
 func (g *Guard) tombstone(r *record, reply wire.RunReply) {
 	r.phase = phaseTombstone
 	r.reply = reply
@@ -78,7 +84,7 @@
 	close(r.ended)
 }
 
-// newRecord enters a run; g.mu is held.
+// newRecord creates and stores the record of a queued run; g.mu is held.
 func (g *Guard) newRecord(key wire.RunKey, w wire.Work, owner *link.Conn) *record {
 	r := &record{
 		key:        key,
--- a/internal/guard/settings.go
+++ b/internal/guard/settings.go
@@ -10,13 +10,17 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Kinds of endpoint.
+// Kinds of endpoint, for Settings.Kind.
 const (
-	KindEngine  = "engine"
+	// KindEngine is an inference engine. It serves models, reports its versions,
+	// loads versions on order, and can cancel runs and resume answers.
+	KindEngine = "engine"
+	// KindService is a plain HTTP service without any of these calls.
 	KindService = "service"
 )
 
-// Settings are the process settings of a guard.
+// Settings are the process settings of a guard. The doc tags state the meaning and
+// unit of each field.
 type Settings struct {
 	proc.Common `yaml:",inline"`
 	Pool        string         `yaml:"pool" doc:"Pool that the endpoint belongs to."`
@@ -29,7 +33,7 @@
 	AgeAfter    config.Span    `yaml:"ageAfter,omitempty" doc:"How long a patient run waits before it counts as interactive."`
 }
 
-// Check reports each key that is wrong.
+// Check calls report for each key with an invalid value.
 func (s *Settings) Check(report func(key, message string)) {
 	s.Common.Check(report)
 	if s.Pool == "" {
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -9,25 +9,33 @@
 	"github.com/traildrift/traildrift/internal/wire"
 )
 
-// stateDump is what the dump shows of a guard.
+// stateDump is the part of the state dump that a guard adds.
 type stateDump struct {
-	Load     wire.Load `json:"load"`
-	Runs     []runDump `json:"runs"`
-	Unbilled int       `json:"unbilled"`
-	Held     int       `json:"billsHeld"`
-	Links    int       `json:"links"`
+	Load wire.Load `json:"load"`
+	// Runs holds at most maxDumpedRuns of the records, in no particular order.
+	Runs []runDump `json:"runs"`
+	// Unbilled is the number of runs that no entry has reported as settled.
+	Unbilled int `json:"unbilled"`
+	// Held is the number of bill lines that the platform has not confirmed.
+	Held int `json:"billsHeld"`
+	// Links is the number of peers with a link.
+	Links int `json:"links"`
 }
 
+// runDump is one record in the dump.
 type runDump struct {
+	// RunID is the ID of the attempt at the endpoint, as returned by runID.
 	RunID    string    `json:"runID"`
 	Phase    phase     `json:"phase"`
 	Deadline time.Time `json:"deadline"`
-	Bytes    int       `json:"bytes"`
+	// Bytes is the number of bytes of the answer so far.
+	Bytes int `json:"bytes"`
 }
 
-// maxDumpedRuns bounds the runs that a dump shows.
+// maxDumpedRuns is the maximum number of runs in a dump.
 const maxDumpedRuns = 100
 
+// state returns the stateDump.
 func (g *Guard) state() any {
 	g.mu.Lock()
 	defer g.mu.Unlock()
