--- a/internal/guard/backoff_test.go
+++ b/internal/guard/backoff_test.go
@@ -31,12 +31,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer engine.Close()
-	b := startHarness(t)
-	b.g.endpoint.Run = NewEndpoint(KindEngine, engine.Listener.Addr().(*net.TCPAddr).AddrPort()).Run
-	c := b.dial(t)
+	h := startHarness(t)
+	h.g.endpoint.Run = NewEndpoint(KindEngine, engine.Listener.Addr().(*net.TCPAddr).AddrPort()).Run
+	c := h.dial(t)
 	first := time.Now()
 	for i := range 5 {
-		got := b.run(t, c, fmt.Sprint("run-", i), 1)
+		got := h.run(t, c, fmt.Sprint("run-", i), 1)
 		checkReply(t, fmt.Sprint("run ", i), got, fault.Overloaded, fault.NotRun)
 		if at := got.Err.RetryAt; at.Before(first.Add(backoff)) || at.After(time.Now().Add(backoff)) {
 			t.Errorf("run %d: time to retry: got %v after the first run, want %v", i, at.Sub(first), backoff)
@@ -46,7 +46,7 @@
 		t.Errorf("runs that reached the engine up to the end of its backoff: got %d, want 1", got)
 	}
 	<-time.After(backoff)
-	b.run(t, c, "run-later", 1)
+	h.run(t, c, "run-later", 1)
 	if got := calls.Load(); got != 2 {
 		t.Errorf("runs that reached the engine in total, with one after its backoff: got %d, want 2", got)
 	}
@@ -55,22 +55,22 @@
 // TestQueuedRunIsRefusedDuringBackoff checks that a run that waits for a slot when the engine asks for
 // backoff is refused too.
 func TestQueuedRunIsRefusedDuringBackoff(t *testing.T) {
-	b := startHarness(t)
+	h := startHarness(t)
 	started, refuse := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int64
 	until := time.Now().Add(time.Minute)
-	b.g.endpoint.Run = func(context.Context, wire.RunKey, *wire.Work, *stream.Buffer) (wire.Usage, *fault.Error) {
+	h.g.endpoint.Run = func(context.Context, wire.RunKey, *wire.Work, *stream.Buffer) (wire.Usage, *fault.Error) {
 		if runs.Add(1) == 1 {
 			close(started)
 		}
 		<-refuse
 		return wire.Usage{}, fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").WithRetryAt(until)
 	}
-	c := b.dial(t)
-	first := b.runAsync(t, c, "first")
+	c := h.dial(t)
+	first := h.runAsync(t, c, "first")
 	<-started
-	second := b.runAsync(t, c, "second")
-	b.waitQueued(t, 1)
+	second := h.runAsync(t, c, "second")
+	h.waitQueued(t, 1)
 	close(refuse)
 	for name, reply := range map[string]<-chan wire.RunReply{"first": first, "second": second} {
 		got := <-reply
@@ -87,14 +87,14 @@
 // TestBackoffIsSentToEntries checks that the load that is sent at once and with each heartbeat carries the
 // backoff: an endpoint that refuses every run appears idle, and entries would choose it first.
 func TestBackoffIsSentToEntries(t *testing.T) {
-	b := startHarness(t)
+	h := startHarness(t)
 	loads := make(chan wire.Load, 4)
-	link.HandleInline(b.local.Mux, wire.MethodLoad, func(_ *link.Conn, n wire.LoadNotice) { loads <- n.Load })
-	b.g.endpoint.Run = func(context.Context, wire.RunKey, *wire.Work, *stream.Buffer) (wire.Usage, *fault.Error) {
+	link.HandleInline(h.local.Mux, wire.MethodLoad, func(_ *link.Conn, n wire.LoadNotice) { loads <- n.Load })
+	h.g.endpoint.Run = func(context.Context, wire.RunKey, *wire.Work, *stream.Buffer) (wire.Usage, *fault.Error) {
 		return wire.Usage{}, fault.New(fault.Overloaded, fault.NotRun, "The engine takes no more work.").WithRetryAt(time.Now().Add(time.Minute))
 	}
-	c := b.dial(t)
-	b.run(t, c, "run", 1)
+	c := h.dial(t)
+	h.run(t, c, "run", 1)
 	select {
 	case l := <-loads:
 		if l.BackoffMs <= 0 || l.BackoffMs > time.Minute.Milliseconds() {
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -124,26 +124,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{g: g, bufs: make(map[wire.RunKey]*stream.Buffer)}
-	b.engine = &slowEngine{runs: make(map[wire.RunKey]int), startedKeys: make(chan wire.RunKey, 16), release: make(chan struct{})}
-	g.endpoint = &Endpoint{Run: b.engine.run, Probe: func(context.Context) ([]string, error) { return nil, nil }}
+	h := &harness{g: g, bufs: make(map[wire.RunKey]*stream.Buffer)}
+	h.engine = &slowEngine{runs: make(map[wire.RunKey]int), startedKeys: make(chan wire.RunKey, 16), release: make(chan struct{})}
+	g.endpoint = &Endpoint{Run: h.engine.run, Probe: func(context.Context) ([]string, error) { return nil, nil }}
 	stop, cancelStop := context.WithCancel(context.Background())
 	kill, cancelKill := context.WithCancel(context.Background())
-	b.stop, b.ended = cancelStop, make(chan error, 1)
+	h.stop, h.ended = cancelStop, make(chan error, 1)
 	go func() {
-		b.ended <- g.Run(proc.Stages{Stop: stop, Kill: kill})
-		close(b.ended)
+		h.ended <- g.Run(proc.Stages{Stop: stop, Kill: kill})
+		close(h.ended)
 	}()
 	t.Cleanup(func() {
 		cancelKill()
 		cancelStop()
-		for range b.ended {
+		for range h.ended {
 		}
 	})
-	b.holder = spread.New(zap.NewNop(), time.Now, nil)
-	b.applySettings(t, serving)
-	b.local = b.newLocal(t, keyHex, "entry-1")
-	return b
+	h.holder = spread.New(zap.NewNop(), time.Now, nil)
+	h.applySettings(t, serving)
+	h.local = h.newLocal(t, keyHex, "entry-1")
+	return h
 }
 
 // closedPort returns a loopback address with a port that refuses connections.
@@ -159,30 +159,30 @@
 
 // newLocal returns the link side of an entry with the given link key and
 // incarnation.
-func (b *harness) newLocal(t *testing.T, hex, incarnation string) *link.Local {
+func (h *harness) newLocal(t *testing.T, hex, incarnation string) *link.Local {
 	t.Helper()
 	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: hex}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	mux := link.NewMux(func(task func()) error { go task(); return nil }, nil)
-	link.Handle(mux, wire.MethodDelta, b.holder.Serve)
-	link.HandleInline(mux, wire.MethodChunk, func(_ *link.Conn, c wire.Chunk) { _ = b.buf(c.Key).Append(0, c.Offset, c.Data) })
-	return &link.Local{Identity: wire.Identity{VM: "e", Role: store.RoleEntry, Incarnation: incarnation}, Keys: ring, Mux: mux, Revision: b.holder.Revision}
+	link.Handle(mux, wire.MethodDelta, h.holder.Serve)
+	link.HandleInline(mux, wire.MethodChunk, func(_ *link.Conn, c wire.Chunk) { _ = h.buf(c.Key).Append(0, c.Offset, c.Data) })
+	return &link.Local{Identity: wire.Identity{VM: "e", Role: store.RoleEntry, Incarnation: incarnation}, Keys: ring, Mux: mux, Revision: h.holder.Revision}
 }
 
-func (b *harness) buf(key wire.RunKey) *stream.Buffer {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.bufs[key] == nil {
-		b.bufs[key] = stream.New(100)
+func (h *harness) buf(key wire.RunKey) *stream.Buffer {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.bufs[key] == nil {
+		h.bufs[key] = stream.New(100)
 	}
-	return b.bufs[key]
+	return h.bufs[key]
 }
 
 // applySettings puts the settings in text in force at the client, as the next
 // revision.
-func (b *harness) applySettings(t *testing.T, text string) {
+func (h *harness) applySettings(t *testing.T, text string) {
 	t.Helper()
 	f, err := config.ParseFile("bench", []byte(text))
 	if err != nil {
@@ -193,14 +193,14 @@
 		body, hash := n.Encode()
 		edits[path], bodies[hash] = hash, body
 	}
-	if err := b.holder.TakeOver(b.holder.Current().Head.Next(edits, config.Change{}), bodies); err != nil {
+	if err := h.holder.TakeOver(h.holder.Current().Head.Next(edits, config.Change{}), bodies); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (b *harness) dial(t *testing.T) *link.Conn {
+func (h *harness) dial(t *testing.T) *link.Conn {
 	t.Helper()
-	c, err := b.local.Dial(t.Context(), b.g.LinkAddr())
+	c, err := h.local.Dial(t.Context(), h.g.LinkAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,34 +210,34 @@
 
 // run sends a run of version 1 with the given settings revision and returns the
 // reply.
-func (b *harness) run(t *testing.T, c *link.Conn, id string, revision int64) wire.RunReply {
+func (h *harness) run(t *testing.T, c *link.Conn, id string, revision int64) wire.RunReply {
 	t.Helper()
 	var reply wire.RunReply
-	if err := c.Call(context.Background(), wire.MethodRun, b.newRun(id, revision), &reply); err != nil {
+	if err := c.Call(context.Background(), wire.MethodRun, h.newRun(id, revision), &reply); err != nil {
 		reply.Err = fault.From(err, fault.MayHaveRun)
 	}
 	return reply
 }
 
 // newRun returns a run of version 1 with the given settings revision.
-func (b *harness) newRun(id string, revision int64) *wire.Run {
+func (h *harness) newRun(id string, revision int64) *wire.Run {
 	return &wire.Run{
 		Stamp: wire.Stamp{Revision: revision},
 		Key:   wire.RunKey{RunID: id, Attempt: 1},
-		Guard: b.g.Identity.Incarnation,
+		Guard: h.g.Identity.Incarnation,
 		Work:  wire.Work{Call: wire.Call{Workspace: "w", Workload: "l", Model: "m", Deadline: time.Now().Add(20 * time.Second)}, Version: "1", Repeatable: true},
 	}
 }
 
 // runAsync is run in a goroutine, with the client's revision.
-func (b *harness) runAsync(t *testing.T, c *link.Conn, id string) <-chan wire.RunReply {
+func (h *harness) runAsync(t *testing.T, c *link.Conn, id string) <-chan wire.RunReply {
 	out := make(chan wire.RunReply, 1)
-	go func() { out <- b.run(t, c, id, b.holder.Revision()) }()
+	go func() { out <- h.run(t, c, id, h.holder.Revision()) }()
 	return out
 }
 
 // queryRun sends a RunQuery to the given guard incarnation and returns the reply.
-func (b *harness) queryRun(t *testing.T, c *link.Conn, id, guard string, offset int) wire.RunReply {
+func (h *harness) queryRun(t *testing.T, c *link.Conn, id, guard string, offset int) wire.RunReply {
 	t.Helper()
 	var reply wire.RunReply
 	p := wire.RunQuery{Key: wire.RunKey{RunID: id, Attempt: 1}, Guard: guard, Offset: offset, Deadline: time.Now().Add(time.Minute)}
@@ -248,12 +248,12 @@
 }
 
 // waitQueued waits until n runs wait in the guard's queue.
-func (b *harness) waitQueued(t *testing.T, n int) {
+func (h *harness) waitQueued(t *testing.T, n int) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		b.g.mu.Lock()
-		got := b.g.queue.Waiting()
-		b.g.mu.Unlock()
+		h.g.mu.Lock()
+		got := h.g.queue.Waiting()
+		h.g.mu.Unlock()
 		if got == n {
 			return
 		}
@@ -279,15 +279,15 @@
 // TestRunOnce checks that a run that arrives again is refused and not started again,
 // both while the first is running and after its end.
 func TestRunOnce(t *testing.T) {
-	b := startHarness(t)
-	c := b.dial(t)
-	first := b.runAsync(t, c, "r")
-	key := b.engine.waitStarted(t)
-	checkReply(t, "the same run again", b.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
-	close(b.engine.release)
+	h := startHarness(t)
+	c := h.dial(t)
+	first := h.runAsync(t, c, "r")
+	key := h.engine.waitStarted(t)
+	checkReply(t, "the same run again", h.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
+	close(h.engine.release)
 	checkReply(t, "the first", <-first, "", "")
-	checkReply(t, "the same run after its end", b.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
-	if got := b.engine.count(key); got != 1 {
+	checkReply(t, "the same run after its end", h.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
+	if got := h.engine.count(key); got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
 }
@@ -295,12 +295,12 @@
 // TestTombstone checks that a run that was queried before it arrives is refused, and
 // that a query to an earlier incarnation answers that the run may have run.
 func TestTombstone(t *testing.T) {
-	b := startHarness(t)
-	c := b.dial(t)
-	checkReply(t, "query of a run that has not arrived", b.queryRun(t, c, "r", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
-	checkReply(t, "the run arrives late", b.run(t, c, "r", 1), fault.EndpointLost, fault.NotRun)
-	checkReply(t, "query to another incarnation", b.queryRun(t, c, "s", "before", 0), fault.EndpointLost, fault.MayHaveRun)
-	if got := len(b.engine.runs); got != 0 {
+	h := startHarness(t)
+	c := h.dial(t)
+	checkReply(t, "query of a run that has not arrived", h.queryRun(t, c, "r", h.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "the run arrives late", h.run(t, c, "r", 1), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "query to another incarnation", h.queryRun(t, c, "s", "before", 0), fault.EndpointLost, fault.MayHaveRun)
+	if got := len(h.engine.runs); got != 0 {
 		t.Errorf("runs: got %d, want 0", got)
 	}
 }
@@ -308,31 +308,31 @@
 // TestSupersededLink checks that a run is refused if it arrives over a link that the
 // peer has replaced by a newer one.
 func TestSupersededLink(t *testing.T) {
-	b := startHarness(t)
-	old := b.dial(t)
-	fresh := b.dial(t)
-	checkReply(t, "over the old link", b.run(t, old, "r", 1), fault.EndpointLost, fault.NotRun)
-	close(b.engine.release)
-	checkReply(t, "over the new link", b.run(t, fresh, "s", 1), "", "")
+	h := startHarness(t)
+	old := h.dial(t)
+	fresh := h.dial(t)
+	checkReply(t, "over the old link", h.run(t, old, "r", 1), fault.EndpointLost, fault.NotRun)
+	close(h.engine.release)
+	checkReply(t, "over the new link", h.run(t, fresh, "s", 1), "", "")
 }
 
 // TestQueryAfterBrokenLink checks that a query over a second link returns the rest of
 // the answer without a second run.
 func TestQueryAfterBrokenLink(t *testing.T) {
-	b := startHarness(t)
-	c := b.dial(t)
-	lost := b.runAsync(t, c, "r")
-	key := b.engine.waitStarted(t)
+	h := startHarness(t)
+	c := h.dial(t)
+	lost := h.runAsync(t, c, "r")
+	key := h.engine.waitStarted(t)
 	c.Close()
 	if got := (<-lost).Err; got == nil {
 		t.Error("the broken link's call: got nil, want an error")
 	}
-	fresh := b.dial(t)
-	close(b.engine.release)
-	got := b.queryRun(t, fresh, "r", b.g.Identity.Incarnation, b.buf(key).Len())
+	fresh := h.dial(t)
+	close(h.engine.release)
+	got := h.queryRun(t, fresh, "r", h.g.Identity.Incarnation, h.buf(key).Len())
 	checkReply(t, "query", got, "", "")
-	if text := string(b.buf(key).Bytes()); text != "answer" || b.engine.count(key) != 1 {
-		t.Errorf("got %q after %d runs, want answer after 1", text, b.engine.count(key))
+	if text := string(h.buf(key).Bytes()); text != "answer" || h.engine.count(key) != 1 {
+		t.Errorf("got %q after %d runs, want answer after 1", text, h.engine.count(key))
 	}
 }
 
@@ -340,76 +340,76 @@
 // after the guard has billed it because its link broke, as the entry may still query
 // the run.
 func TestQueryAfterGuardBilled(t *testing.T) {
-	b := startHarness(t)
-	c := b.dial(t)
-	lost := b.runAsync(t, c, "r")
-	key := b.engine.waitStarted(t)
+	h := startHarness(t)
+	c := h.dial(t)
+	lost := h.runAsync(t, c, "r")
+	key := h.engine.waitStarted(t)
 	c.Close()
 	<-lost
-	close(b.engine.release)
+	close(h.engine.release)
 	for held := 0; held == 0; time.Sleep(time.Millisecond) {
-		held, _ = b.g.bills.Held()
+		held, _ = h.g.bills.Held()
 	}
-	b.g.sweep(time.Now())
-	checkReply(t, "query", b.queryRun(t, b.dial(t), "r", b.g.Identity.Incarnation, b.buf(key).Len()), "", "")
-	if text := string(b.buf(key).Bytes()); text != "answer" {
+	h.g.sweep(time.Now())
+	checkReply(t, "query", h.queryRun(t, h.dial(t), "r", h.g.Identity.Incarnation, h.buf(key).Len()), "", "")
+	if text := string(h.buf(key).Bytes()); text != "answer" {
 		t.Errorf("got %q, want answer", text)
 	}
 }
 
 // TestOrphan checks that a queued run whose link broke is never started.
 func TestOrphan(t *testing.T) {
-	b := startHarness(t)
-	keep, lose := b.dial(t), (*link.Conn)(nil)
-	first := b.runAsync(t, keep, "first")
-	b.engine.waitStarted(t)
-	b.local = b.newLocal(t, keyHex, "entry-2")
-	lose = b.dial(t)
-	lost := b.runAsync(t, lose, "orphan")
-	b.waitQueued(t, 1)
-	b.g.mu.Lock()
-	noticed := b.g.links["entry-2"].conn.Done()
-	b.g.mu.Unlock()
+	h := startHarness(t)
+	keep, lose := h.dial(t), (*link.Conn)(nil)
+	first := h.runAsync(t, keep, "first")
+	h.engine.waitStarted(t)
+	h.local = h.newLocal(t, keyHex, "entry-2")
+	lose = h.dial(t)
+	lost := h.runAsync(t, lose, "orphan")
+	h.waitQueued(t, 1)
+	h.g.mu.Lock()
+	noticed := h.g.links["entry-2"].conn.Done()
+	h.g.mu.Unlock()
 	lose.Close()
 	<-lost
 	<-noticed
-	close(b.engine.release)
+	close(h.engine.release)
 	checkReply(t, "the first", <-first, "", "")
-	checkReply(t, "query of the orphan", b.queryRun(t, b.dial(t), "orphan", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
-	if got := b.engine.count(wire.RunKey{RunID: "orphan", Attempt: 1}); got != 0 {
+	checkReply(t, "query of the orphan", h.queryRun(t, h.dial(t), "orphan", h.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
+	if got := h.engine.count(wire.RunKey{RunID: "orphan", Attempt: 1}); got != 0 {
 		t.Errorf("runs of the orphan: got %d, want 0", got)
 	}
 }
 
 // guardLink returns the guard's side of the link of an incarnation.
-func (b *harness) guardLink(incarnation string) *link.Conn {
-	b.g.mu.Lock()
-	defer b.g.mu.Unlock()
-	return b.g.links[incarnation].conn
+func (h *harness) guardLink(incarnation string) *link.Conn {
+	h.g.mu.Lock()
+	defer h.g.mu.Unlock()
+	return h.g.links[incarnation].conn
 }
 
 // TestOrphanNotRevivedByQuery checks that a queued run whose link broke gets its tombstone
 // at once when a slot is free for it. Otherwise an entry that queries the run at that
 // moment would become its owner, and the run would start.
 func TestOrphanNotRevivedByQuery(t *testing.T) {
-	b := startHarness(t)
-	first := b.runAsync(t, b.dial(t), "first")
-	b.engine.waitStarted(t)
-	b.local = b.newLocal(t, keyHex, "entry-2")
-	lose := b.dial(t)
-	owner := b.guardLink("entry-2")
-	orphan := b.enqueue(t, owner, "orphan")
+	h := startHarness(t)
+	first := h.runAsync(t, h.dial(t), "first")
+	h.engine.waitStarted(t)
+	h.local = h.newLocal(t, keyHex, "entry-2")
+	lose := h.dial(t)
+	owner := h.guardLink("entry-2")
+	orphan := h.enqueue(t, owner, "orphan")
 	lose.Close()
 	<-owner.Done()
-	close(b.engine.release)
+	close(h.engine.release)
 	checkReply(t, "the first", <-first, "", "")
-	b.dial(t)
-	adopted, _ := b.g.lookUp(b.guardLink("entry-2"), &wire.RunQuery{Key: orphan.key, Guard: b.g.Identity.Incarnation})
+	h.dial(t)
+	adopted, _ := h.g.lookUp(h.guardLink("entry-2"), &wire.RunQuery{Key: orphan.key, Guard: h.g.Identity.Incarnation})
 	if adopted != orphan {
 		t.Fatalf("record returned by the query: got %v, want the orphan's", adopted)
 	}
-	b.g.mu.Lock()
-	defer b.g.mu.Unlock()
+	h.g.mu.Lock()
+	defer h.g.mu.Unlock()
 	if orphan.phase != phaseTombstone {
 		t.Fatalf("phase of the orphan once a slot is free: got %s, want tombstone", orphan.phase)
 	}
@@ -417,9 +417,9 @@
 }
 
 // enqueue offers a run to the guard's queue without a handler that waits for it.
-func (b *harness) enqueue(t *testing.T, c *link.Conn, id string) *record {
+func (h *harness) enqueue(t *testing.T, c *link.Conn, id string) *record {
 	t.Helper()
-	r, refused := b.g.enqueue(c, b.newRun(id, b.holder.Revision()))
+	r, refused := h.g.enqueue(c, h.newRun(id, h.holder.Revision()))
 	if refused != nil {
 		t.Fatal(refused)
 	}
@@ -429,45 +429,45 @@
 // TestWithdrawnVersion checks that a withdrawn version gets no new run, whether the
 // entry or the guard receives the settings first, and that a running run may finish.
 func TestWithdrawnVersion(t *testing.T) {
-	b := startHarness(t)
-	c := b.dial(t)
-	running := b.runAsync(t, c, "running")
-	b.engine.waitStarted(t)
-	queued := b.runAsync(t, c, "queued")
-	b.waitQueued(t, 1)
-	b.applySettings(t, withdrawn)
-	checkReply(t, "from an entry with newer settings", b.run(t, c, "newer", 2), fault.VersionWithdrawn, fault.NotRun)
+	h := startHarness(t)
+	c := h.dial(t)
+	running := h.runAsync(t, c, "running")
+	h.engine.waitStarted(t)
+	queued := h.runAsync(t, c, "queued")
+	h.waitQueued(t, 1)
+	h.applySettings(t, withdrawn)
+	checkReply(t, "from an entry with newer settings", h.run(t, c, "newer", 2), fault.VersionWithdrawn, fault.NotRun)
 	checkReply(t, "queued before", <-queued, fault.VersionWithdrawn, fault.NotRun)
-	got := b.run(t, c, "older", 1)
+	got := h.run(t, c, "older", 1)
 	checkReply(t, "from an entry with older settings", got, fault.VersionWithdrawn, fault.NotRun)
 	if got.Revision != 2 {
 		t.Errorf("revision in the refusal: got %d, want 2", got.Revision)
 	}
-	close(b.engine.release)
+	close(h.engine.release)
 	checkReply(t, "running before", <-running, "", "")
 }
 
 // TestLeavingGuardRefusesWork checks that a leaving guard refuses queued and new runs as
 // not run, and lets a running run finish.
 func TestLeavingGuardRefusesWork(t *testing.T) {
-	b := startHarness(t)
-	c := b.dial(t)
-	running := b.runAsync(t, c, "running")
-	b.engine.waitStarted(t)
-	queued := b.runAsync(t, c, "queued")
-	b.waitQueued(t, 1)
-	b.g.leave()
+	h := startHarness(t)
+	c := h.dial(t)
+	running := h.runAsync(t, c, "running")
+	h.engine.waitStarted(t)
+	queued := h.runAsync(t, c, "queued")
+	h.waitQueued(t, 1)
+	h.g.leave()
 	checkReply(t, "queued", <-queued, fault.Stopping, fault.NotRun)
-	checkReply(t, "new", b.run(t, c, "new", 1), fault.Stopping, fault.NotRun)
-	close(b.engine.release)
+	checkReply(t, "new", h.run(t, c, "new", 1), fault.Stopping, fault.NotRun)
+	close(h.engine.release)
 	checkReply(t, "running", <-running, "", "")
 }
 
 // TestStopWaitsForEntries checks that a stopping guard keeps refusing runs until the
 // entry reports that it has no run there and will send none, and then ends.
 func TestStopWaitsForEntries(t *testing.T) {
-	b := startHarness(t)
-	c := b.dial(t)
+	h := startHarness(t)
+	c := h.dial(t)
 	beat := func(released bool) (wire.HeartbeatReply, error) {
 		var reply wire.HeartbeatReply
 		return reply, c.Call(t.Context(), wire.MethodHeartbeat, wire.Heartbeat{Released: released}, &reply)
@@ -475,17 +475,17 @@
 	if _, err := beat(false); err != nil {
 		t.Fatal(err)
 	}
-	b.stop()
+	h.stop()
 	for range 40 {
 		if _, err := beat(false); err != nil {
 			t.Fatalf("the guard stopped before the entry released it: %v", err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	checkReply(t, "a run that was sent meanwhile", b.run(t, c, "late", 1), fault.Stopping, fault.NotRun)
+	checkReply(t, "a run that was sent meanwhile", h.run(t, c, "late", 1), fault.Stopping, fault.NotRun)
 	_, _ = beat(true)
 	select {
-	case err := <-b.ended:
+	case err := <-h.ended:
 		if err != nil {
 			t.Errorf("end: got %v, want nil", err)
 		}
@@ -496,14 +496,14 @@
 
 // TestLinkKey checks that a peer with another link key cannot open a link.
 func TestLinkKey(t *testing.T) {
-	b := startHarness(t)
-	stranger := b.newLocal(t, "ffffffffffffffffffffffffffffffff", "stranger")
-	if _, err := stranger.Dial(t.Context(), b.g.LinkAddr()); !errors.Is(err, link.ErrProof) {
+	h := startHarness(t)
+	stranger := h.newLocal(t, "ffffffffffffffffffffffffffffffff", "stranger")
+	if _, err := stranger.Dial(t.Context(), h.g.LinkAddr()); !errors.Is(err, link.ErrProof) {
 		t.Errorf("with another key: got %v, want %v", err, link.ErrProof)
 	}
-	b.g.mu.Lock()
-	defer b.g.mu.Unlock()
-	if got := len(b.g.links); got != 0 {
+	h.g.mu.Lock()
+	defer h.g.mu.Unlock()
+	if got := len(h.g.links); got != 0 {
 		t.Errorf("links: got %d, want 0", got)
 	}
 }
