--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -105,7 +105,10 @@
 	released bool
 }
 
-// guardMetrics holds the guard's metrics.
+// guardMetrics holds the guard's metrics. started counts the runs that were started,
+// refused those that were refused on arrival, duplicates those that had arrived
+// before, and tombstones the queries of runs that had not arrived. running and
+// queued are the numbers of runs in slots and in the queue, as of the last sweep.
 type guardMetrics struct {
 	started, refused, tombstones, duplicates tally.Counter
 	running, queued                          tally.Gauge
@@ -154,6 +157,7 @@
 	return g, nil
 }
 
+// initMetrics registers the metrics.
 func (g *Guard) initMetrics() {
 	s := g.Scope.SubScope("guard")
 	g.metrics = guardMetrics{
