--- a/internal/guard/drain.go
+++ b/internal/guard/drain.go
@@ -16,7 +16,8 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// leave refuses everything that has no slot yet.
+// leave begins a planned stop: it refuses the queued runs and all later ones, and
+// sends the load to all entries.
 func (g *Guard) leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -26,13 +27,14 @@
 			g.tombstone(r, g.refusal(fault.Stopping, "The endpoint is leaving."))
 		}
 	}
-	g.Log.Info("guard: Leaving.", zap.Int("running", g.queue.Running()))
-	g.tellLoad()
+	g.Log.Info("guard: Leaving; new runs are refused.", zap.Int("running", g.queue.Running()))
+	g.broadcastLoadAsync()
 }
 
-// tellLoad tells all entries the load without waiting for them; g.mu is held.
-func (g *Guard) tellLoad() {
-	notice := wire.LoadNotice{Stamp: g.Stamp(), Load: g.load()}
+// broadcastLoadAsync sends the load to all entries concurrently and does not wait
+// for them; g.mu is held.
+func (g *Guard) broadcastLoadAsync() {
+	notice := wire.LoadNotice{Stamp: g.Stamp(), Load: g.currentLoad()}
 	for _, l := range g.entryLinks() {
 		g.Tasks.Go(g.kill, "load notice", func(ctx context.Context) error {
 			return l.conn.Notify(ctx, wire.MethodLoad, notice)
@@ -40,30 +42,32 @@
 	}
 }
 
-// drain waits for the running runs and writes the bills.
+// drain waits until the running runs have ended and every linked entry has released
+// the guard, for the latter at most releaseTimeout. Then it writes the bill lines
+// that are left. It returns an error if kill is done first.
 func (g *Guard) drain(kill context.Context) error {
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	linger := lingerFor.After(time.Now())
+	linger := releaseTimeout.After(time.Now())
 	for {
 		running, linked := g.busy()
 		if running > 0 {
-			linger = lingerFor.After(time.Now())
+			linger = releaseTimeout.After(time.Now())
 		} else if linked == 0 || time.Now().After(linger) {
 			break
 		}
 		select {
 		case <-tick.C:
 		case <-kill.Done():
-			return errors.Newf("guard: %d runs were cut off", running)
+			return errors.Newf("guard: killed with %d runs in progress", running)
 		}
 	}
-	g.billNow()
+	g.billAll()
 	return g.bills.Flush(kill)
 }
 
-// busy returns how many runs have a slot, and how many entries may still send
-// one.
+// busy returns the number of runs that hold a slot, and the number of linked entries
+// that have not released the guard and so may still send a run.
 func (g *Guard) busy() (running, linked int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
