--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -54,7 +54,7 @@
     "anyLinkKey": ("internal/link/conn.go", "if !l.Keys.Verifies(proofText(\"answer\"", "if false && !l.Keys.Verifies(proofText(\"answer\"", "./internal/guard", "TestLinkKey"),
     "sessionMoves": ("internal/entry/dispatch.go", "if err := e.sessionOf(r); err != nil {", "if err := e.sessionOf(r); err != nil && false {", "./internal/rig", "TestSession"),
     "anyWorkspacesToken": ("internal/entry/session.go", "if p.Workspace != r.call.Workspace {", "if false {", "./internal/rig", "TestSession"),
-    "noResume": ("internal/guard/endpoint.go", "i < maxIdleResumes &&", "i < 0 &&", "./internal/rig", "TestCutAnswers"),
+    "noResume": ("internal/guard/endpoint.go", "idle < maxIdleResumes &&", "idle < 0 &&", "./internal/rig", "TestCutAnswers"),
     "noEndMarker": ("internal/guard/endpoint.go", 'err == nil && w.Model != ""', "false", "./internal/rig", "TestCutAnswers"),
     "billedTwice": ("pkg/bill/line.go", "		byID[l.ID] = join(old, l)", "		byID[l.ID+l.RequestID+l.At.String()] = join(old, l)", "./pkg/bill", "TestFold"),
     "lostLineWrittenAgain": ("internal/ledger/writer.go", 'name := fmt.Sprintf("%s-%08d", w.opts.Prefix, w.seq)', 'name := fmt.Sprintf("%s-%08d-%d", w.opts.Prefix, w.seq, time.Now().UnixNano())', "./internal/ledger", "TestLostAnswers"),
