--- a/internal/relay/cascade.go
+++ b/internal/relay/cascade.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// minUsefulConfidence is the confidence under which an answer in time is worth less than
-	// a late one of a better model, which earns a tenth to a third.
+	// minUsefulConfidence is the confidence below which an answer in time is worth less than a late
+	// answer of a better model, which earns a tenth to a third.
 	minUsefulConfidence = 20
-	// failureReserve is how many extra attempts are kept for failures when a weak answer is given up, and
-	// reservedMost the part of what is allowed that these are at most: a router that has just
-	// started, or that is one of hundreds, is allowed few.
+	// failureReserve is how many extra attempts are left in the retry budget for failures when a
+	// weak answer is dropped. maxReserveFraction is the maximum of that reserve as a fraction of
+	// the allowed attempts: a router that has just started, or one of hundreds, is allowed few.
 	failureReserve     = 3
 	maxReserveFraction = 0.25
-	// unseenReadFactor is how many times the reading time of the next smaller model a
-	// larger one is taken to need while no answer of it was seen.
+	// unseenReadFactor is how many times the reading time of the next smaller model a larger model
+	// is assumed to need until an answer of it has been measured.
 	unseenReadFactor = 3
 )
 
-// escalate reports whether an answer of this confidence is dropped for one of a
-// escalate model, and pays for that.
+// escalate reports whether an answer of this confidence is dropped to ask a larger model, and takes
+// the next attempt from the retry budget.
 func (x *run) escalate(confidence int, now time.Time) bool {
 	if x.e.disabled(LargerModels) || !x.r.AnyModel || x.headSent || !x.route.resumable() || x.attempts >= x.route.MaxAttempts {
 		return false
@@ -44,16 +44,16 @@
 	}
 	x.prepaid, x.size = true, size
 	x.mayHaveRun = true
-	// The endpoint that answered is as good as any for the larger model.
+	// The endpoint that answered is as good as any other for the larger model.
 	x.tried = x.tried[:0]
 	return true
 }
 
-// reserveFor returns how many of the extra attempts that are allowed are kept for failures.
+// reserveFor returns how many of the allowed extra attempts are reserved for failures.
 func reserveFor(allowed float64) float64 { return min(failureReserve, maxReserveFraction*allowed) }
 
-// nextSize returns the model to ask after an answer of this confidence; the present one to keep
-// the answer. The engine's mu is held.
+// nextSize returns the index of the model to ask after an answer of this confidence, or the present
+// one to keep the answer. The caller must hold the engine's mu.
 func (x *run) nextSize(confidence int, now time.Time) int {
 	l := x.e.limits.Load()
 	if confidence != sizes.Unknown {
@@ -69,11 +69,11 @@
 	return x.affordable(size, confidence, now)
 }
 
-// affordable returns the largest model up to size that the time left allows, and that is
-// likely enough to answer in time for how weak the answer is; the present one if there is
-// none. Where none answers within the aim, a hopeless
-// answer still gives way to one that comes before the caller gives up. The
-// engine's mu is held.
+// affordable returns the largest model up to size that can answer in the time left and is likely
+// enough to answer within the aim for how weak the answer is; the present one if there is none.
+// Where no model is expected to answer within the aim, an answer below minUsefulConfidence still
+// gives way to the next larger model if that answers before the caller gives up. The caller must
+// hold the engine's mu.
 func (x *run) affordable(size, confidence int, now time.Time) int {
 	policy := x.e.limits.Load().Cascade
 	aim := x.route.Aim.After(x.r.Arrived).Sub(now).Seconds()
@@ -90,11 +90,11 @@
 	return size
 }
 
-// inTimeProb returns the chance, 0 to 1, that a head which is expected to take so long comes
-// within the aim, both in seconds: heads spread evenly up to twice what is expected, but
-// none is sure that takes all of the aim. Larger models are asked less where they are
-// slow for the load or the prompt; without this, the mean worth of trials fell by 0.012 on
-// a busy site and by 0.02 on a lightly loaded one.
+// inTimeProb returns the probability that a head with this expected time comes within the aim, both
+// in seconds. The actual time is assumed to be uniform from 0 to twice the expected time, but the
+// probability is 0 if the expected time exceeds the aim. Larger models are thus asked less where
+// they are slow for the load or the prompt. Without this, the mean worth of trials fell by 0.012
+// under high load and by 0.02 under low load.
 func inTimeProb(head, aim float64) float64 {
 	if head > aim {
 		return 0
@@ -102,9 +102,9 @@
 	return 1 - head/(2*aim)
 }
 
-// estimateHead returns how long the head of a model's answer is expected to take, in
-// seconds: the wait at the endpoint that would be picked, and the reading; and what others
-// lose there by the delay, in parts of what a request earns. The engine's mu is held.
+// estimateHead returns the expected time to the head of a model's answer, in seconds: the wait at
+// the endpoint that would be picked and the reading time. delay is what other requests lose there
+// by the delay, as a fraction of what a request earns. The caller must hold the engine's mu.
 func (x *run) estimateHead(size int, now time.Time) (head, delay float64) {
 	present := x.size
 	x.size = size
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -12,7 +12,8 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// choose picks an endpoint and counts the attempt as sent to it.
+// choose picks an endpoint and records the attempt as sent to it. The error says why no endpoint
+// takes the request.
 func (x *run) choose(now time.Time) (*Attempt, *attemptRecord, *fault.Error) {
 	e := x.e
 	e.mu.Lock()
@@ -44,8 +45,8 @@
 	return a, t, nil
 }
 
-// predict fills in what an attempt is expected to take, and notes what its endpoint gets;
-// the engine's mu is held.
+// predict sets the estimates of an attempt and records the prompt and its prefix at the endpoint.
+// The caller must hold the engine's mu.
 func (x *run) predict(a *Attempt, p *pool.Endpoint, why pool.Reason, now time.Time) {
 	a.unreadTokens = x.unreadTokens(why)
 	a.unreadKnown = why == pool.ByAffinity || x.sharedTokens() == 0 || x.lastWant.HomeChance < minHomeChance
@@ -63,10 +64,10 @@
 	}
 }
 
-// seconds returns a number of seconds as a time.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// recordReasons keeps what decided for an endpoint; the engine's mu is held.
+// recordReasons records in t what decided for the endpoint. The caller must hold the engine's mu.
 func (x *run) recordReasons(t *attemptRecord, a *Attempt, p *pool.Endpoint, now time.Time) {
 	zone := x.e.limits.Load().Zone
 	t.CrossZone = p.Zone != zone
@@ -78,9 +79,9 @@
 	}
 }
 
-// endpointRank returns the rank at the endpoint: that of workspace and route, but a prompt that
-// is read in a small part of its aim goes before all others, as it holds them up little and
-// they hold it up much.
+// endpointRank returns the rank of an attempt at its endpoint. It is that of workspace and route,
+// but a prompt that is read in a small part of its aim goes before all others: it delays them
+// little, and they would delay it much.
 func (x *run) endpointRank(a *Attempt) int {
 	if !x.route.Affinity {
 		return min(a.Rank, maxRank)
@@ -91,22 +92,23 @@
 	return min(a.Rank+1, maxRank)
 }
 
-// urgent reports whether a prompt that is read in so many seconds goes before others.
+// urgent reports whether a prompt with this reading time, in seconds, goes before others.
 func (x *run) urgent(whole float64) bool {
 	return x.route.Affinity && !x.e.disabled(ShortFirst) && whole < shortPromptFraction*time.Duration(x.route.Aim).Seconds()
 }
 
 const (
-	// shortPromptFraction is the part of a route's aim in which a short prompt is read.
+	// shortPromptFraction is the fraction of a route's aim within which a short prompt is read.
 	shortPromptFraction = 0.1
-	// routeRanks is how many ranks one rank of a workspace outweighs, and
-	// lastRank the least urgent that endpoints know.
+	// routeRanks is how many ranks of a route one rank of a workspace outweighs. maxRank is the
+	// least urgent rank that endpoints know.
 	routeRanks = 3
 	maxRank    = 9
 )
 
-// pick returns an endpoint for the next attempt, and why; the engine's mu is held.
-// Better the same endpoint again than none, and better the old version than none.
+// pick returns an endpoint for the next attempt, and the reason; nil if there is none. It prefers
+// endpoints that were not tried and the version on trial, but takes an endpoint again, and then
+// another version, rather than none. The caller must hold the engine's mu.
 func (x *run) pick(now time.Time) (*pool.Endpoint, pool.Reason) {
 	e := x.e
 	want := x.want()
@@ -133,21 +135,22 @@
 	return nil, ""
 }
 
-// want is what the request asks of an endpoint; the engine's mu is held.
+// want returns what the request needs of an endpoint. The caller must hold the engine's mu.
 func (x *run) want() pool.Want {
 	f := x.e.fit(x.service, x.draw)
 	w := pool.Want{Service: x.service, Fit: f.version, FirstOnly: f.one, Zone: x.e.limits.Load().Zone, Avoid: x.tried, NoRetry: !x.route.repeatable(), Draw: x.e.draw(), Zones: x.allowedZones()}
 	if n := len(x.r.Prefix); x.route.Affinity && n > 0 {
-		// The last part is the request's own, so what others may have left is
-		// named by the one before it.
+		// The last part is the request's own. What other requests may have left at an endpoint is
+		// named by the part before it.
 		w.Affinity = pool.Hash(x.model() + "/" + x.r.Prefix[max(n-2, 0)])
 		x.addEstimates(&w)
 	}
 	return w
 }
 
-// allowedZones returns which availability allowedZones the request may be served in; nil for all. One whose region
-// is not known is in none that its route or its workspace names.
+// allowedZones returns a function that reports whether the request may be served in an availability
+// zone; nil if it may be served in all. Where the route or the workspace names regions, a zone of
+// unknown region is not allowed.
 func (x *run) allowedZones() func(zone string) bool {
 	var of []string
 	if x.workspace != nil {
@@ -162,7 +165,8 @@
 	return func(zone string) bool { return in(of, regions[zone]) && in(route, regions[zone]) }
 }
 
-// addEstimates fills in what an endpoint's choice is weighed by; the engine's mu is held.
+// addEstimates adds the estimates by which endpoints are compared. The caller must hold the
+// engine's mu.
 func (x *run) addEstimates(w *pool.Want) {
 	e, now := x.e, x.e.Now()
 	w.FullRead, w.UnsharedRead = x.readTime(x.r.TokensIn), x.readTime(x.r.TokensIn-x.sharedTokens())
@@ -175,7 +179,8 @@
 	}
 	w.TimeLeft = x.route.Aim.After(x.r.Arrived).Sub(now).Seconds()
 	if w.TimeLeft < minTimeLeftFraction*time.Duration(x.route.Aim).Seconds() {
-		// It is late already: what counts is that it comes while the caller waits.
+		// The aim has nearly or entirely passed. What counts now is that the answer comes before
+		// the caller gives up.
 		w.TimeLeft = x.deadline.Sub(now).Seconds()
 	}
 	w.Aim = time.Duration(x.route.Aim).Seconds()
@@ -189,18 +194,19 @@
 }
 
 const (
-	// minTimeLeftFraction is the part of the aim that must be left for the aim to count.
+	// minTimeLeftFraction is the fraction of the aim that must be left for the aim to count.
 	minTimeLeftFraction = 0.1
-	// minReportedRead is the expected reading time, in seconds, from which on the other
-	// routers are told: shorter ones hold up nobody for long, and are many.
+	// minReportedRead is the expected reading time, in seconds, from which on a prompt is reported
+	// to other routers. Shorter ones delay others little, and there are many.
 	minReportedRead = 0.05
-	// minReportedPrefix is how many shared tokens make it worth telling that an endpoint will
-	// hold them.
+	// minReportedPrefix is the size of a shared prefix, in tokens, from which on other routers get
+	// a report that an endpoint will hold it.
 	minReportedPrefix = 1000
 )
 
-// reportPrompt tells the other routers what an attempt's endpoint gets: those in its availability
-// zone how busy it is, all of them if it is about to hold what it did not.
+// reportPrompt sends other routers a report on the prompt that an endpoint gets. Routers in the
+// endpoint's availability zone get it for the endpoint's load. Others get it as well if the
+// endpoint will hold a prefix that it did not hold before.
 func (x *run) reportPrompt(a *Attempt) {
 	cold := a.cold && x.sharedTokens() >= minReportedPrefix
 	if x.e.disabled(LoadReports) || a.readTime < minReportedRead && !cold {
@@ -209,8 +215,8 @@
 	x.e.SendEndpointReport(Word{Endpoint: a.hash, Busy: seconds(a.readTime), Prefix: a.prefix, Zone: a.Endpoint.Zone, Others: cold})
 }
 
-// sharedTokens returns how many tokens of the prompt other requests may share, by the
-// caller's word; at most the whole prompt.
+// sharedTokens returns how many tokens of the prompt other requests may share according to the
+// caller; at most the whole prompt.
 func (x *run) sharedTokens() int {
 	sum := 0
 	for _, n := range x.r.PrefixTokens[:max(len(x.r.PrefixTokens)-1, 0)] {
@@ -219,8 +225,8 @@
 	return min(sum, x.r.TokensIn)
 }
 
-// unreadTokens returns how many tokens of the prompt are expected to be read by an
-// endpoint that was picked for a reason.
+// unreadTokens returns how many tokens of the prompt an endpoint that was picked for this reason is
+// expected to read.
 func (x *run) unreadTokens(why pool.Reason) int {
 	switch why {
 	case pool.ByAffinity:
@@ -232,14 +238,14 @@
 	}
 }
 
-// readTime returns how long the model is expected to read so many tokens, in
-// seconds; the engine's mu is held.
+// readTime returns how long the present model is expected to read so many tokens, in seconds. The
+// caller must hold the engine's mu.
 func (x *run) readTime(tokens int) float64 {
 	return x.readTimeOf(x.size, tokens)
 }
 
-// readTimeOf is reading for the model of a size; one that was not seen yet is
-// taken to be dearer than the next smaller one.
+// readTimeOf is readTime for the model with index size in the route's Sizes. A model without
+// measurements is expected to take longer than the next smaller one, by unseenReadFactor.
 func (x *run) readTimeOf(size, tokens int) float64 {
 	if x.model() == "" {
 		return x.e.readSpeeds[readKey(x.route, "")].readTime(tokens)
@@ -254,8 +260,8 @@
 	return 0
 }
 
-// readKey names what reads prompts at the same speed: a model, or the endpoints of
-// a route where the caller names the model.
+// readKey returns a key in Engine.readSpeeds for what reads prompts at the same speed: a model, or
+// the endpoints of a route where the caller names the model.
 func readKey(route *Route, model string) string {
 	if model == "" {
 		return sortOf(route, "")
@@ -263,7 +269,7 @@
 	return model
 }
 
-// model returns the model to name to the endpoint; empty where the caller does.
+// model returns the model to name to the endpoint; empty where the caller names it.
 func (x *run) model() string {
 	if !x.r.AnyModel || len(x.route.Sizes) == 0 {
 		return ""
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -15,8 +15,8 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// deliver passes an answer on. It reports whether another attempt follows,
-// because the answer broke and may be asked for again or resumed.
+// deliver passes an answer on to the caller. It reports whether another attempt follows because the
+// answer ended early and may be repeated or resumed.
 func (x *run) deliver(ctx context.Context, a *Attempt, t *attemptRecord, reply *Reply, s *silence) (next bool) {
 	var broke error
 	began := x.e.Now()
@@ -41,7 +41,7 @@
 	return x.handleFailure(ctx, a, t, fault.New(fault.EndpointLost, fault.MayHaveRun, "The answer broke off: %v.", broke))
 }
 
-// callerGoneError says that the caller could not be written to.
+// callerGoneError is an error of writing to the caller.
 type callerGoneError struct{ error }
 
 func isCallerGone(err error) bool {
@@ -49,7 +49,7 @@
 	return ok
 }
 
-// sendHead sends the sendHead of an answer to the caller.
+// sendHead sends the head of an answer to the caller. length is that of the body in bytes, or -1.
 func (x *run) sendHead(reply *Reply, length int64) {
 	h := x.w.Header()
 	maps.Copy(h, reply.Header)
@@ -65,8 +65,8 @@
 	x.w.WriteHeader(reply.Status)
 }
 
-// maxBuffered is how long an answer may be, in bytes, to be read whole before its
-// head is sent, so that a broken one can be asked for again.
+// maxBuffered is the size, in bytes, below which an answer is read whole before its head is sent,
+// so that the request can be repeated if the answer ends early.
 const maxBuffered = 256 << 10
 
 // deliverWhole passes on an answer that is not a stream.
@@ -90,10 +90,10 @@
 	return err
 }
 
-// callerWriter writes to the caller; its errors say that the caller left.
+// callerWriter writes to the caller and returns a callerGoneError on failure.
 type callerWriter struct{ x *run }
 
-// Write writes to the caller.
+// Write implements io.Writer.
 func (w callerWriter) Write(b []byte) (int, error) {
 	if err := w.x.write(b); err != nil {
 		return 0, err
@@ -101,7 +101,7 @@
 	return len(b), nil
 }
 
-// copyBufferSize is the size of the pieces in which answers are passed on, in bytes.
+// copyBufferSize is the size of the buffer that copies answers to the caller, in bytes.
 const copyBufferSize = 16 << 10
 
 func (x *run) write(b []byte) error {
@@ -114,10 +114,10 @@
 	return nil
 }
 
-// errLongEvent ends a stream whose event does not end.
+// errLongEvent ends a stream with an event of more than maxEventSize bytes.
 var errLongEvent = errors.New("relay: an event is too long")
 
-// deliverStream passes on whole events as they come.
+// deliverStream passes on each event of a stream once it is complete.
 func (x *run) deliverStream(a *Attempt, reply *Reply, t *attemptRecord, s *silence) error {
 	if !x.headSent {
 		x.sendHead(reply, -1)
@@ -163,7 +163,7 @@
 	}
 }
 
-// flushWritten sends what was written to the caller, if it was anything.
+// flushWritten flushes the connection to the caller if out, which was written last, is not empty.
 func flushWritten(flush *http.ResponseController, out []byte) error {
 	if len(out) == 0 {
 		return nil
@@ -174,6 +174,6 @@
 	return nil
 }
 
-// eventBufferSize is the size of one read of a stream, in bytes; events of the
-// users' runners have about a hundred.
+// eventBufferSize is the size of one read of a stream, in bytes. Events usually have about a
+// hundred.
 const eventBufferSize = 4 << 10
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -23,108 +23,113 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// Engine forwards requests. Use New; set the function fields before the first
-// request.
+// Engine forwards requests. Create it with New and set its function fields before the first
+// request. Its methods are safe for concurrent use.
 type Engine struct {
 	Log *zap.Logger
-	// Now is the clock, with a monotonic reading.
+	// Now returns the current time, with a monotonic reading.
 	Now func() time.Time
-	// Send makes an attempt.
+	// Send sends an attempt to its endpoint.
 	Send Send
-	// WriteTrial stores the next step of a roll-out, unless the stored one has
-	// another revision.
+	// WriteTrial stores the next step of a roll-out. It fails if the stored trial has another
+	// revision.
 	WriteTrial func(ctx context.Context, t roll.Trial) error
-	// SendEndpointReport tells the other routers of an endpoint, TellReport what this one saw of
-	// a trial.
+	// SendEndpointReport sends other routers a report on an endpoint. SendTrialReport sends them
+	// what this router has observed of a trial.
 	SendEndpointReport func(w Word)
 	SendTrialReport    func(r roll.Report)
-	// CheckEnded reports whether an endpoint has ended.
+	// CheckEnded reports whether the process of an endpoint has ended.
 	CheckEnded Gone
-	// Quarantines tells other routers of requests that crash endpoints.
+	// Quarantines sends other routers reports on requests that crash endpoints.
 	Quarantines Quarantines
-	// Notifier tells other routers what endpoints said of themselves.
+	// Notifier sends other routers the notices that endpoints gave about themselves.
 	Notifier Notifier
-	// OnRequestStarted is called once for each request of a workspace that an endpoint began to run, with
-	// when it did.
+	// OnRequestStarted is called once for each request of a workspace that an endpoint started to
+	// run; at is the time of that start.
 	OnRequestStarted func(workspace string, at time.Time)
-	// Boot is a clock that counts the time for which the VM was suspended; see still.
+	// Boot is a clock that also advances while the VM is suspended; see stalls.
 	Boot func() time.Duration
-	// ConfirmedAt returns when the table in force was the newest, for sure.
+	// ConfirmedAt returns the latest time at which the table in force was confirmed to be the
+	// newest; zero if it never was.
 	ConfirmedAt func() time.Time
-	// EndpointsListed reports whether the endpoints are known.
+	// EndpointsListed reports whether the list of endpoints has been received.
 	EndpointsListed func() bool
-	// RouterCount returns how many routers share the operator's bounds: those that may send, also
-	// for a while after they have left the list.
+	// RouterCount returns how many routers share the operator's limits: those that may send,
+	// including routers that left the list a short time ago.
 	RouterCount func() int
-	// Senders returns the routers that share endpoints which warm up, and a number that
-	// grows as they change; changed is false if that is still have, or nothing is known.
+	// Senders returns the routers that share the requests allowed to endpoints that warm up, and a
+	// generation that grows with each change. changed is false if the generation is still have, or
+	// if the routers are not known.
 	Senders func(have uint64) (s pool.Senders, generation uint64, changed bool)
 
-	// stalls notices that the process stood stalls.
+	// stalls detects that the process stood still.
 	stalls   clock.StallDetector
 	limits   atomic.Pointer[Limits]
 	table    atomic.Pointer[Table]
 	stopping atomic.Bool
-	// incarnation names this incarnation of the router.
+	// incarnation is a random number that identifies this start of the router.
 	incarnation uint64
-	// startedAt is when the router began, and known says that it knew all it
-	// needs to serve since; it never goes back.
+	// startedAt is when the router started. initialized says that it has received all that it needs
+	// to serve; it is never reset.
 	startedAt   time.Time
 	initialized atomic.Bool
-	// stopDeadline is when a stopping router breaks off what is left; it is set
-	// before stopping is.
+	// stopDeadline is when a stopping router aborts the requests that are left. It is set before
+	// stopping is.
 	stopDeadline time.Time
 	stoppedAt    time.Time
 	active       atomic.Int64
 	logLimits    logLimits
-	// failureReports bounds what is told of failureReports.
+	// failureReports limits the rate of failure reports to other routers.
 	failureReports *rate.Limiter
 	metrics        metrics
 
-	// sendersGeneration is the number of the Senders that the book has; Tend alone uses it.
+	// sendersGeneration is the generation of the Senders that the book has; only RunMaintenance
+	// uses it.
 	sendersGeneration uint64
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu   sync.Mutex
 	book *pool.Book
-	// crashes holds the requests under which endpoints crashed, and lapsed those that were
-	// forgotten and are still stored.
+	// crashes holds the requests under which endpoints crashed. expired holds those that were
+	// dropped from it and are still stored.
 	crashes *poison.Detector
 	expired []poison.Fingerprint
-	// judgeDue says that suspects are to be judged once word of crashes has settled.
+	// judgeDue signals that suspects are to be judged once the crash reports have settled.
 	judgeDue chan struct{}
-	// limitAnswered is closed, and made anew, whenever another router has answered a question about a
-	// limit; asks bounds these questions.
+	// limitAnswered is closed and replaced whenever another router has answered a query about a
+	// limit. limitQueries limits the rate of these queries.
 	limitAnswered chan struct{}
 	limitQueries  *rate.Limiter
-	// probes are the endpoints of which it is to be asked whether they have ended.
+	// probes holds the endpoints that are to be checked for having ended.
 	probes chan pool.Entry
-	// inFlight holds what endpoints may be running, by their hashes.
+	// inFlight holds, by the endpoint's hash, the requests that the endpoint may be running.
 	inFlight map[uint64]*inFlight
 	budgets  map[string]*budget.Window
-	// headTimes holds the times to the head by sort.
+	// headTimes holds the mean time to the head, by sort of request; see sortOf.
 	headTimes map[string]*timeMean
-	// readSpeeds holds how fast prompts are read, by model.
+	// readSpeeds holds how long endpoints take to read a token, by model; see readKey.
 	readSpeeds map[string]*readSpeed
-	// promptRates holds how many prompts this router sends to each service.
+	// promptRates holds how many prompts a second this router sends to each service.
 	promptRates map[string]*rateMeter
-	// avgUnits holds what requests to a service earn on average, in units.
+	// avgUnits holds the mean worth of a request to each service, in units; see run.units.
 	avgUnits map[string]*average
-	// aheadRatios holds what prompts that go before others wait for, by sort.
+	// aheadRatios holds which fraction of an endpoint's backlog urgent prompts wait for, by sort of
+	// request.
 	aheadRatios map[string]*aheadRatio
-	// homeHits is how often endpoints hold a prefix that homeHits to them unheard of.
+	// homeHits is how often endpoints held a prefix that is theirs by its hash without any router
+	// having reported it.
 	homeHits homeHitRate
-	// streamTimes holds how long the streamTimes of a route go on after their head.
+	// streamTimes holds how long answers go on after their head, by route.
 	streamTimes map[string]*timeMean
-	// streamPaces holds the times between the events of streams by model, of versions
-	// that are not on trial.
+	// streamPaces holds the usual times between the events of streams, by model. Versions on trial
+	// are left out.
 	streamPaces map[string]*usualPace
-	// confidences is what the models' confidences tell of them.
+	// confidences holds statistics of the models' confidences.
 	confidences sizes.ConfidenceStats
 	rollouts    map[string]*rollout
 }
 
-// New returns an engine that knows no configuration yet.
+// New returns an engine without a configuration.
 func New(log *zap.Logger, scope tally.Scope, l Limits) *Engine {
 	e := &Engine{
 		Log:                log,
@@ -168,8 +173,7 @@
 	return e
 }
 
-// SetTable puts a configuration in force, unless it is older than the one that
-// is.
+// SetTable puts a configuration in force unless it is not newer than the present one.
 func (e *Engine) SetTable(t *Table) {
 	old := e.table.Load()
 	if old != nil && t.Version <= old.Version {
@@ -180,25 +184,24 @@
 	e.Log.Info("relay: A configuration is in force.", zap.Int64("version", t.Version), zap.Int("workspaces", len(t.Workspaces)))
 }
 
-// age returns how long ago the table in force was proven to be the newest.
+// age returns how long ago the table in force was confirmed to be the newest.
 func (e *Engine) age(now time.Time) time.Duration { return e.Age(e.ConfirmedAt(), now) }
 
-// Age returns how old what was true at a time is now, the time included for which the VM was
-// suspended.
+// Age returns the time from at to now, including time for which the VM was suspended.
 func (e *Engine) Age(at, now time.Time) time.Duration { return e.stalls.Age(at, now) }
 
-// PutEndpoint takes over one listed endpoint.
+// PutEndpoint adds or updates a listed endpoint.
 func (e *Engine) PutEndpoint(p pool.Entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	// The first list is told of as a whole.
+	// The first list is logged as a whole.
 	if e.book.Put(p) && e.initialized.Load() {
 		e.Log.Info("relay: An endpoint has changed.", zap.String("endpoint", p.ID), zap.String("service", p.Service),
 			zap.String("version", p.Version), zap.Bool("leaving", p.Leaving), zap.Int64("revision", p.Revision))
 	}
 }
 
-// RemoveEndpoint takes an endpoint out; it counts as gone at lapsesAt.
+// RemoveEndpoint removes an endpoint. It counts as gone from lapsesAt on.
 func (e *Engine) RemoveEndpoint(id string, revision int64, lapsesAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -206,7 +209,7 @@
 	e.Log.Info("relay: An endpoint was removed.", zap.String("endpoint", id), zap.Int64("revision", revision), zap.Time("lapsesAt", lapsesAt))
 }
 
-// Ready reports whether the router should get new connections, and why not.
+// Ready reports whether the router should get new connections, and if not, why.
 func (e *Engine) Ready() (ready bool, why string) {
 	switch {
 	case e.stopping.Load():
@@ -222,8 +225,8 @@
 	return true, ""
 }
 
-// maxConfirmAge returns how old the table may be for requests with keys; 0 for no
-// bound.
+// maxConfirmAge returns how long ago the table may have been confirmed for requests with keys to be
+// served; 0 for no limit.
 func (e *Engine) maxConfirmAge() time.Duration {
 	s := e.limits.Load().RevokeWithin
 	if s == 0 {
@@ -232,20 +235,21 @@
 	return time.Duration(s) - revokeMargin
 }
 
-// Stop makes the router not ready and every answer the last on its connection.
-// What is left at the given time will be broken off. It is called once.
+// Stop makes Ready report false and closes each connection after its next answer. Requests that are
+// still under way at breaksOff will be aborted. It must be called only once.
 func (e *Engine) Stop(breaksOff time.Time) {
 	e.stoppedAt, e.stopDeadline = e.Now(), breaksOff
 	e.stopping.Store(true)
 }
 
-// StopGracePeriod is how long a stopping router still takes every request: the balancer
-// sends new connections for two seconds, and callers that were told to leave
-// theirs are gone by then. Later it takes those that end in time for sure.
+// StopGracePeriod is how long a stopping router still accepts every request. The load balancer
+// sends new connections for 2 s after the router stops being ready, and callers that were asked to
+// close their connection have done so by then. After this period the router accepts only requests
+// that are certain to end in time.
 const StopGracePeriod = config.Span(2500 * time.Millisecond)
 
-// refusesWhileStopping reports whether a stopping router should leave a request of the route to
-// another one, as it might not be finished in time.
+// refusesWhileStopping reports whether a stopping router refuses a request of the route, as it
+// might not end before stopDeadline.
 func (e *Engine) refusesWhileStopping(route *Route, now time.Time) bool {
 	if !e.stopping.Load() || !now.After(StopGracePeriod.After(e.stoppedAt)) {
 		return false
@@ -253,10 +257,11 @@
 	return route.Kind == Stream || route.Timeout.After(now).After(e.stopDeadline)
 }
 
-// ActiveRequests returns how many requests are under way.
+// ActiveRequests returns the number of requests that are under way.
 func (e *Engine) ActiveRequests() int64 { return e.active.Load() }
 
-// RunMaintenance moves roll-outs on and drops endpoints that lapsed, until ctx is done.
+// RunMaintenance advances roll-outs, sends trial reports, removes endpoints whose lease has expired
+// and updates metrics, until ctx is done. It always returns nil.
 func (e *Engine) RunMaintenance(ctx context.Context) error {
 	t := time.NewTicker(maintenanceInterval)
 	defer t.Stop()
@@ -281,15 +286,15 @@
 	}
 }
 
-// maintenanceInterval is how often Tend looks: a fifth of the shortest bound it serves,
-// the second within which a bad version must be left.
+// maintenanceInterval is the interval of RunMaintenance: a fifth of the shortest time limit that
+// depends on it, the 1 s within which a bad version must get no more requests.
 const maintenanceInterval = 100 * time.Millisecond
 
-// ticksPerSweep is after how many looks it does what looks at every endpoint: telling how many
-// warm up, and forgetting what they ran.
+// ticksPerSweep is how many ticks of RunMaintenance pass between the tasks that visit every
+// endpoint: counting those that warm up and dropping old requests in flight.
 const ticksPerSweep = 10
 
-// updateGauges tells the metrics what the router believes.
+// updateGauges updates the gauges that are cheap to compute.
 func (e *Engine) updateGauges() {
 	e.mu.Lock()
 	endpoints, closed := e.book.Len(), e.book.ClosedZones()
@@ -303,7 +308,7 @@
 	}
 }
 
-// updateEndpointGauges tells the metrics how many endpoints bound what they get.
+// updateEndpointGauges updates the gauges of endpoints that get fewer requests than others.
 func (e *Engine) updateEndpointGauges() {
 	now := e.Now()
 	e.mu.Lock()
@@ -322,7 +327,7 @@
 	}
 }
 
-// budget returns the retry budget of a service; mu is held.
+// budget returns the retry budget of a service. The caller must hold mu.
 func (e *Engine) budget(service string) *budget.Window {
 	l := e.limits.Load()
 	w := getOrCreate(e.budgets, service)
@@ -330,8 +335,8 @@
 	return w
 }
 
-// Bounds returns what callers may send under the table in force; zero values
-// before there is one.
+// Bounds returns what callers may send under the table in force; the zero value before there is a
+// table.
 func (e *Engine) Bounds() Bounds {
 	if t := e.table.Load(); t != nil {
 		return t.Bounds
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -8,18 +8,20 @@
 	"strconv"
 )
 
-// eventSplitter cuts a stream into whole eventSplitter.
+// eventSplitter splits a stream of server-sent events into complete events. The zero value is ready
+// to use.
 type eventSplitter struct {
-	// lastID is the ID of the lastID whole event; empty before the first.
+	// lastID is the ID of the last complete event; empty before the first. An event whose number is
+	// not greater is dropped.
 	lastID string
-	// count counts the events that were passed on.
+	// count is the number of events that split has returned.
 	count int
 	buf   []byte
 }
 
-// split adds what was read and returns the events that are whole now. Events that
-// the caller has already, by their rising numbers, are left out. The result is
-// valid until the next call.
+// split adds b to the stream and returns the events that are complete now. It leaves out events
+// that the caller already has, by their increasing numbers. The result is valid until the next
+// call.
 func (s *eventSplitter) split(b []byte) []byte {
 	s.buf = append(s.buf, b...)
 	out := s.buf[:0:0]
@@ -41,15 +43,14 @@
 	}
 }
 
-// maxEventSize bounds one event, in bytes; those of the users' runners have at most
-// a few hundred.
+// maxEventSize is the maximum size of one event, in bytes. Events usually have at most a few
+// hundred.
 const maxEventSize = 1 << 20
 
-// pendingBytes returns how many bytes of an event that is not whole were read.
+// pendingBytes returns the number of bytes read of an event that is not complete.
 func (s *eventSplitter) pendingBytes() int { return len(s.buf) }
 
-// eventEnd returns the length of the first whole event, which ends with an empty
-// line, or -1.
+// eventEnd returns the length of the first complete event, which ends with an empty line, or -1.
 func eventEnd(b []byte) int {
 	for i := 0; ; {
 		n := bytes.IndexByte(b[i:], '\n')
@@ -66,7 +67,7 @@
 	}
 }
 
-// eventID returns the ID of an event.
+// eventID returns the ID of an event; ok is false if it has none.
 func eventID(event []byte) (id string, ok bool) {
 	for line := range bytes.Lines(event) {
 		if rest, found := bytes.CutPrefix(line, []byte("id:")); found {
@@ -76,7 +77,7 @@
 	return "", false
 }
 
-// alreadySent reports whether an event's number is not over that of the last one.
+// alreadySent reports whether both IDs are numbers and id is not greater than last.
 func alreadySent(id, last string) bool {
 	if last == "" {
 		return false
--- a/internal/relay/getorcreate.go
+++ b/internal/relay/getorcreate.go
@@ -3,7 +3,7 @@
 
 package relay
 
-// getOrCreate returns what a map holds under a key; a new zero value if there is none.
+// getOrCreate returns the value of a key. If there is none, it stores a new zero value first.
 func getOrCreate[K comparable, T any](in map[K]*T, key K) *T {
 	v, ok := in[key]
 	if !ok {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -10,53 +10,52 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// Limits are the operator's bounds on what the router does.
+// Limits holds the operator's settings for this VM.
 type Limits struct {
 	// Zone is the availability zone of this VM.
 	Zone string
-	// Regions holds the region of each availability zone, as far as it is known.
+	// Regions maps availability zones to regions, as far as they are known.
 	Regions map[string]string
-	// RetryRatio and RetrySlack bound the extra attempts of a service over
-	// RetryWindow, for all routers together.
+	// RetryRatio and RetrySlack limit the extra attempts of a service within RetryWindow, for all
+	// routers together: a fraction of its requests, and a number on top of that.
 	RetryRatio, RetrySlack float64
 	RetryWindow            config.Span
-	// RevokeWithin is how long after its removal a key may still be served; 0
-	// if that is not bounded.
+	// RevokeWithin is how long after its removal an API key may still be served; 0 for no limit.
 	RevokeWithin config.Span
-	// ConfigWithin is how long after its acceptance a configuration has to be
-	// in force: what is missing in a table that was the newest less long ago
-	// does not exist.
+	// ConfigWithin is the time after its acceptance within which a configuration must be in force.
+	// What is missing in a table that was confirmed to be the newest less long ago does not exist.
 	ConfigWithin config.Span
-	// ExposeShare and ExposeSlack bound the requests to a version that may be bad:
-	// a part of all requests to its service, and some more.
+	// ExposeShare and ExposeSlack limit the requests to a version that may be bad: a fraction of
+	// all requests to its service, and a number on top of that.
 	ExposeShare, ExposeSlack float64
-	// WarmOverage and WarmSlack bound the requests in any one second to an endpoint that
-	// warms up, by all routers together: so many times what it bears, and some more.
+	// WarmOverage and WarmSlack limit the requests from all routers to an endpoint that warms up,
+	// in any one second: a multiple of its WarmupRate, and a number on top of that.
 	WarmOverage, WarmSlack float64
-	// TokenWorth is what 1,000 tokens of a prompt earn, in the money of the models' costs; a
-	// token made counts as ten.
+	// TokenWorth is what 1,000 tokens of a prompt earn, in the money of Table.Costs. A token of the
+	// answer counts as ten.
 	TokenWorth float64
-	// Cascade chooses among models of several sizes.
+	// Cascade holds the confidence thresholds that CascadeFixed uses to choose among models of
+	// several sizes, and CascadeWorth until it knows what larger models cost and gain.
 	Cascade sizes.Policy
-	// Mechanisms are the ways in which the router decides.
+	// Mechanisms selects the ways in which the router decides.
 	Mechanisms Mechanisms
 }
 
 const (
-	// retryRatioShare and slackKept are the parts of the users' retry budget that the
-	// routers take together, with a margin for requests that are counted in
-	// another window and for routers that are not registered yet.
+	// retryRatioShare and retrySlackShare are the fractions of RetryRatio and RetrySlack that the
+	// routers use together. The rest is a margin for requests that are counted in another window
+	// and for routers that are not registered yet.
 	retryRatioShare = 0.85
 	retrySlackShare = 0.6
-	// revokeMargin is how much earlier than the bound a key is no longer
-	// served: an attempt takes up to half a second to reach its endpoint.
+	// revokeMargin is how much earlier than RevokeWithin an API key is refused: an attempt takes up
+	// to half a second to reach its endpoint.
 	revokeMargin = 500 * time.Millisecond
-	// readyMargin is how long before keys are refused a router says that it
-	// takes no new connections, so that callers go elsewhere in time.
+	// readyMargin is how long before keys are refused the router reports that it is not ready, so
+	// that callers connect elsewhere in time.
 	readyMargin = time.Second
 )
 
-// SetLimits takes over new bounds.
+// SetLimits replaces the settings.
 func (e *Engine) SetLimits(l Limits) {
 	e.limits.Store(&l)
 	e.setWarmups()
--- a/internal/relay/mean.go
+++ b/internal/relay/mean.go
@@ -5,18 +5,18 @@
 
 import "time"
 
-// timeMean is a decayed timeMean of the times to the head of one sort of requests, and of
-// the tokens of their prompts. The zero value is empty.
+// timeMean is an exponentially weighted mean of times, in nanoseconds, and of the sizes of the
+// prompts, in tokens. The zero value has no data.
 type timeMean struct {
 	value, tokens float64
 	n             int
 }
 
 const (
-	// meanWeight is how much one answer counts in a mean.
+	// meanWeight is the weight of one value in a mean.
 	meanWeight = 0.05
-	// minSizeFactor and maxSizeFactor bound by how much a prompt's size changes the
-	// expected time: part of it does not depend on the size.
+	// minSizeFactor and maxSizeFactor limit how much a prompt's size changes the expected time, as
+	// a part of the time does not depend on the size.
 	minSizeFactor, maxSizeFactor = 0.5, 6
 )
 
@@ -27,8 +27,8 @@
 	m.tokens += (float64(tokens) - m.tokens) * w
 }
 
-// expect returns the time to the head of a request with a prompt of this size, in
-// seconds; 0 if none was seen yet.
+// expect returns the expected time for a prompt of so many tokens, in seconds; 0 without data.
+// Where either size is unknown, it is the mean.
 func (m *timeMean) expect(tokens int) float64 {
 	if m == nil {
 		return 0
@@ -40,7 +40,7 @@
 	return m.value * size / float64(time.Second)
 }
 
-// average is a decayed mean of plain numbers. The zero value is empty.
+// average is an exponentially weighted mean of numbers. The zero value has no data.
 type average struct {
 	value float64
 	n     int
@@ -51,7 +51,7 @@
 	a.value += (v - a.value) * max(meanWeight, 1/float64(a.n))
 }
 
-// valueOr returns the mean; none if nothing was seen yet.
+// valueOr returns the mean, or none without data.
 func (a *average) valueOr(none float64) float64 {
 	if a == nil || a.n == 0 {
 		return none
--- a/internal/relay/mechanisms.go
+++ b/internal/relay/mechanisms.go
@@ -5,45 +5,52 @@
 
 import "slices"
 
-// Mechanisms are the ways in which a router decides, where there are several, and what it does
-// without. The zero value has the default ways and all mechanisms.
+// Mechanisms selects the ways in which the router decides. The zero value has the default ways and
+// all mechanisms on.
 type Mechanisms struct {
-	// Cascade is how it is decided whether a larger model is asked.
+	// Cascade is the way to decide whether to ask a larger model; empty for CascadeWorth.
 	Cascade Cascade
-	// Without holds what is switched off, to see what it is worth.
+	// Without holds the mechanisms that are switched off, to measure what they contribute.
 	Without []Mechanism
 }
 
-// Cascade is a way to decide whether a larger model is asked.
+// Cascade is a way to decide whether to ask a larger model.
 type Cascade string
 
-// The ways: CascadeWorth, the default, compares what the answer at hand is expected to earn with
-// what larger models' would, less their cost; CascadeFixed compares confidences with two bounds.
+// The ways to decide. CascadeWorth, the default, compares the expected worth of the answer at hand
+// with that of larger models' answers less their cost. CascadeFixed compares confidences with two
+// fixed thresholds.
 const (
 	CascadeWorth Cascade = "worth"
 	CascadeFixed Cascade = "fixed"
 )
 
-// Mechanism is something that a router can do without.
+// Mechanism is a part of the router that can be switched off.
 type Mechanism string
 
-// The mechanisms: asking larger models at all; sending a prompt where its shared part is held;
-// taking it to be held where it belongs by its hash; weighing what a prompt's reading
-// delays; letting short prompts go first at their endpoint; ending attempts that are silent;
-// telling other routers of long prompts and of what endpoints will hold; telling them of
-// failures.
+// The mechanisms.
 const (
-	LargerModels    Mechanism = "largerModels"
-	PrefixHolders   Mechanism = "holders"
-	HomeEndpoints   Mechanism = "belonging"
-	DelayToOthers   Mechanism = "othersDelay"
-	ShortFirst      Mechanism = "shortFirst"
+	// LargerModels asks a larger model where an answer is weak.
+	LargerModels Mechanism = "largerModels"
+	// PrefixHolders sends a prompt to an endpoint that holds its shared prefix.
+	PrefixHolders Mechanism = "holders"
+	// HomeEndpoints takes into account that the home endpoint of a prefix, given by the prefix's
+	// hash, may hold it without a report of that.
+	HomeEndpoints Mechanism = "belonging"
+	// DelayToOthers weighs how much reading a prompt delays other prompts.
+	DelayToOthers Mechanism = "othersDelay"
+	// ShortFirst lets short prompts go first at their endpoint.
+	ShortFirst Mechanism = "shortFirst"
+	// SilenceTimeouts ends attempts whose endpoint sends nothing for too long.
 	SilenceTimeouts Mechanism = "silenceBounds"
-	LoadReports     Mechanism = "notes"
-	FailureReports  Mechanism = "toldFailures"
+	// LoadReports sends other routers reports on long prompts and on prefixes that endpoints will
+	// hold.
+	LoadReports Mechanism = "notes"
+	// FailureReports sends other routers reports on failed attempts.
+	FailureReports Mechanism = "toldFailures"
 )
 
-// AllMechanisms are those that there are.
+// AllMechanisms holds every Mechanism.
 var AllMechanisms = []Mechanism{LargerModels, PrefixHolders, HomeEndpoints, DelayToOthers, ShortFirst, SilenceTimeouts, LoadReports, FailureReports}
 
 // disabled reports whether a mechanism is switched off.
--- a/internal/relay/meter.go
+++ b/internal/relay/meter.go
@@ -8,19 +8,18 @@
 	"time"
 )
 
-// rateMeter counts how often something happens in a second. The zero value has counted
-// nothing.
+// rateMeter measures the rate of an event. The zero value has counted none.
 type rateMeter struct {
-	// sum is the decayed count at at.
+	// sum is the decayed count at the time at.
 	sum float64
 	at  time.Time
 }
 
-// meterTimeConstant is the time over which a count is forgotten to a part of 1/e: a router sees a
-// few prompts a second, and bursts last some seconds.
+// meterTimeConstant is the time in which a count decays to 1/e. A router gets a few prompts a
+// second, and bursts last some seconds.
 const meterTimeConstant = 5 * time.Second
 
-// add counts one.
+// add counts one event.
 func (m *rateMeter) add(now time.Time) {
 	m.sum = m.decayed(now) + 1
 	m.at = now
@@ -30,7 +29,7 @@
 	return m.sum * math.Exp(-float64(now.Sub(m.at))/float64(meterTimeConstant))
 }
 
-// perSecond returns how often a second it happens.
+// perSecond returns the rate of events a second; 0 for a nil meter.
 func (m *rateMeter) perSecond(now time.Time) float64 {
 	if m == nil {
 		return 0
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -12,23 +12,24 @@
 	"golang.org/x/time/rate"
 )
 
-// metrics are the core's metrics.
+// metrics holds the metrics of the package.
 type metrics struct {
 	scope tally.Scope
-	// These are what the router believes now: the requests active way, the age of the
-	// table's proof in seconds, the known endpoints, those of them that warm up, that named
-	// a limit and that asked for rest, the closed availability zones and the routers that may send.
+	// These gauges hold the present number of requests under way, the time since the table was
+	// confirmed in seconds, the numbers of known endpoints and of those that warm up, that have
+	// named a limit and that have asked for rest, the number of closed availability zones and the
+	// number of routers that may send.
 	active, age, endpoints, warming, limited, resting, closed, routers tally.Gauge
-	// suspects and quarantined are requests under which endpoints crashed, and those of them
-	// that are not sent to any more.
+	// suspects is the number of requests under which endpoints crashed, quarantined that of those
+	// that are no longer sent to endpoints.
 	suspects, quarantined tally.Gauge
-	// mu guards the maps, which hold one metric for each set of tags.
+	// mu guards the maps, which hold one metric for each name and set of tags.
 	mu       sync.Mutex
 	counters map[metricKey]tally.Counter
 	times    map[string]tally.Histogram
 }
 
-// metricKey names a counter with its tags.
+// metricKey is the name of a counter with its tags.
 type metricKey struct{ name, route, outcome string }
 
 func newMetrics(scope tally.Scope) metrics {
@@ -41,7 +42,7 @@
 	}
 }
 
-// latencyBuckets are the upper bounds of the histograms, 5 ms to about 20 s.
+// latencyBuckets are the upper bounds of the histogram buckets, 5 ms to about 20 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 
 func (c *metrics) count(name, route, outcome string) {
@@ -68,25 +69,26 @@
 	h.RecordDuration(d)
 }
 
-// logLimits decides which requests are logged: all of a request's logLimits or none.
+// logLimits limits the rate of log lines. For a request either all lines are logged or none.
 type logLimits struct {
 	ended, failed *rate.Limiter
-	// crashes is for requests under which endpoints crashed.
+	// crashes limits requests that are logged for a crash of their endpoint.
 	crashes *rate.Limiter
-	// notices is for what endpoints said of themselves.
+	// notices limits changes in the notices of endpoints.
 	notices *rate.Limiter
 }
 
 const (
-	// endedLogsPerSecond and failedPerSecond bound the requests of one router that
-	// are logged, those that failed apart. A calm day has 25 a second.
+	// endedLogsPerSecond and failedLogsPerSecond are the maximum numbers of requests a second that
+	// one router logs, those that succeeded and those that failed. In normal operation there are 25
+	// a second.
 	endedLogsPerSecond  = 60
 	failedLogsPerSecond = 60
-	// crashLogsPerSecond bounds the requests that it tells endpoints crashed under: three crashes of
-	// busy ones.
+	// crashLogsPerSecond is the maximum number of requests a second that are logged for a crash of
+	// their endpoint: as many as three busy endpoints run.
 	crashLogsPerSecond = 200
-	// noticeLogsPerSecond bounds the changes that it tells of what endpoints said of themselves: one that
-	// names another limit in each answer would fill the log.
+	// noticeLogsPerSecond is the maximum number of logged changes a second in the notices of
+	// endpoints. An endpoint that names another limit in each answer would fill the log.
 	noticeLogsPerSecond = 50
 )
 
@@ -107,5 +109,5 @@
 // draw returns a random number.
 func (e *Engine) draw() uint64 { return rand.Uint64() }
 
-// jitter returns a part of d that draw determines.
+// jitter returns a duration from 0 to less than d that draw determines.
 func jitter(draw uint64, d time.Duration) time.Duration { return time.Duration(draw % uint64(d)) }
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// paceGaps is how many of the first times between the pieces of a stream are looked at;
-	// two thirds of the users' streams have as many pieces.
+	// paceGaps is how many of the first times between the reads of a stream are used. Two thirds of
+	// streams have as many.
 	paceGaps = 7
-	// paceWindow is how many of them in a row are looked at as one.
+	// paceWindow is how many times in a row are also added up.
 	paceWindow = 3
 )
 
-// pace finds the shortest of the first times between the pieces of a stream, and the
-// shortest that some pieces in a row took: an endpoint that reads others' prompts in between
-// makes the other times longer. A single one is the surer sign where pieces come as they are
-// made. But an endpoint may write several at once, and a socket or a busy process may hold
-// one up until the next, so that a single time is near 0 whatever the endpoint does; of
-// several in a row, one has what another one lacks.
+// pace finds the shortest of the first times between the reads of a stream, and the shortest sum of
+// some of them in a row. The minimum is used because an endpoint that reads other prompts in
+// between makes the other times longer. A single time is the better measure where the endpoint
+// sends events as it makes them. But an endpoint may write several at once, and a socket or a busy
+// process may delay one until the next, so that a single time is near 0 whatever the endpoint does.
+// In a sum of several in a row, one has what another one lacks.
 type pace struct {
-	// minGap is the shortest time, minRow the shortest of paceWindow in a row.
+	// minGap is the shortest time, minRow the shortest sum of paceWindow times in a row.
 	minGap, minRow time.Duration
-	// last holds the last times, and row is their sum.
+	// last holds the last times; row is their sum.
 	last [paceWindow]time.Duration
 	row  time.Duration
 	n    int
 }
 
-// add notes the time before a piece of a stream, the first of which is no gap, and reports
-// whether this was the last one that counts.
+// add adds the time before a read of a stream; that before the first read is ignored. It reports
+// whether this was the last time that is used.
 func (p *pace) add(gap time.Duration) bool {
 	p.n++
 	if p.n < 2 || p.n > paceGaps+1 {
@@ -51,13 +51,13 @@
 	return gaps == paceGaps
 }
 
-// geoMean is the decayed geometric mean of times, so that some long ones weigh little. The
-// zero value is empty.
+// geoMean is the exponentially weighted geometric mean of times, in which single long ones have
+// little weight. The zero value has no data.
 type geoMean struct{ log average }
 
 func (u *geoMean) add(d time.Duration) { u.log.add(math.Log(float64(max(d, 1)))) }
 
-// mean returns the mean; 0 if there is none.
+// mean returns the mean; 0 without data.
 func (u *geoMean) mean() time.Duration {
 	if u.log.n == 0 {
 		return 0
@@ -65,7 +65,7 @@
 	return time.Duration(math.Exp(u.log.value))
 }
 
-// usualPace is what the paces of streams usually are.
+// usualPace holds the usual values of pace.minGap and pace.minRow.
 type usualPace struct{ single, row geoMean }
 
 func (u *usualPace) add(p *pace) {
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -14,136 +14,138 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// Request is a caller's request, decoded.
+// Request is a decoded request of a caller. The entry sets its exported fields.
 type Request struct {
-	// ID is the caller's own; each of its attempts has another.
+	// ID is the ID that the caller's request has; each attempt has another.
 	ID     string
 	Method string
 	Host   string
-	// Path is without, Target with the query, both as they came.
+	// Path is the path without the query, Target the path with the query, both unchanged.
 	Path, Target string
-	// Header holds what is passed on; it is not changed.
+	// Header holds what is passed on; it must not be changed.
 	Header http.Header
 	Body   []byte
-	// Key is the API key; empty without one.
+	// Key is the API key; empty if there is none.
 	Key string
-	// Session names requests that belong together; empty without one.
+	// Session names a session, whose requests belong together; empty if there is none.
 	Session string
-	// Prefix names the parts of the prompt that requests share, in order; the
-	// last is the request's own or its session's.
+	// Prefix names the leading parts of the prompt that requests share, in order. The last part
+	// belongs to this request or its session only.
 	Prefix []string
-	// PrefixTokens is how many tokens each part has.
+	// PrefixTokens is the number of tokens of each part.
 	PrefixTokens []int
-	// TokensIn and TokensOut are the prompt's size and the most that may be
-	// made; 0 if unknown.
+	// TokensIn is the number of tokens of the prompt, TokensOut the maximum number of tokens of the
+	// answer; 0 if unknown.
 	TokensIn, TokensOut int
-	// AnyModel says that the router names the model.
+	// AnyModel says that the caller leaves the choice of the model to the router.
 	AnyModel bool
-	// LastEvent is the last event of a stream that the caller holds; empty
-	// for none.
+	// LastEvent is the ID of the last event that the caller has of a stream; empty if it has none.
 	LastEvent string
 	Arrived   time.Time
-	// ArrivedBoot is when it arrived by the clock that counts suspensions; zero if that is
-	// not known.
+	// ArrivedBoot is the time of arrival on the clock Engine.Boot; zero if unknown.
 	ArrivedBoot time.Duration
-	// Deadline is when the caller gives up; zero if it does not say.
+	// Deadline is when the caller stops waiting; zero if it sent none.
 	Deadline time.Time
-	// fingerprint names the request and its repeats; zero before it was asked for.
+	// fingerprint identifies the request and its repeats. It is computed on first use and zero
+	// before.
 	fingerprint poison.Fingerprint
 }
 
-// Attempt is one request on its way to one endpoint.
+// Attempt is one request that is sent to one endpoint.
 type Attempt struct {
 	Request  *Request
 	Endpoint pool.Entry
-	// Model is set where the router names it.
+	// Model is the model to name to the endpoint; empty where the caller names it.
 	Model string
-	// Workspace is empty for an anonymous request.
+	// Workspace is the workspace of the caller; empty for an anonymous request.
 	Workspace string
-	// LastEvent is the event after which the run continues; empty for none.
+	// LastEvent is the ID of the event after which the endpoint continues a stream; empty if it
+	// starts from the beginning.
 	LastEvent string
-	// Rank is the urgency, 0 to 9; 0 comes first.
+	// Rank is the priority at the endpoint, 0 to 9; 0 is the most urgent.
 	Rank     int
 	Deadline time.Time
-	// OnConnected is called by Send once the connection to the endpoint is open: from then on the
-	// endpoint may be running the request.
+	// OnConnected must be called by Send once the connection to the endpoint is open. From then on
+	// the endpoint may be running the request.
 	OnConnected func()
-	// hash is what other routers know the endpoint by.
+	// hash is the endpoint's hash, by which other routers identify it.
 	hash uint64
-	// expectedHead is how long the head is expectedHead to take, readTime how long the
-	// endpoint is expectedHead to read the prompt, fullReadTime how long it would read all of
-	// it, and wait how long it was believed to read others first, all in seconds.
+	// These are estimates in seconds: expectedHead of the time to the head, readTime of the time in
+	// which the endpoint reads the prompt, fullReadTime of the time in which it would read the
+	// prompt if it held no part of it, and wait of the time for which it reads other prompts first.
 	expectedHead, readTime, fullReadTime, wait float64
-	// readDoneAt is when the prompt was expected to be read, behind all that the endpoint
-	// had; urgent says that it goes before that.
+	// readDoneAt is when the endpoint is expected to have read the prompt, after all prompts that
+	// it had before. urgent says that the prompt is read before those.
 	readDoneAt time.Time
 	urgent     bool
-	// paceFactor is how many paceFactor as long as usual work was expected to take at the endpoint; over 0.
+	// paceFactor is how many times as long as usual the endpoint is expected to take; over 0.
 	paceFactor float64
-	// backlog is how long the endpoint was believed to read what it backlog, in seconds.
+	// backlog is how long the endpoint was expected to read the prompts it had, in seconds.
 	backlog float64
-	// prefix names what the endpoint holds once it has read the prompt; 0 for nothing.
-	// cold says that it was not believed to hold it before.
+	// prefix is the hash of the prefix that the endpoint holds once it has read the prompt; 0 for
+	// none. cold says that the endpoint was not known to hold it before.
 	prefix uint64
 	cold   bool
-	// atHome says that the prefix atHome to the endpoint, though nobody was heard to
-	// have sent it there; rest is how long the prompt is read if it holds it all the
-	// same, in seconds. unreadKnown says that there is no such doubt.
+	// atHome says that the endpoint is the home of the prefix by its hash, though no router
+	// reported to have sent it there. unsharedRead is the expected reading time, in seconds, if the
+	// endpoint holds the prefix nevertheless. unreadKnown says that there is no such doubt about
+	// how much of the prompt is read.
 	atHome, unreadKnown bool
 	unsharedRead        float64
-	// warming says that the endpoint was warming up: what it takes says little.
+	// warming says that the endpoint was warming up, so that its times say little.
 	warming bool
-	// loaded says that the endpoint bears the load that its service's usually do.
+	// loaded says that the endpoint has the usual load of its service's endpoints.
 	loaded bool
-	// inPeak says that it bears more than that, as the one endpoint under a peak.
+	// inPeak says that the endpoint has more than the usual load, as the one endpoint that gets the
+	// peak of a trial.
 	inPeak bool
-	// unreadTokens is how many tokens of the prompt are expected to be read.
+	// unreadTokens is how many tokens of the prompt the endpoint is expected to read.
 	unreadTokens int
-	// sent is the request's place among those that the endpoint may be running.
+	// sent is the entry of the request in Engine.inFlight.
 	sent *sentRequest
-	// harmless says that the endpoint answered the request whole, or surely did not run it.
+	// harmless says that the endpoint answered the whole request, or certainly did not run it.
 	harmless bool
-	// gotHead says that the head of an answer came that may be passed on.
+	// gotHead says that the head of an answer was received that may be passed on.
 	gotHead bool
-	// countedAs is what the attempt counted as for the trial of its service; empty for
-	// nothing.
+	// countedAs is what the attempt counted as in the trial of its service; empty if it was not
+	// counted.
 	countedAs string
 }
 
-// Reply is an endpoint's answer once its head is there.
+// Reply is the answer of an endpoint once its head has been received. Send sets it.
 type Reply struct {
 	Status int
-	// Header holds what is passed on to the caller.
+	// Header holds the fields that are passed on to the caller.
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is the body's, or -1.
+	// Length is the length of the body in bytes; -1 if unknown.
 	Length int64
-	// IDMatches says that the answer names the request that was asked.
+	// IDMatches says that the answer names the ID of the request.
 	IDMatches bool
-	// Authenticated says that the endpoint vouches for the answer.
+	// Authenticated says that the endpoint vouches for the answer, such as by a signature.
 	Authenticated bool
-	// NotRun says that the endpoint proves that it did not run the request.
+	// NotRun says that the endpoint proved that it did not run the request.
 	NotRun bool
-	// Encoded says that the body is not as the endpoint made it.
+	// Encoded says that the body has a content encoding, so that it is not as the endpoint made it.
 	Encoded bool
-	// Confidence is the model's own opinion of the answer, 0 to 100, or
-	// sizes.Unknown.
+	// Confidence is the model's own estimate of the answer's quality, 0 to 100, or sizes.Unknown.
 	Confidence int
-	// Pace is how many times as long as usual work takes at the endpoint; 0 if it did not tell.
+	// Pace is how many times as long as usual work takes at the endpoint; 0 if it did not report
+	// that.
 	Pace float64
-	// Running and Waiting are the endpoint's load; Told says that it told it.
+	// Running and Waiting are the numbers of requests at the endpoint, if LoadReported.
 	Running, Waiting int
 	LoadReported     bool
-	// Notice is what else the endpoint says of itself.
+	// Notice is what the endpoint reports of its limit, its leaving and its rest.
 	Notice pool.Notice
 }
 
-// Send makes an attempt and returns once the head of the answer is there. The
-// error is a *fault.Error that says whether the request may have run. The body
-// must be closed; that ends the run if it is still under way.
+// Send makes an attempt and returns once the head of the answer has been received. The error is a
+// *fault.Error that says whether the request may have run. The caller must close the body, which
+// ends the run if it is still under way.
 type Send func(ctx context.Context, a *Attempt) (*Reply, error)
 
-// attemptRecord is what is kept of an attempt, for rules and logs.
+// attemptRecord is what is kept of an attempt for the log and for later decisions.
 type attemptRecord struct {
 	Endpoint string
 	Model    string
@@ -151,46 +153,48 @@
 	Why      pool.Reason
 	At       time.Time
 	Status   int
-	// Confidence is the answer's, or sizes.Unknown.
+	// Confidence is that of the Reply.
 	Confidence int
-	// GoodProb is the chance that the answer is good, KeepWorth and AskWorth what keeping it and asking a
-	// larger model was expected to be worth, in parts of a good answer in time.
+	// GoodProb is the estimated probability that the answer is good. KeepWorth is the expected
+	// worth of keeping it, AskWorth that of asking a larger model, both as fractions of the worth
+	// of a good answer in time.
 	GoodProb, KeepWorth, AskWorth float64
 	Outcome                       string
 	Err                           *fault.Error
-	// Load is the runs the endpoint was believed to have.
+	// Load is the estimated number of requests at the endpoint when it was picked.
 	Load int
 	// CrossZone says that the endpoint is in another availability zone.
 	CrossZone bool
-	// UnreadTokens is how many tokens of the prompt it was expected to read, Wait and
-	// Reading how long it was expected to read others' first and then these, in
+	// UnreadTokens is how many tokens of the prompt the endpoint was expected to read. Wait is how
+	// long it was expected to read other prompts first, ReadTime how long to read these tokens, in
 	// seconds.
 	UnreadTokens   int
 	Wait, ReadTime float64
-	// PaceFactor is how many times as long as usual work was expected to take there.
+	// PaceFactor is how many times as long as usual the endpoint was expected to take.
 	PaceFactor float64
-	// PassedOver names the endpoint that held the prefix where another was picked: Cost is
-	// the wait and the reading at the one that was picked, PassedCost those at that
-	// one, in seconds.
+	// PassedOver is the ID of the endpoint that held the prefix where another one was picked; empty
+	// otherwise. Cost is the expected wait and reading time at the endpoint that was picked,
+	// PassedCost that at PassedOver, in seconds.
 	PassedOver       string
 	Cost, PassedCost float64
-	// Limit is the requests a second that the endpoint takes from all routers, if Limited.
+	// Limit is the number of requests a second that the endpoint takes from all routers together,
+	// if Limited.
 	Limit   float64
 	Limited bool
-	// Granted says that the request was sent in the place of another router.
+	// Granted says that another router granted the request from its share of the limit.
 	Granted bool
-	// Sent and Received are the bytes of the body and of the answer.
+	// Sent is the size of the request's body, Received that of the answer's, in bytes.
 	Sent, Received int
-	// HeadMillis is how long the head took, in milliseconds.
+	// HeadMillis is the time from sending to the head or to the failure, in milliseconds.
 	HeadMillis int64
-	// PauseMillis is the longest time between two pieces of a stream, in
-	// milliseconds.
+	// PauseMillis is the longest time between two reads of a stream, in milliseconds.
 	PauseMillis int64
-	// Events counts those that were passed on.
+	// Events is the number of events that were passed on.
 	Events int
-	// Pace is the pace of the stream; 0 if too little of it came.
+	// Pace is the shortest of the first times between reads of the stream; 0 if there were fewer of
+	// them than needed.
 	Pace time.Duration
-	// CountedAs is what the attempt counted as for the trial of its service; empty for
-	// nothing.
+	// CountedAs is what the attempt counted as in the trial of its service; empty if it was not
+	// counted.
 	CountedAs string
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -22,48 +22,49 @@
 	w         http.ResponseWriter
 	route     *Route
 	workspace *Workspace
-	// deadline is the caller's or the route's, whichever is earlier.
+	// deadline is the caller's or the route's deadline, whichever is earlier.
 	deadline time.Time
-	// suspended is how long the VM was suspended since the request arrived: the deadline is
-	// earlier by that, as the monotonic clock did not count it.
+	// suspended is how long the VM was suspended since the request arrived. The deadline is that
+	// much earlier, as the monotonic clock does not count the time.
 	suspended time.Duration
-	// service is the backend that was drawn; it stays the same.
+	// service is the backend drawn for the request; it does not change.
 	service string
-	// draw is the session's, 0 to 1: the same at every router.
+	// draw is a number from 0 to 1 derived from the session, the same at every router.
 	draw float64
-	// size is the index of the model among the route's sizes.
+	// size is the index of the present model in the route's Sizes.
 	size int
-	// ease is what the confidences of its answers tell.
+	// ease is estimated from the confidences of the request's answers.
 	ease easeEstimate
 	// attempts counts the attempts that reached an endpoint.
 	attempts int
-	// limited says that the last choice found no endpoint, but some that have named a limit.
+	// limited says that the last choice found no endpoint, and that some endpoints were left out
+	// only for a limit that they have named.
 	limited bool
-	// prepaid says that the next attempt is paid for.
+	// prepaid says that the next attempt has already been taken from the retry budget.
 	prepaid bool
-	// mayHaveRun says that an attempt may have run; it never goes back.
+	// mayHaveRun says that an attempt may have run; it is never reset.
 	mayHaveRun bool
-	// counted says that the request was counted as run; it never goes back.
+	// counted says that OnRequestStarted was called; it is never reset.
 	counted bool
-	// headSent says that the caller was sent a head; it never goes back.
+	// headSent says that a head was sent to the caller; it is never reset.
 	headSent bool
-	// lastEvent is the last event that the caller was sent.
+	// lastEvent is the ID of the last event that was sent to the caller.
 	lastEvent string
-	// headAt is when the caller was sent a head; zero before.
+	// headAt is when a head was sent to the caller; zero before.
 	headAt  time.Time
 	tried   []string
 	records []attemptRecord
-	// lastWant is what was asked of the last endpoint that was picked.
+	// lastWant is what the last pick of an endpoint asked for.
 	lastWant pool.Want
 }
 
-// outcomeSilent is the outcome of an attempt that was ended as too silent.
+// outcomeSilent is the outcome of an attempt that was ended for its endpoint's silence.
 const outcomeSilent = "silent"
 
-// errSilent ends an attempt whose endpoint says nothing for too long.
+// errSilent is the cause of ending an attempt whose endpoint sent nothing for too long.
 var errSilent = errors.New("relay: the endpoint is silent")
 
-// serve makes attempts until one is delivered or none may follow.
+// serve makes attempts until an answer is delivered or no further attempt is allowed.
 func (x *run) serve(ctx context.Context) {
 	x.begin()
 	for {
@@ -89,7 +90,7 @@
 	}
 }
 
-// begin draws what stays the same for the whole request.
+// begin draws what stays the same for all attempts, and adds the request to the retry budget.
 func (x *run) begin() {
 	id := x.r.Session
 	if id == "" {
@@ -104,8 +105,8 @@
 	x.e.mu.Unlock()
 }
 
-// attempt sends the request to an endpoint and deals with its answer. It reports
-// whether another attempt follows.
+// attempt sends the request to an endpoint and handles the answer. It reports whether another
+// attempt follows.
 func (x *run) attempt(ctx context.Context, a *Attempt, t *attemptRecord) (next bool) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -146,8 +147,9 @@
 	return x.deliver(ctx, a, t, reply, s)
 }
 
-// countStart counts the request as run once an endpoint has answered it, whatever the answer: a stream
-// from its head on, which comes with its first event, and another one from when it was sent.
+// countStart calls OnRequestStarted once an endpoint has answered the request, whatever the answer.
+// A stream counts from its head on, which comes with its first event, and another request from when
+// it was sent.
 func (x *run) countStart(reply *Reply, err *fault.Error, sentAt, now time.Time) {
 	if x.counted || x.workspace == nil || !reply.IDMatches || err != nil && err.Run == fault.NotRun {
 		return
@@ -159,8 +161,7 @@
 	x.e.OnRequestStarted(x.workspace.Name, sentAt)
 }
 
-// checkHead returns what is wrong with an answer's head; nil for one that may be
-// passed on.
+// checkHead returns what is wrong with the head of an answer; nil if the answer may be passed on.
 func (x *run) checkHead(reply *Reply) *fault.Error {
 	switch {
 	case reply.NotRun:
@@ -180,7 +181,7 @@
 	}
 }
 
-// claimsNotRun reports whether a status tells a caller that its request has not run.
+// claimsNotRun reports whether a status tells the caller that its request has not run.
 func claimsNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -190,10 +191,12 @@
 	}
 }
 
-// handleFailure deals with an attempt that got no answer.
+// handleFailure handles an attempt that got no answer, or only a part of one. It reports whether
+// another attempt follows.
 func (x *run) handleFailure(ctx context.Context, a *Attempt, t *attemptRecord, err *fault.Error) (next bool) {
 	now := x.e.Now()
-	// Asked once: the bound on silence may pass at any moment, and is not the caller's leaving.
+	// The cause is read once: the silence timeout may fire between two reads, and must not be taken
+	// for the caller having left.
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, errSilent):
@@ -217,7 +220,7 @@
 	return false
 }
 
-// abandonReason returns why nobody waits for the answer any more.
+// abandonReason returns why the caller no longer waits: its deadline or its leaving.
 func (x *run) abandonReason(ctx context.Context) *fault.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return fault.New(fault.DeadlinePassed, fault.MayHaveRun, "The time for the answer has passed.")
@@ -225,7 +228,7 @@
 	return fault.New(fault.CallerGone, fault.MayHaveRun, "The caller has left.")
 }
 
-// recordFailure counts the end of an attempt that failed.
+// recordFailure records the end of an attempt that failed with err.
 func (x *run) recordFailure(a *Attempt, t *attemptRecord, err *fault.Error, now time.Time) {
 	t.Err = err
 	if t.Outcome == "" {
@@ -240,8 +243,8 @@
 	t.CountedAs = a.countedAs
 }
 
-// retry reports whether another attempt follows one that failed with err, and
-// pays for it.
+// retry reports whether another attempt follows one that failed with err, and takes it from the
+// retry budget.
 func (x *run) retry(ctx context.Context, err *fault.Error) bool {
 	rules := tries.Rules{Repeatable: x.route.repeatable(), Resumable: x.route.resumable(), MaxAttempts: max(x.route.MaxAttempts, 1)}
 	state := tries.State{Attempts: x.attempts, AnswerBegun: x.headSent, Finished: ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent)}
@@ -257,11 +260,11 @@
 	return x.prepaid
 }
 
-// maxTries bounds the attempts of a request together with those that never
-// reached an endpoint.
+// maxTries is the maximum number of attempts of a request, including those that never reached an
+// endpoint.
 const maxTries = 8
 
-// refund returns what was paid for an attempt that was not made.
+// refund returns a prepaid attempt that was not made to the retry budget.
 func (x *run) refund(now time.Time) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
@@ -271,7 +274,8 @@
 	}
 }
 
-// fail answers the request with a failure, or breaks off an answer that was begun.
+// fail answers the request with an error. It panics with http.ErrAbortHandler if a part of an
+// answer has been sent already.
 func (x *run) fail(ctx context.Context, err *fault.Error) {
 	now := x.e.Now()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) && err.Kind != fault.DeadlinePassed {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -19,8 +19,8 @@
 	"github.com/traildrift/traildrift/pkg/poison"
 )
 
-// Serve answers a request. It panics with http.ErrAbortHandler where an answer
-// that was begun has to be broken off.
+// Serve answers a request and returns once it has ended. It panics with http.ErrAbortHandler where
+// an answer has to be aborted after a part of it was sent.
 func (e *Engine) Serve(ctx context.Context, w http.ResponseWriter, r *Request) {
 	e.active.Add(1)
 	defer e.active.Add(-1)
@@ -45,16 +45,15 @@
 }
 
 const (
-	// startTimeout is how long after its start a router holds requests until it
-	// knows configuration and endpoints, which takes it a few hundred
-	// milliseconds: a caller that is refused may have no other attempt left.
+	// startTimeout is how long after its start a router holds requests while it has no
+	// configuration or no list of endpoints. It needs a few hundred milliseconds to get them, and a
+	// caller that is refused may have no other attempt left.
 	startTimeout = config.Span(1500 * time.Millisecond)
-	// startPollInterval is how often a held request looks.
+	// startPollInterval is how often a held request checks whether the router is ready.
 	startPollInterval = config.Span(10 * time.Millisecond)
 )
 
-// awaitStart returns once the router knows what it needs to serve, or has had the
-// time to learn it.
+// awaitStart returns once the router has configuration and endpoints, or startTimeout has passed.
 func (e *Engine) awaitStart(ctx context.Context) {
 	if e.initialized.Load() {
 		return
@@ -68,12 +67,12 @@
 	}
 }
 
-// defaultTimeout bounds a request without any deadline: the longest that the users'
-// callers wait is 25 s.
+// defaultTimeout is the timeout of a request without any deadline. Callers are expected to wait for
+// 25 s at most.
 const defaultTimeout = config.Span(60 * time.Second)
 
-// admit finds the route and the workspace, or says why not. It denies that
-// something exists only while the table is known to be current.
+// admit returns the route and the workspace of a request, or why it is not served. It denies that a
+// route or a key exists only while the table is known to be current.
 func (e *Engine) admit(r *Request) (*Route, *Workspace, *fault.Error) {
 	t := e.table.Load()
 	now := e.Now()
@@ -108,8 +107,8 @@
 	return route, ws, nil
 }
 
-// denied returns a denial, or where the table may be old, a refusal that asks to
-// come back.
+// denied returns an error of kind k if the table is known to be current. Otherwise it returns one
+// that asks the caller to come back.
 func denied(known bool, k fault.Kind, now time.Time, message string) *fault.Error {
 	if known {
 		return fault.New(k, fault.NotRun, "%s", message)
@@ -117,13 +116,12 @@
 	return fault.New(fault.StaleSettings, fault.NotRun, "%s The configuration may be old.", message).WithRetryAt(retryDelay.After(now))
 }
 
-// retryDelay is when a caller is asked to come back where nothing better is known: a
-// refused caller that is served within its aim still earns half, and aims start
-// at 100 ms.
+// retryDelay is when a caller is asked to come back if no better time is known. A refused caller
+// that is served within its aim still earns half, and aims start at 100 ms.
 const retryDelay = config.Span(150 * time.Millisecond)
 
-// httpStatus returns the HTTP httpStatus of a failure. A httpStatus that says that the
-// request has not run is given on proof only.
+// httpStatus returns the HTTP status of an error. It returns a status that says that the request
+// has not run only if that is certain.
 func httpStatus(err *fault.Error) int {
 	s := err.Kind.Answer().Status
 	if s < 500 {
@@ -139,7 +137,7 @@
 	}
 }
 
-// refuse answers a failure before any byte of an answer.
+// refuse answers the request with an error. No part of an answer may have been sent.
 func (x *run) refuse(err *fault.Error) {
 	now := x.e.Now()
 	h := x.w.Header()
@@ -159,15 +157,15 @@
 	x.log(now, code, err)
 }
 
-// closeWhenStopping asks the caller to open another connection while the router
-// stops.
+// closeWhenStopping asks the caller to open another connection if the router is stopping.
 func (x *run) closeWhenStopping() {
 	if x.e.stopping.Load() {
 		x.w.Header().Set("Connection", "close")
 	}
 }
 
-// log writes the request's lines: one for each attempt, one for its end.
+// log writes the request's log lines, one for each attempt and one for its end, and updates its
+// metrics.
 func (x *run) log(now time.Time, code int, err *fault.Error) {
 	e := x.e
 	name, kind := "", "whole"
@@ -199,7 +197,7 @@
 		zap.Int("status", code), e.fingerprintField(x.r), zap.String("outcome", kind), zap.Int64("tookMs", now.Sub(x.r.Arrived).Milliseconds()), faultField(err))
 }
 
-// fields returns what the log tells of a request's numbered attempt.
+// fields returns the log fields of attempt n of a request; n starts at 1.
 func (t *attemptRecord) fields(request string, n int) []zap.Field {
 	f := []zap.Field{zap.String("request", request), zap.Int("attempt", n), zap.String("endpoint", t.Endpoint), zap.Bool("far", t.CrossZone),
 		zap.String("version", t.Version), zap.String("model", t.Model), zap.String("why", string(t.Why)), zap.Int64("load", int64(t.Load)),
@@ -215,13 +213,13 @@
 	return append(f, zap.String("passed", t.PassedOver), zap.Int64("costMs", millis(t.Cost)), zap.Int64("passedCostMs", millis(t.PassedCost)))
 }
 
-// round keeps three digits of a part.
+// round rounds to three decimal places.
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-// millis returns seconds in whole milliseconds.
+// millis converts seconds to whole milliseconds.
 func millis(s float64) int64 { return int64(s * 1000) }
 
-// aim returns the time to the head that the route asks for; 0 without a route.
+// aim returns the route's Aim; 0 without a route.
 func (x *run) aim() time.Duration {
 	if x.route == nil {
 		return 0
@@ -229,7 +227,7 @@
 	return time.Duration(x.route.Aim)
 }
 
-// pauseAim returns the longest pause of a stream that the route asks for; 0 for none.
+// pauseAim returns the route's EventAim; 0 without a route.
 func (x *run) pauseAim() time.Duration {
 	if x.route == nil {
 		return 0
@@ -237,8 +235,8 @@
 	return time.Duration(x.route.EventAim)
 }
 
-// timeToHead returns how long after its arrival here the request's caller was sent a
-// head; -1 ms for never.
+// timeToHead returns the time from the request's arrival until a head was sent to the caller; -1 ms
+// if none was sent.
 func (x *run) timeToHead() time.Duration {
 	if x.headAt.IsZero() {
 		return -time.Millisecond
@@ -246,8 +244,8 @@
 	return x.headAt.Sub(x.r.Arrived)
 }
 
-// fingerprintField names the request among its repeats, where that was asked for: an attempt failed
-// or was left.
+// fingerprintField returns the log field of the request's fingerprint. It is skipped unless the
+// fingerprint was computed, as happens when an attempt fails or is abandoned.
 func (e *Engine) fingerprintField(r *Request) zap.Field {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -5,30 +5,29 @@
 
 import "math"
 
-// readSpeed is how long endpoints take to read a token of a prompt, learned from times to the
-// head, which hold waits as well: the quickest twentieth of them had next to none. The zero
-// value knows nothing.
+// readSpeed estimates how long endpoints take to read a token of a prompt from the times to the
+// head. These include waits, but the shortest twentieth of them includes next to none. The zero
+// value has no data.
 type readSpeed struct {
-	// known is learned from prompts of which it was known what the endpoint held, all from
-	// every one, in seconds a token.
+	// known is estimated from prompts for which it was known what the endpoint held, all from every
+	// prompt, both in seconds a token.
 	known, all quantile
 }
 
 const (
-	// speedQuantile is the part of the heads that is taken to have met an endpoint
-	// without others' prompts. On the users' busiest sites, just after all routers were
-	// killed, a fifth was still held up so much that reading seemed to take ten times as
-	// long as it does.
+	// speedQuantile is the quantile of times to the head that is assumed to contain no wait for
+	// other prompts. Under high load, just after all routers were killed, even the shortest fifth
+	// still included waits, so that reading seemed to take ten times as long as it does.
 	speedQuantile = 0.05
-	// minKnownHeads is how many heads of prompts that were known are enough.
+	// minKnownHeads is how many values of known are enough to use it instead of all.
 	minKnownHeads = 4
-	// minSpeedTokens is the least prompt that says something, in tokens: shorter ones take
-	// as long as a step and the way there.
+	// minSpeedTokens is the size, in tokens, from which on a prompt is used. Shorter ones take
+	// about as long as one step of the model and the way to the endpoint.
 	minSpeedTokens = 256
 )
 
-// add takes in the time to the head, in seconds, of a prompt of which so many tokens were
-// expected to be read, surely or perhaps.
+// add adds the time to the head, in seconds, of a prompt of which so many tokens were expected to
+// be read. known says that there was no doubt about their number.
 func (s *readSpeed) add(tokens int, head float64, sure bool) {
 	if tokens < minSpeedTokens || head <= 0 {
 		return
@@ -40,7 +39,7 @@
 	}
 }
 
-// readTime returns how long so many tokens take, in seconds; 0 if nothing is known.
+// readTime returns the expected time to read so many tokens, in seconds; 0 without data.
 func (s *readSpeed) readTime(tokens int) float64 {
 	if s == nil {
 		return 0
@@ -51,24 +50,24 @@
 	return s.all.value * float64(tokens)
 }
 
-// quantile follows a quantile of positive values by steps (Robbins and Monro, 1951). The
-// zero value has seen none.
+// quantile estimates a quantile of positive values by stochastic approximation (Robbins and Monro,
+// 1951). The zero value has no data.
 type quantile struct {
 	value float64
-	// n counts the values, up to settled.
+	// n counts the values, up to settledCount.
 	n int
 }
 
 const (
-	// minStep is by how much, as a part, the estimate moves with each value at most
-	// once it is settled, stepFirst by how much divided by their number before: the first
-	// value may be far off.
+	// minStep is the largest relative change of the estimate by one value once settledCount values
+	// were added. firstStep divided by the number of values is that before, if it is larger, as the
+	// first value may be far off.
 	minStep      = 0.1
 	firstStep    = 3
 	settledCount = 30
 )
 
-// add takes in a value; p is the quantile, 0 to 1.
+// add adds the value v; p is the quantile to estimate, 0 to 1.
 func (q *quantile) add(v, p float64) {
 	if q.n < settledCount {
 		q.n++
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -14,21 +14,23 @@
 )
 
 const (
-	// stallCheckInterval is how often it is looked whether the process stood still, and stillLeast how
-	// long that must be: a loaded processor delays a tick by a tenth of a second.
+	// stallCheckInterval is how often the process checks whether it stood still, and minStall the
+	// shortest time that counts: a loaded processor delays a tick by 0.1 s.
 	stallCheckInterval = 200 * time.Millisecond
 	minStall           = 500 * time.Millisecond
-	// resumeDelay is how long after that requests wait, which came meanwhile: what other routers
-	// told meanwhile waits beside them, and is read within a few milliseconds. Without it a
-	// router that was frozen sent four of some fifteen repeats of a quarantined request on.
+	// resumeDelay is how long requests that arrived while the process stood still wait after that.
+	// Messages of other routers that arrived meanwhile wait beside them, and are read within a few
+	// milliseconds. Without the delay, a router that was frozen sent four of some fifteen repeats
+	// of a quarantined request on.
 	resumeDelay = 30 * time.Millisecond
-	// maxResumeWait bounds the wait where the process gets no time for its ticks, and wakePoll is
-	// how often a request looks.
+	// maxResumeWait limits the wait where the process gets no time for its ticks.
+	// resumePollInterval is how often a request checks whether the wait is over.
 	maxResumeWait      = config.Span(300 * time.Millisecond)
 	resumePollInterval = config.Span(5 * time.Millisecond)
 )
 
-// WatchClock notices that the process stood still, until ctx is done.
+// WatchClock detects and logs that the process stood still, until ctx is done. It always returns
+// nil.
 func (e *Engine) WatchClock(ctx context.Context) error {
 	t := time.NewTicker(stallCheckInterval)
 	defer t.Stop()
@@ -45,7 +47,8 @@
 	}
 }
 
-// awaitResume returns once the router knows what it was told while it stood still.
+// awaitResume returns once the router has read the messages that arrived while the process stood
+// still, or ctx is done, or maxResumeWait has passed.
 func (e *Engine) awaitResume(ctx context.Context) {
 	until := maxResumeWait.After(e.Now())
 	for e.stalls.Resuming(resumeDelay) && ctx.Err() == nil && e.Now().Before(until) {
@@ -53,8 +56,8 @@
 	}
 }
 
-// hasTimeLeft takes the time for which the VM was suspended since the request arrived off its
-// deadline, and reports whether any is left: an attempt after it would run for nobody.
+// hasTimeLeft moves the deadline earlier by the time for which the VM was suspended since the
+// request arrived, and reports whether any time is left: nobody would wait for a later attempt.
 func (x *run) hasTimeLeft(now time.Time) bool {
 	if x.r.ArrivedBoot == 0 {
 		return true
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -12,113 +12,114 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Kind says what may be repeated.
+// Kind says how often a request of a route may run.
 type Kind string
 
-// The kinds of requests.
+// The kinds of routes.
 const (
 	// Safe requests may run more than once.
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered by events; they run at most once unless
-	// their route lets streams be resumed.
+	// Stream requests are answered with server-sent events. They run at most once unless the route
+	// has Resume set.
 	Stream Kind = "stream"
 )
 
-// Backend is a service that takes a share of a route's requests.
+// Backend is a service that gets a share of a route's requests.
 type Backend struct {
 	Service string
-	// Weight is its share of the sum of the route's weights.
+	// Weight is the share, relative to the sum of the route's weights.
 	Weight int
 }
 
-// Route says where requests go and how they are served.
+// Route says which requests it covers, where they go and how they are served.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Backends has one or more services; weights are positive.
+	// Backends has at least one service; weights are positive.
 	Backends []Backend
-	// Timeout is how long a request may be held; 0 for no bound.
+	// Timeout is the maximum duration of a request; 0 for no limit.
 	Timeout config.Span
-	// Aim is the time to the answer, or to a stream's first event, that earns
-	// full credit; EventAim the longest pause between events that does.
+	// Aim is the time to the answer, or to the first event of a stream, up to which it earns full
+	// credit. EventAim is the longest pause between events up to which it does.
 	Aim, EventAim config.Span
-	// Rank orders routes by urgency; 0 is the most urgent.
+	// Rank is the priority of the route; 0 is the most urgent.
 	Rank int
-	// MaxAttempts bounds the endpoints that one request is sent to.
+	// MaxAttempts is the maximum number of endpoints that one request is sent to.
 	MaxAttempts int
-	// Resume says that a stream that broke may be continued by another run.
+	// Resume says that another run may continue a stream that ended early.
 	Resume bool
-	// Anonymous says that no API key is asked for.
+	// Anonymous says that no API key is required.
 	Anonymous bool
-	// Affinity says that endpoints keep what requests have in common.
+	// Affinity says that endpoints keep the shared parts of prompts in memory, so that requests
+	// with the same prefix should go to the same endpoint.
 	Affinity bool
-	// Regions are those in which its requests may be served; empty for all.
+	// Regions holds the regions in which requests may be served; empty for all.
 	Regions []string
-	// Sizes are the models that may serve, smallest first; empty where the
-	// caller names the model.
+	// Sizes holds the models that may serve, the smallest first; empty where the caller names the
+	// model.
 	Sizes []string
 }
 
-// repeatable reports whether a request of the route may run again.
+// repeatable reports whether a request of the route may run more than once.
 func (r *Route) repeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resume }
 
-// resumable reports whether a begun answer may be continued.
+// resumable reports whether another run may continue an answer that ended early.
 func (r *Route) resumable() bool { return r.Kind == Stream && r.Resume }
 
-// Service is how the endpoints of a service are spared while they warm up after a start.
+// Service says how many requests endpoints of a service get while they warm up after a start.
 type Service struct {
 	Name string
-	// WarmupDuration is how long that takes where an endpoint does not tell.
+	// WarmupDuration is how long an endpoint warms up if it does not report that itself.
 	WarmupDuration config.Span
-	// WarmupRate is how many requests a second an endpoint bears meanwhile; 0 if it
-	// bears as many as ever.
+	// WarmupRate is how many requests a second an endpoint can take while it warms up; 0 if it can
+	// take as many as later.
 	WarmupRate float64
 }
 
-// Cost is what a token costs that a model reads or makes, in the money of the callers' worth.
+// Cost is what a model's token costs that is read (Input) or generated (Output), in the same money
+// as Limits.TokenWorth.
 type Cost struct{ Input, Output float64 }
 
 // Workspace is a customer with API keys.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Rank orders workspaces by urgency before their routes; 0 is the most
-	// urgent.
+	// Rank is the priority of the workspace; 0 is the most urgent. One rank of a workspace
+	// outweighs several of its routes; see routeRanks.
 	Rank int
-	// Regions are those in which its requests may be served; empty for all.
+	// Regions holds the regions in which requests may be served; empty for all.
 	Regions []string
 }
 
-// Bounds limit what callers may send.
+// Bounds holds limits on what callers may send. Sizes are in bytes.
 type Bounds struct {
 	MaxHeader, MaxBody int
-	// HeaderTimeout bounds the reading of a head, IdleTimeout the rest between
-	// two requests on one connection.
+	// HeaderTimeout is the timeout for reading the header of a request. IdleTimeout is how long a
+	// connection may be idle between two requests.
 	HeaderTimeout, IdleTimeout config.Span
 }
 
-// Table is the configuration in force. It is not changed once it is built; use
-// NewTable.
+// Table is the configuration in force. Create it with NewTable; it must not be changed once it is
+// in force.
 type Table struct {
-	// Version is the operator's; it only grows.
+	// Version is the operator's number of the configuration; it only grows.
 	Version    int64
 	Bounds     Bounds
 	Workspaces []Workspace
-	// Services says how the endpoints of services are spared after a start; one that is
-	// missing is not. It is set before the table is in force.
+	// Services says how endpoints of services are treated while they warm up; a service that is
+	// missing has no limits then. The caller of NewTable sets it.
 	Services []Service
-	// Costs holds what a model's tokens cost, by its name; one that is missing costs
-	// nothing that is known.
+	// Costs holds the cost of tokens by model; that of a model that is missing is unknown.
 	Costs  map[string]Cost
 	byHost map[string][]*Route
 	byKey  map[string]*Workspace
 }
 
-// NewTable indexes a configuration, whose slices it keeps.
+// NewTable returns a table, indexed by host and key. It keeps the slices.
 func NewTable(version int64, b Bounds, routes []Route, workspaces []Workspace) *Table {
 	t := &Table{Version: version, Bounds: b, Workspaces: workspaces, Costs: make(map[string]Cost), byHost: make(map[string][]*Route), byKey: make(map[string]*Workspace)}
 	for i := range routes {
@@ -136,8 +137,7 @@
 	return t
 }
 
-// Match returns the route of a host and path: the one with the longest prefix of
-// the path; nil if there is none.
+// Match returns the route of the host with the longest prefix of the path; nil if there is none.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// normalizeHost returns a host as routes are found by it: in lower case, without a port.
+// normalizeHost returns a host in lower case and without a port.
 func normalizeHost(host string) string {
 	host = strings.ToLower(host)
 	if h, _, err := net.SplitHostPort(host); err == nil {
@@ -159,10 +159,10 @@
 // ByKey returns the workspace of an API key; nil if there is none.
 func (t *Table) ByKey(key string) *Workspace { return t.byKey[key] }
 
-// RequiresKey reports whether callers need API keys at all.
+// RequiresKey reports whether callers need API keys, except on anonymous routes.
 func (t *Table) RequiresKey() bool { return len(t.Workspaces) > 0 }
 
-// drawBackend draws a service of the route; draw is uniform.
+// drawBackend returns the service of the route that a uniformly distributed number selects.
 func (r *Route) drawBackend(draw uint64) string {
 	sum := 0
 	for _, b := range r.Backends {
--- a/internal/relay/worth.go
+++ b/internal/relay/worth.go
@@ -9,17 +9,20 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// easeEstimate is what the confidences of answers tell of a request. The zero value knows nothing.
+// easeEstimate estimates how easy a request is, from the confidences of its answers. The zero value
+// has no data.
 type easeEstimate struct {
-	// ease is how confident the smallest model is taken to be, from n answers.
+	// ease is the estimated confidence of the smallest model, averaged over n answers.
 	ease float64
 	n    int
-	// exact says that ease tells how far the request lies from what that model can answer;
-	// otherwise it lies that far or further.
+	// exact says that ease comes from confidences strictly inside their range. Otherwise the
+	// confidences lie at an end of the range, so that the request is at least as easy or as hard as
+	// ease says (censored).
 	exact bool
 }
 
-// add takes in the confidence of an answer whose model gains so many points on the smallest.
+// add adds the confidence of an answer of a model whose confidence is on average gain points above
+// that of the smallest model.
 func (o *easeEstimate) add(confidence int, gain float64) {
 	ease, inside := float64(confidence)-gain, sizes.Uncensored(confidence)
 	switch {
@@ -31,8 +34,8 @@
 	}
 }
 
-// recordConfidence takes in the confidence of the last answer: what it tells of the request and of the
-// models. The engine's mu is held.
+// recordConfidence adds the confidence of the last answer to the estimate for the request and to
+// the statistics of the models. The caller must hold the engine's mu.
 func (x *run) recordConfidence(confidence int) {
 	if n := len(x.records); n > 1 && x.records[n-2].Confidence != sizes.Unknown {
 		x.e.confidences.Add(x.records[n-2].Model, x.model(), x.records[n-2].Confidence, confidence)
@@ -40,8 +43,8 @@
 	x.ease.add(confidence, x.gain(x.size))
 }
 
-// gain returns how much more confident the model of a size is than the smallest one; the
-// engine's mu is held.
+// gain returns by how many points the model with this index is on average more confident than the
+// smallest one. The caller must hold the engine's mu.
 func (x *run) gain(size int) float64 {
 	if size == 0 {
 		return 0
@@ -49,15 +52,15 @@
 	return x.e.confidences.Gain(x.route.Sizes[0], x.route.Sizes[size], size)
 }
 
-// goodProb returns the chance that a model of a size answers the request well; the engine's mu is
-// held.
+// goodProb returns the probability that the model with this index answers the request well. The
+// caller must hold the engine's mu.
 func (x *run) goodProb(size int) float64 {
 	return x.e.confidences.GoodProb(x.ease.ease+x.gain(size), x.ease.n)
 }
 
-// bestSize returns the size of the model whose answer is expected to be worth most, less
-// what it costs and what it delays; the present one if none is worth more than the answer at
-// hand. The engine's mu is held.
+// bestSize returns the index of the model whose answer has the largest expected worth, less its
+// cost and the delay to others; the present one if none is worth more than the answer at hand. The
+// caller must hold the engine's mu.
 func (x *run) bestSize(now time.Time) int {
 	aim := x.route.Aim.After(x.r.Arrived).Sub(now).Seconds()
 	left := x.deadline.Sub(now).Seconds() - x.e.streamTimes[x.route.Name].expect(0)
@@ -72,16 +75,17 @@
 	return x.size + next
 }
 
-// relativeCost returns what a model of a size costs, in parts of what the request earns.
+// relativeCost returns the cost of an answer of the model with this index, as a fraction of what
+// the request earns.
 func (x *run) relativeCost(size int) float64 {
 	earns := x.e.limits.Load().TokenWorth / 1000 * x.units()
 	c := x.e.table.Load().Costs[x.route.Sizes[size]]
 	return (c.Input*float64(x.r.TokensIn) + c.Output*float64(x.r.TokensOut)) / earns
 }
 
-// gainsKnown reports whether it is known what the larger models cost and gain: a router that
-// gets a request a second needs a minute to learn it, and goes by the fixed bounds until then.
-// The engine's mu is held.
+// gainsKnown reports whether costs and gains of all larger models are known. A router with one
+// request a second needs a minute to learn the gains, and uses fixed thresholds until then. The
+// caller must hold the engine's mu.
 func (x *run) gainsKnown() bool {
 	costs := x.e.table.Load().Costs
 	for _, model := range x.route.Sizes[min(x.size+1, len(x.route.Sizes)):] {
@@ -92,9 +96,9 @@
 	return true
 }
 
-// units returns what the request earns, in tokens that are read; at least 1.
+// units returns what the request earns, in units of one token read; at least 1.
 func (x *run) units() float64 { return float64(max(x.r.TokensIn+outputTokenUnits*x.r.TokensOut, 1)) }
 
-// outputTokenUnits is how many tokens that are read earn as much as one that is made: by the users'
-// measure of a request's size.
+// outputTokenUnits is how many tokens that are read earn as much as one that is generated, by the
+// measure of a request's size that Limits.TokenWorth uses.
 const outputTokenUnits = 10
