--- a/internal/relay/cascade.go
+++ b/internal/relay/cascade.go
@@ -106,9 +106,9 @@
 // the endpoint that would be picked and the reading time. delay is what other requests lose there
 // by the delay, as a fraction of what a request earns. The caller must hold the engine's mu.
 func (x *run) estimateHead(size int, now time.Time) (head, delay float64) {
-	present := x.size
+	presentSize := x.size
 	x.size = size
-	defer func() { x.size = present }()
+	defer func() { x.size = presentSize }()
 	p, why := x.pick(now)
 	if p == nil {
 		return math.Inf(1), 0
--- a/internal/relay/cascade_test.go
+++ b/internal/relay/cascade_test.go
@@ -20,7 +20,7 @@
 
 // Callers whose patience differs by a seventh are all on their first try: each weak answer
 // gives way to the larger model, as for callers who are all alike.
-func TestPatienceTellsNoSecondTry(t *testing.T) {
+func TestEscalationIgnoresDeadlineSpread(t *testing.T) {
 	const most = 15 * time.Second
 	large := 0
 	e := engine(Route{Kind: Stream, Resume: true, MaxAttempts: 3, Sizes: []string{"small", "large"}, Aim: config.Span(1500 * time.Millisecond), Timeout: config.Span(most)},
@@ -75,8 +75,8 @@
 			l := *e.limits.Load()
 			l.Cascade = sizes.Policy{Straight: 40, Step: 60}
 			e.SetLimits(l)
-			e.readSpeeds["small"] = readingOf(100 * time.Millisecond)
-			e.readSpeeds["large"] = readingOf(time.Second)
+			e.readSpeeds["small"] = readSpeedFor(100 * time.Millisecond)
+			e.readSpeeds["large"] = readSpeedFor(time.Second)
 			e.streamTimes["r"] = &timeMean{value: float64(1500 * time.Millisecond), n: 1}
 			now := time.Now()
 			r := &Request{ID: "x", Method: "POST", Host: "h", Path: "/", Target: "/", Header: http.Header{}, AnyModel: true, TokensIn: testTokens, Arrived: now.Add(c.left - usual), Deadline: now.Add(c.left)}
@@ -89,8 +89,8 @@
 	}
 }
 
-// readingOf returns a speed at which a prompt of testTokens takes a time.
-func readingOf(d time.Duration) *readSpeed {
+// readSpeedFor returns a speed at which a prompt of testTokens takes a time.
+func readSpeedFor(d time.Duration) *readSpeed {
 	var s readSpeed
 	for range minKnownHeads {
 		s.add(testTokens, d.Seconds(), true)
@@ -101,11 +101,11 @@
 // testTokens is the size of a prompt.
 const testTokens = 1000
 
-func TestUnseenModelIsTakenToBeDearer(t *testing.T) {
+func TestReadTimeOfUnmeasuredModel(t *testing.T) {
 	e := engine(Route{Kind: Stream, Sizes: []string{"s", "m", "l"}}, func(context.Context, *Attempt) (*Reply, error) {
 		return nil, fault.New(fault.EndpointLost, fault.NotRun, "none")
 	})
-	e.readSpeeds["s"] = readingOf(time.Second)
+	e.readSpeeds["s"] = readSpeedFor(time.Second)
 	x := &run{e: e, r: &Request{AnyModel: true}, route: e.table.Load().Match("h", "/")}
 	got := fmt.Sprint(x.readTimeOf(0, testTokens), x.readTimeOf(1, testTokens), x.readTimeOf(2, testTokens))
 	if want := "1 3 9"; got != want {
@@ -114,7 +114,7 @@
 }
 
 // A larger model is asked less readily the more of the aim it takes.
-func TestLargerModelByItsChanceToBeInTime(t *testing.T) {
+func TestInTimeProb(t *testing.T) {
 	for _, c := range []struct{ head, aim, want float64 }{{0, 4, 1}, {1, 4, 0.875}, {4, 4, 0.5}, {4.1, 4, 0}, {1, -1, 0}} {
 		if got := inTimeProb(c.head, c.aim); got != c.want {
 			t.Errorf("head of %v s, aim of %v s: got %v, want %v", c.head, c.aim, got, c.want)
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -152,17 +152,17 @@
 // zone; nil if it may be served in all. Where the route or the workspace names regions, a zone of
 // unknown region is not allowed.
 func (x *run) allowedZones() func(zone string) bool {
-	var of []string
+	var workspaceRegions []string
 	if x.workspace != nil {
-		of = x.workspace.Regions
+		workspaceRegions = x.workspace.Regions
 	}
-	route := x.route.Regions
-	if len(of) == 0 && len(route) == 0 {
+	routeRegions := x.route.Regions
+	if len(workspaceRegions) == 0 && len(routeRegions) == 0 {
 		return nil
 	}
 	regions := x.e.limits.Load().Regions
 	in := func(list []string, region string) bool { return len(list) == 0 || slices.Contains(list, region) }
-	return func(zone string) bool { return in(of, regions[zone]) && in(route, regions[zone]) }
+	return func(zone string) bool { return in(workspaceRegions, regions[zone]) && in(routeRegions, regions[zone]) }
 }
 
 // addEstimates adds the estimates by which endpoints are compared. The caller must hold the
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -18,14 +18,14 @@
 // deliver passes an answer on to the caller. It reports whether another attempt follows because the
 // answer ended early and may be repeated or resumed.
 func (x *run) deliver(ctx context.Context, a *Attempt, t *attemptRecord, reply *Reply, s *silence) (next bool) {
-	var broke error
+	var deliverErr error
 	began := x.e.Now()
 	if x.route.Kind == Stream && reply.Status < 300 {
-		broke = x.deliverStream(a, reply, t, s)
+		deliverErr = x.deliverStream(a, reply, t, s)
 	} else {
-		broke = x.deliverWhole(reply, t, s)
+		deliverErr = x.deliverWhole(reply, t, s)
 	}
-	if broke == nil {
+	if deliverErr == nil {
 		t.Outcome = "delivered"
 		x.e.ended(x.route, x.e.Now().Sub(began))
 		x.e.whole(a)
@@ -33,12 +33,12 @@
 		x.log(x.e.Now(), reply.Status, nil)
 		return false
 	}
-	if isCallerGone(broke) {
+	if isCallerGone(deliverErr) {
 		t.Outcome = "caller left"
 		x.log(x.e.Now(), reply.Status, fault.New(fault.CallerGone, fault.MayHaveRun, "The caller has left."))
 		return false
 	}
-	return x.handleFailure(ctx, a, t, fault.New(fault.EndpointLost, fault.MayHaveRun, "The answer broke off: %v.", broke))
+	return x.handleFailure(ctx, a, t, fault.New(fault.EndpointLost, fault.MayHaveRun, "The answer broke off: %v.", deliverErr))
 }
 
 // callerGoneError is an error of writing to the caller.
@@ -125,18 +125,18 @@
 	flush := http.NewResponseController(x.w)
 	ev := eventSplitter{lastID: x.lastEvent}
 	buf := make([]byte, eventBufferSize)
-	heard := x.e.Now()
+	lastRead := x.e.Now()
 	var p pace
 	for {
 		n, err := reply.Body.Read(buf)
 		if n > 0 {
 			now := x.e.Now()
-			if p.add(now.Sub(heard)) {
+			if p.add(now.Sub(lastRead)) {
 				x.e.paced(a, &p)
 				t.Pace, t.CountedAs = p.minGap, a.countedAs
 			}
-			t.PauseMillis = max(t.PauseMillis, now.Sub(heard).Milliseconds())
-			heard = now
+			t.PauseMillis = max(t.PauseMillis, now.Sub(lastRead).Milliseconds())
+			lastRead = now
 			t.Received += n
 			s.heardNow()
 			out := ev.split(buf[:n])
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -219,7 +219,7 @@
 	case !e.EndpointsListed():
 		return false, "no endpoints yet"
 	}
-	if most := e.maxConfirmAge(); most > 0 && e.age(e.Now()) > most-readyMargin {
+	if maxAge := e.maxConfirmAge(); maxAge > 0 && e.age(e.Now()) > maxAge-readyMargin {
 		return false, "the configuration is not proven to be the newest"
 	}
 	return true, ""
@@ -237,8 +237,8 @@
 
 // Stop makes Ready report false and closes each connection after its next answer. Requests that are
 // still under way at breaksOff will be aborted. It must be called only once.
-func (e *Engine) Stop(breaksOff time.Time) {
-	e.stoppedAt, e.stopDeadline = e.Now(), breaksOff
+func (e *Engine) Stop(abortAt time.Time) {
+	e.stoppedAt, e.stopDeadline = e.Now(), abortAt
 	e.stopping.Store(true)
 }
 
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -12,7 +12,7 @@
 // piece returns an event as runners send it.
 func piece(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-func TestEventsAreWholeAndRise(t *testing.T) {
+func TestSplitReturnsCompleteNewEvents(t *testing.T) {
 	s := eventSplitter{lastID: "2"}
 	var got strings.Builder
 	text := piece(1) + piece(2) + piece(3) + ": comment\n\n" + piece(3) + piece(4) + "id: 5\ndata: cut"
--- a/internal/relay/reportedrate_test.go
+++ b/internal/relay/reportedrate_test.go
@@ -11,7 +11,7 @@
 
 // A flow of 300 a second that 32 routers report, each every 1.5 s at a moment of its own, is
 // never taken for much less, and a burst of 2.5 times shows within four.
-func TestFlowOfReports(t *testing.T) {
+func TestReportedRate(t *testing.T) {
 	const routers, every = 32, 1500 * time.Millisecond
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 9))
@@ -24,7 +24,7 @@
 		counted := func(at time.Duration) float64 {
 			return 300*at.Seconds() + 450*max(at.Seconds()-10, 0)
 		}
-		told := func(at time.Duration) (n float64) {
+		reported := func(at time.Duration) (n float64) {
 			for _, p := range phase {
 				if at >= p {
 					n += counted(at-(at-p)%every) / routers
@@ -34,7 +34,7 @@
 		}
 		var f reportedRate
 		for at := time.Duration(0); at < 15*time.Second; at += 100 * time.Millisecond {
-			f.add(begun.Add(at), int(told(at)))
+			f.add(begun.Add(at), int(reported(at)))
 			if at > 5*time.Second && f.perSecond < 280 {
 				t.Fatalf("seed %d, at %v: got %.0f a second, want 280 at least", seed, at, f.perSecond)
 			}
--- a/internal/relay/reserve_test.go
+++ b/internal/relay/reserve_test.go
@@ -13,7 +13,7 @@
 // Pattern: a slack that hundreds of routers share, each of which gets a request a second. What was
 // kept for failures was more than a router's part of the slack, so that the first four requests of
 // each kept any answer, however weak: the first seconds of traffic, and those after a restart of all.
-func TestFirstWeakAnswersAreGivenUp(t *testing.T) {
+func TestFirstWeakAnswersAreDropped(t *testing.T) {
 	const ratio, slack, window = 0.9, 1040.0, 10 * time.Second
 	for _, routers := range []float64{6, 26, 384, 768, 4000} {
 		var b budget.Window
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -114,12 +114,12 @@
 	x.reportPrompt(a)
 	s := x.listen(a, cancel)
 	defer s.stop()
-	reply, sent := x.e.Send(ctx, a)
+	reply, sendErr := x.e.Send(ctx, a)
 	now := x.e.Now()
-	x.e.read(a, sent == nil, now)
+	x.e.read(a, sendErr == nil, now)
 	t.HeadMillis = now.Sub(t.At).Milliseconds()
-	if sent != nil {
-		return x.handleFailure(ctx, a, t, fault.From(sent, fault.MayHaveRun))
+	if sendErr != nil {
+		return x.handleFailure(ctx, a, t, fault.From(sendErr, fault.MayHaveRun))
 	}
 	defer func() { _ = reply.Body.Close() }()
 	t.Status, t.Confidence = reply.Status, reply.Confidence
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -97,7 +97,7 @@
 	if !t.RequiresKey() || route.Anonymous {
 		return route, nil, nil
 	}
-	if most := e.maxConfirmAge(); most > 0 && age > most {
+	if maxAge := e.maxConfirmAge(); maxAge > 0 && age > maxAge {
 		return route, nil, fault.New(fault.StaleSettings, fault.NotRun, "The API keys were last confirmed %d ms ago.", age.Milliseconds()).WithRetryAt(retryDelay.After(now))
 	}
 	ws := t.ByKey(r.Key)
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -23,7 +23,7 @@
 // Seen: a test of attempts answered 499 after one attempt, on a busy machine. How: the attempt was lost and
 // its bound on silence passed between two looks at its context, of which the first asked why it had
 // ended and the second whether. Cause: an end without a reason was taken for the caller's leaving.
-func TestFailureAsSilenceEndsIsNoLeaving(t *testing.T) {
+func TestFailureAtSilenceTimeoutIsNotCallerGone(t *testing.T) {
 	const passesWithin = 60 * time.Microsecond
 	lost := fault.New(fault.EndpointLost, fault.MayHaveRun, "lost")
 	var gone atomic.Int64
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -28,13 +28,13 @@
 
 // add adds the time to the head, in seconds, of a prompt of which so many tokens were expected to
 // be read. known says that there was no doubt about their number.
-func (s *readSpeed) add(tokens int, head float64, sure bool) {
+func (s *readSpeed) add(tokens int, head float64, known bool) {
 	if tokens < minSpeedTokens || head <= 0 {
 		return
 	}
 	per := head / float64(tokens)
 	s.all.add(per, speedQuantile)
-	if sure {
+	if known {
 		s.known.add(per, speedQuantile)
 	}
 }
--- a/internal/relay/speed_test.go
+++ b/internal/relay/speed_test.go
@@ -12,7 +12,7 @@
 
 // Heads hold waits for others' prompts. The pattern is that of a site just after all
 // routers were killed: four heads in five wait, for up to ten times the reading.
-func TestSpeedIsFreeOfWaits(t *testing.T) {
+func TestReadSpeedExcludesWaits(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 2))
 	const perToken = 80e-6
 	var s readSpeed
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestSpeedLeavesAWrongStart(t *testing.T) {
+func TestReadSpeedRecoversFromWrongStart(t *testing.T) {
 	var s readSpeed
 	s.add(1000, 5, true)
 	for range 5 {
@@ -45,7 +45,7 @@
 
 // What an endpoint was not known to hold, but held, was read sooner than it looks: such
 // heads count only while there are no others.
-func TestSpeedPrefersWhatIsSure(t *testing.T) {
+func TestReadSpeedPrefersKnown(t *testing.T) {
 	var s readSpeed
 	for range 50 {
 		s.add(10_000, 0.1, false)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestAhead(t *testing.T) {
+func TestAheadRatio(t *testing.T) {
 	var none *aheadRatio
 	if got := none.ratio(); got != 1 {
 		t.Errorf("nothing seen: got %v, want 1", got)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestFound(t *testing.T) {
+func TestHomeHitRate(t *testing.T) {
 	var f homeHitRate
 	if got := f.chance(); got != homeHitPrior {
 		t.Errorf("nothing seen: got %v, want %v", got, homeHitPrior)
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestMeter(t *testing.T) {
+func TestRateMeter(t *testing.T) {
 	var m rateMeter
 	now := time.Unix(0, 0)
 	for range 400 {
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -62,9 +62,9 @@
 	if x.r.ArrivedBoot == 0 {
 		return true
 	}
-	hidden := x.e.Boot() - x.r.ArrivedBoot - now.Sub(x.r.Arrived)
-	if more := hidden - x.suspended; more >= minStall {
-		x.suspended = hidden
+	suspended := x.e.Boot() - x.r.ArrivedBoot - now.Sub(x.r.Arrived)
+	if more := suspended - x.suspended; more >= minStall {
+		x.suspended = suspended
 		x.deadline = x.deadline.Add(-more)
 	}
 	return x.suspended == 0 || now.Before(x.deadline)
--- a/internal/relay/table_test.go
+++ b/internal/relay/table_test.go
@@ -74,7 +74,7 @@
 	return w.Code, sent
 }
 
-func TestAttemptsByWhatIsKnown(t *testing.T) {
+func TestAttemptsByRunState(t *testing.T) {
 	unsent := fault.New(fault.EndpointLost, fault.NotRun, "not sent")
 	lost := fault.New(fault.EndpointLost, fault.MayHaveRun, "lost")
 	full := fault.New(fault.Overloaded, fault.NotRun, "full")
--- a/internal/relay/worth_test.go
+++ b/internal/relay/worth_test.go
@@ -16,10 +16,10 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// weighed serves one request by what answers are worth, and returns the models that were
+// modelsAsked serves one request by what answers are worth, and returns the models that were
 // asked. The small model answers with a confidence, the larger ones surely. change may set
 // what the engine believes.
-func weighed(t *testing.T, confidence int, costs map[string]Cost, change func(e *Engine)) string {
+func modelsAsked(t *testing.T, confidence int, costs map[string]Cost, change func(e *Engine)) string {
 	var models []string
 	r := Route{Kind: Stream, Resume: true, MaxAttempts: 3, Sizes: []string{"small", "middle", "large"}, Affinity: true, Aim: config.Span(3 * time.Second), Timeout: config.Span(20 * time.Second)}
 	e := engine(r, func(_ context.Context, a *Attempt) (*Reply, error) {
@@ -35,7 +35,7 @@
 	e.SetLimits(l)
 	e.table.Load().Costs = costs
 	for model, d := range map[string]time.Duration{"small": 50 * time.Millisecond, "middle": 100 * time.Millisecond, "large": 200 * time.Millisecond} {
-		e.readSpeeds[model] = readingOf(d)
+		e.readSpeeds[model] = readSpeedFor(d)
 	}
 	for range 50 {
 		e.confidences.Add("small", "middle", 20, 34)
@@ -50,28 +50,28 @@
 	return strings.Join(models, " ")
 }
 
-// costing returns costs of the larger models for 1,000 tokens made.
-func costing(middle, large float64) map[string]Cost {
+// largerModelCosts returns costs of the larger models for 1,000 tokens made.
+func largerModelCosts(middle, large float64) map[string]Cost {
 	return map[string]Cost{"middle": {Input: middle / 4000, Output: middle / 1000}, "large": {Input: large / 4000, Output: large / 1000}}
 }
 
 // Which model is asked for a weak answer follows from what it costs beside what the request
 // earns, 0.7 here, and from what larger models were seen to gain: by the users' costs and
 // gains a doubtful answer goes a step up, one that is surely weak to the largest.
-func TestLargerModelByWhatItIsWorth(t *testing.T) {
+func TestLargerModelByWorth(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		confidence int
 		costs      map[string]Cost
 		want       string
 	}{
-		{"good", 90, costing(0.18, 0.35), "small"},
-		{"doubtful", 50, costing(0.18, 0.35), "small middle"},
-		{"weak", 15, costing(0.18, 0.35), "small large"},
-		{"weak, the largest dearer than the request is worth", 15, costing(0.18, 7), "small"},
-		{"weak, the next one doubtful and hardly cheaper than the largest", 37, costing(0.34, 0.35), "small large"},
+		{"good", 90, largerModelCosts(0.18, 0.35), "small"},
+		{"doubtful", 50, largerModelCosts(0.18, 0.35), "small middle"},
+		{"weak", 15, largerModelCosts(0.18, 0.35), "small large"},
+		{"weak, the largest dearer than the request is worth", 15, largerModelCosts(0.18, 7), "small"},
+		{"weak, the next one doubtful and hardly cheaper than the largest", 37, largerModelCosts(0.34, 0.35), "small large"},
 	} {
-		if got := weighed(t, c.confidence, c.costs, nil); got != c.want {
+		if got := modelsAsked(t, c.confidence, c.costs, nil); got != c.want {
 			t.Errorf("%s: models asked: got %q, want %q", c.name, got, c.want)
 		}
 	}
@@ -82,31 +82,31 @@
 func TestLargerModelIsNotAskedWhereOthersWait(t *testing.T) {
 	slow := func(perSecond int) func(e *Engine) {
 		return func(e *Engine) {
-			e.readSpeeds["middle"], e.readSpeeds["large"] = readingOf(1500*time.Millisecond), readingOf(1500*time.Millisecond)
+			e.readSpeeds["middle"], e.readSpeeds["large"] = readSpeedFor(1500*time.Millisecond), readSpeedFor(1500*time.Millisecond)
 			for range perSecond * int(meterTimeConstant/time.Second) {
 				getOrCreate(e.promptRates, "s").add(time.Now())
 			}
 		}
 	}
-	if got := weighed(t, 15, costing(0.18, 0.35), slow(0)); got != "small large" {
+	if got := modelsAsked(t, 15, largerModelCosts(0.18, 0.35), slow(0)); got != "small large" {
 		t.Errorf("calm: models asked: got %q, want %q", got, "small large")
 	}
-	if got := weighed(t, 15, costing(0.18, 0.35), slow(20)); got != "small" {
+	if got := modelsAsked(t, 15, largerModelCosts(0.18, 0.35), slow(20)); got != "small" {
 		t.Errorf("burst: models asked: got %q, want %q", got, "small")
 	}
 }
 
 // Where it is not known what a larger model costs or gains, the fixed bounds decide.
-func TestTooLittleKnownLeavesTheFixedBounds(t *testing.T) {
+func TestUnknownGainsUseFixedThresholds(t *testing.T) {
 	bounds := func(e *Engine) {
 		l := *e.limits.Load()
 		l.Cascade.Straight, l.Cascade.Step = 40, 60
 		e.SetLimits(l)
 	}
-	if got := weighed(t, 90, nil, bounds); got != "small" {
+	if got := modelsAsked(t, 90, nil, bounds); got != "small" {
 		t.Errorf("good answer: models asked: got %q, want %q", got, "small")
 	}
-	if got := weighed(t, 30, nil, bounds); got != "small large" {
+	if got := modelsAsked(t, 30, nil, bounds); got != "small large" {
 		t.Errorf("weak answer: models asked: got %q, want %q", got, "small large")
 	}
 	unseen := func(e *Engine) {
@@ -114,7 +114,7 @@
 		e.confidences = sizes.ConfidenceStats{}
 	}
 	// What the fixed bounds keep, the worth of the middle model's answer would not.
-	if got := weighed(t, 62, costing(0.001, 0.35), unseen); got != "small" {
+	if got := modelsAsked(t, 62, largerModelCosts(0.001, 0.35), unseen); got != "small" {
 		t.Errorf("gains were not seen: models asked: got %q, want %q", got, "small")
 	}
 }
