--- a/internal/relay/cascade.go
+++ b/internal/relay/cascade.go
@@ -90,11 +90,11 @@
 	return size
 }
 
-// inTimeProb returns the probability that a head with this expected time comes within the aim, both
-// in seconds. The actual time is assumed to be uniform from 0 to twice the expected time, but the
-// probability is 0 if the expected time exceeds the aim. Larger models are thus asked less where
-// they are slow for the load or the prompt. Without this, the mean worth of trials fell by 0.012
-// under high load and by 0.02 under low load.
+// inTimeProb returns the probability, 0 to 1, that a head with this expected time comes within the
+// aim, both in seconds. The actual time is assumed to be uniform from 0 to twice the expected time,
+// but the probability is 0 if the expected time exceeds the aim. Larger models are thus asked less
+// where they are slow for the load or the prompt. Without this, the mean worth of requests in load
+// tests fell by 0.012 under high load and by 0.02 under low load.
 func inTimeProb(head, aim float64) float64 {
 	if head > aim {
 		return 0
--- a/internal/relay/cascade_test.go
+++ b/internal/relay/cascade_test.go
@@ -18,8 +18,9 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// Callers whose patience differs by a seventh are all on their first try: each weak answer
-// gives way to the larger model, as for callers who are all alike.
+// The time that callers allow must not be taken for that of a repeated request. Deadlines that
+// differ by up to a seventh all belong to first requests here: each weak answer gives way to the
+// larger model, as with equal deadlines.
 func TestEscalationIgnoresDeadlineSpread(t *testing.T) {
 	const most = 15 * time.Second
 	large := 0
@@ -42,12 +43,12 @@
 		e.Serve(t.Context(), httptest.NewRecorder(), r)
 	}
 	if large != requests {
-		t.Errorf("weak answers that gave way to the larger model: got %d, want %d", large, requests)
+		t.Errorf("weak answers dropped for the larger model: got %d, want %d", large, requests)
 	}
 }
 
-// TestLargerModelByTheTimeLeft serves weak answers to callers with more and less
-// time left, whose requests have been here for the rest.
+// TestLargerModelByTheTimeLeft serves weak answers to requests that have been at the router for
+// different times, so that their callers have more or less time left.
 func TestLargerModelByTheTimeLeft(t *testing.T) {
 	const usual = 25 * time.Second
 	for _, c := range []struct {
@@ -58,8 +59,8 @@
 	}{
 		{"just arrived", usual, 10, "small large"},
 		{"the aim has passed", usual - 4*time.Second, 30, "small"},
-		{"the aim has passed, hopeless", usual - 4*time.Second, 10, "small large"},
-		{"hardly any time left, hopeless", 2 * time.Second, 10, "small"},
+		{"the aim has passed, below minUsefulConfidence", usual - 4*time.Second, 10, "small large"},
+		{"hardly any time left, below minUsefulConfidence", 2 * time.Second, 10, "small"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var models []string
@@ -89,7 +90,7 @@
 	}
 }
 
-// readSpeedFor returns a speed at which a prompt of testTokens takes a time.
+// readSpeedFor returns a speed at which a prompt of testTokens takes the time d to read.
 func readSpeedFor(d time.Duration) *readSpeed {
 	var s readSpeed
 	for range minKnownHeads {
@@ -98,7 +99,7 @@
 	return &s
 }
 
-// testTokens is the size of a prompt.
+// testTokens is the size of a prompt in tokens.
 const testTokens = 1000
 
 func TestReadTimeOfUnmeasuredModel(t *testing.T) {
@@ -109,11 +110,11 @@
 	x := &run{e: e, r: &Request{AnyModel: true}, route: e.table.Load().Match("h", "/")}
 	got := fmt.Sprint(x.readTimeOf(0, testTokens), x.readTimeOf(1, testTokens), x.readTimeOf(2, testTokens))
 	if want := "1 3 9"; got != want {
-		t.Errorf("expected times: got %s, want %s", got, want)
+		t.Errorf("expected reading times in seconds: got %s, want %s", got, want)
 	}
 }
 
-// A larger model is asked less readily the more of the aim it takes.
+// The larger the part of the aim that a model is expected to take, the less likely it is asked.
 func TestInTimeProb(t *testing.T) {
 	for _, c := range []struct{ head, aim, want float64 }{{0, 4, 1}, {1, 4, 0.875}, {4, 4, 0.5}, {4.1, 4, 0}, {1, -1, 0}} {
 		if got := inTimeProb(c.head, c.aim); got != c.want {
@@ -122,7 +123,7 @@
 	}
 }
 
-// Short prompts go first at their endpoint, whatever their route's rank.
+// Short prompts go first at their endpoint, whatever the rank of their route.
 func TestShortPromptsAreUrgent(t *testing.T) {
 	for _, c := range []struct {
 		whole    float64
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -107,8 +107,8 @@
 )
 
 // pick returns an endpoint for the next attempt, and the reason; nil if there is none. It prefers
-// endpoints that were not tried and the version on trial, but takes an endpoint again, and then
-// another version, rather than none. The caller must hold the engine's mu.
+// endpoints that were not tried and the version that the session is assigned to. Rather than none
+// it takes a tried endpoint again, and then the old version. The caller must hold the engine's mu.
 func (x *run) pick(now time.Time) (*pool.Endpoint, pool.Reason) {
 	e := x.e
 	want := x.want()
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -54,7 +54,7 @@
 	h := x.w.Header()
 	maps.Copy(h, reply.Header)
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // keeps the server from guessing one
+		h["Content-Type"] = nil // keeps net/http from guessing a type
 	}
 	h.Del("Content-Length")
 	if length >= 0 {
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -63,9 +63,10 @@
 	Senders func(have uint64) (s pool.Senders, generation uint64, changed bool)
 
 	// stalls detects that the process stood still.
-	stalls   clock.StallDetector
-	limits   atomic.Pointer[Limits]
-	table    atomic.Pointer[Table]
+	stalls clock.StallDetector
+	limits atomic.Pointer[Limits]
+	table  atomic.Pointer[Table]
+	// stopping is set by Stop and never reset.
 	stopping atomic.Bool
 	// incarnation is a random number that identifies this start of the router.
 	incarnation uint64
@@ -104,7 +105,8 @@
 	probes chan pool.Entry
 	// inFlight holds, by the endpoint's hash, the requests that the endpoint may be running.
 	inFlight map[uint64]*inFlight
-	budgets  map[string]*budget.Window
+	// budgets holds the retry budgets, by service.
+	budgets map[string]*budget.Window
 	// headTimes holds the mean time to the head, by sort of request; see sortOf.
 	headTimes map[string]*timeMean
 	// readSpeeds holds how long endpoints take to read a token, by model; see readKey.
@@ -126,7 +128,8 @@
 	streamPaces map[string]*usualPace
 	// confidences holds statistics of the models' confidences.
 	confidences sizes.ConfidenceStats
-	rollouts    map[string]*rollout
+	// rollouts holds the trials, by service.
+	rollouts map[string]*rollout
 }
 
 // New returns an engine without a configuration.
@@ -236,7 +239,7 @@
 }
 
 // Stop makes Ready report false and closes each connection after its next answer. Requests that are
-// still under way at breaksOff will be aborted. It must be called only once.
+// still under way at abortAt will be aborted. It must be called only once.
 func (e *Engine) Stop(abortAt time.Time) {
 	e.stoppedAt, e.stopDeadline = e.Now(), abortAt
 	e.stopping.Store(true)
@@ -260,8 +263,8 @@
 // ActiveRequests returns the number of requests that are under way.
 func (e *Engine) ActiveRequests() int64 { return e.active.Load() }
 
-// RunMaintenance advances roll-outs, sends trial reports, removes endpoints whose lease has expired
-// and updates metrics, until ctx is done. It always returns nil.
+// RunMaintenance advances roll-outs, sends trial reports, drops endpoints whose grace period after
+// their removal has ended and updates metrics, until ctx is done. It always returns nil.
 func (e *Engine) RunMaintenance(ctx context.Context) error {
 	t := time.NewTicker(maintenanceInterval)
 	defer t.Stop()
@@ -323,7 +326,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range e.book.Expire(e.Now()) {
-		e.Log.Info("relay: An endpoint lapsed and was not listed again.", zap.String("endpoint", id))
+		e.Log.Info("relay: An endpoint was not listed again within its grace period.", zap.String("endpoint", id))
 	}
 }
 
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// piece returns an event as runners send it.
+// piece returns the server-sent event with this ID.
 func piece(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
 func TestSplitReturnsCompleteNewEvents(t *testing.T) {
@@ -25,11 +25,11 @@
 		t.Errorf("events: got %q, want %q", got.String(), want)
 	}
 	if s.lastID != "4" || s.pendingBytes() != len("id: 5\ndata: cut") {
-		t.Errorf("got last %q and %d bytes left, want 4 and %d", s.lastID, s.pendingBytes(), len("id: 5\ndata: cut"))
+		t.Errorf("got last ID %q and %d pending bytes, want 4 and %d", s.lastID, s.pendingBytes(), len("id: 5\ndata: cut"))
 	}
 }
 
-// However a stream is cut into reads, the same events come out, each whole.
+// The events that split returns are complete and do not depend on how a stream is cut into reads.
 func FuzzEvents(f *testing.F) {
 	f.Add(piece(1)+piece(2), 3)
 	f.Add("data: a\r\n\r\nid: x\n\n\n\n", 1)
@@ -48,15 +48,15 @@
 			t.Errorf("in reads of %d: got %q, want %q", size, got.String(), want)
 		}
 		if want != "" && !strings.HasSuffix(want, "\n\n") && !strings.HasSuffix(want, "\n\r\n") {
-			t.Errorf("an event that is not whole: %q", want)
+			t.Errorf("incomplete event: %q", want)
 		}
 		if len(want)+whole.pendingBytes() > len(text) {
-			t.Errorf("got %d bytes and %d left of %d", len(want), whole.pendingBytes(), len(text))
+			t.Errorf("got %d bytes and %d pending of %d", len(want), whole.pendingBytes(), len(text))
 		}
 	})
 }
 
-// Cutting takes time in proportion to the stream, whatever ends its events.
+// The time to split a stream must grow linearly with its length, for each kind of line end.
 func BenchmarkEvents(b *testing.B) {
 	for _, end := range []string{"\n\n", "\r\n\r\n"} {
 		text := []byte(strings.Repeat("id: 1"+end, 1<<15))
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -21,7 +21,7 @@
 // between makes the other times longer. A single time is the better measure where the endpoint
 // sends events as it makes them. But an endpoint may write several at once, and a socket or a busy
 // process may delay one until the next, so that a single time is near 0 whatever the endpoint does.
-// In a sum of several in a row, one has what another one lacks.
+// In a sum of several in a row such shifts cancel out.
 type pace struct {
 	// minGap is the shortest time, minRow the shortest sum of paceWindow times in a row.
 	minGap, minRow time.Duration
--- a/internal/relay/reportedrate_test.go
+++ b/internal/relay/reportedrate_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A flow of 300 a second that 32 routers report, each every 1.5 s at a moment of its own, is
-// never taken for much less, and a burst of 2.5 times shows within four.
+// A count grows by 300 a second, and 32 routers report it, each every 1.5 s at its own phase. The
+// estimate must never be much lower, and must show a burst of 2.5 times that rate within 4 s.
 func TestReportedRate(t *testing.T) {
 	const routers, every = 32, 1500 * time.Millisecond
 	for seed := range uint64(200) {
@@ -20,7 +20,7 @@
 		for i := range phase {
 			phase[i] = time.Duration(rnd.Int64N(int64(every)))
 		}
-		// counted is what all routers sent up to a time, told what their last reports held.
+		// counted is the total of all routers at a time, reported the sum of their last reports.
 		counted := func(at time.Duration) float64 {
 			return 300*at.Seconds() + 450*max(at.Seconds()-10, 0)
 		}
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -150,17 +150,21 @@
 	Endpoint string
 	Model    string
 	Version  string
-	Why      pool.Reason
-	At       time.Time
-	Status   int
+	// Why is the reason for which the endpoint was picked.
+	Why pool.Reason
+	// At is when the attempt was sent.
+	At time.Time
+	// Status is the HTTP status of the Reply; 0 if there was none.
+	Status int
 	// Confidence is that of the Reply.
 	Confidence int
 	// GoodProb is the estimated probability that the answer is good. KeepWorth is the expected
 	// worth of keeping it, AskWorth that of asking a larger model, both as fractions of the worth
 	// of a good answer in time.
 	GoodProb, KeepWorth, AskWorth float64
-	Outcome                       string
-	Err                           *fault.Error
+	// Outcome is how the attempt ended, Err its error; nil if it did not fail.
+	Outcome string
+	Err     *fault.Error
 	// Load is the estimated number of requests at the endpoint when it was picked.
 	Load int
 	// CrossZone says that the endpoint is in another availability zone.
--- a/internal/relay/reserve_test.go
+++ b/internal/relay/reserve_test.go
@@ -10,9 +10,10 @@
 	"github.com/traildrift/traildrift/pkg/budget"
 )
 
-// Pattern: a slack that hundreds of routers share, each of which gets a request a second. What was
-// kept for failures was more than a router's part of the slack, so that the first four requests of
-// each kept any answer, however weak: the first seconds of traffic, and those after a restart of all.
+// Hundreds of routers with a request a second each share the slack of the retry budget. The reserve
+// for failures must not exceed a router's part of the slack: otherwise the first four requests of
+// each router keep any answer, however weak, in the first seconds of traffic and after a restart of
+// all routers.
 func TestFirstWeakAnswersAreDropped(t *testing.T) {
 	const ratio, slack, window = 0.9, 1040.0, 10 * time.Second
 	for _, routers := range []float64{6, 26, 384, 768, 4000} {
@@ -27,14 +28,14 @@
 			now = now.Add(time.Second)
 		}
 		if given < 2 {
-			t.Errorf("%v routers: got %d weak answers of the first four given up, want 2 at least", routers, given)
+			t.Errorf("%v routers: got %d of the first four weak answers dropped, want 2 at least", routers, given)
 		}
-		// Failures of the requests behind them are still paid for.
+		// Failures of the next requests can still be paid for.
 		for range 6 {
 			b.AddRequest(now)
 		}
 		if got := b.Remaining(now); got < 2 {
-			t.Errorf("%v routers: left for failures: got %.1f, want 2 at least", routers, got)
+			t.Errorf("%v routers: attempts left for failures: got %.1f, want 2 at least", routers, got)
 		}
 	}
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -62,7 +62,7 @@
 const outcomeSilent = "silent"
 
 // errSilent is the cause of ending an attempt whose endpoint sent nothing for too long.
-var errSilent = errors.New("relay: the endpoint is silent")
+var errSilent = errors.New("relay: the endpoint sent nothing within the silence timeout")
 
 // serve makes attempts until an answer is delivered or no further attempt is allowed.
 func (x *run) serve(ctx context.Context) {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -152,7 +152,7 @@
 	x.closeWhenStopping()
 	x.w.WriteHeader(code)
 	if _, e := x.w.Write(body); e != nil {
-		x.e.Log.Debug("relay: The caller left before its refusal.", zap.String("request", x.r.ID), zap.Error(e))
+		x.e.Log.Debug("relay: The error response could not be written, as the caller has disconnected.", zap.String("request", x.r.ID), zap.Error(e))
 	}
 	x.log(now, code, err)
 }
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -17,12 +17,11 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// An attempt that fails just as its endpoint has been silent for too long is followed by another one: the
-// caller is still there.
-//
-// Seen: a test of attempts answered 499 after one attempt, on a busy machine. How: the attempt was lost and
-// its bound on silence passed between two looks at its context, of which the first asked why it had
-// ended and the second whether. Cause: an end without a reason was taken for the caller's leaving.
+// An attempt that fails just as its silence timeout fires must be followed by another one, as the
+// caller is still there. The failure: on a busy machine, a request was answered with 499 after one
+// attempt. The timeout fired between two reads of the attempt's context, of which the first asked
+// for the cause of its end and the second whether it had ended. An end without a cause was then
+// taken for the caller having left.
 func TestFailureAtSilenceTimeoutIsNotCallerGone(t *testing.T) {
 	const passesWithin = 60 * time.Microsecond
 	lost := fault.New(fault.EndpointLost, fault.MayHaveRun, "lost")
@@ -32,7 +31,7 @@
 		callers.Go(func() {
 			for range 1000 {
 				e := engine(Route{Kind: Safe, MaxAttempts: 3}, func(context.Context, *Attempt) (*Reply, error) {
-					// The bound on silence is none here: it passes about now.
+					// The silence timeout of the route is 0, so that it fires about now.
 					for until := time.Now().Add(rand.N(passesWithin)); time.Now().Before(until); {
 						runtime.Gosched()
 					}
@@ -48,6 +47,6 @@
 	}
 	callers.Wait()
 	if got := gone.Load(); got > 0 {
-		t.Errorf("told that the caller has left: got %d, want none", got)
+		t.Errorf("answers with status 499: got %d, want none", got)
 	}
 }
--- a/internal/relay/speed_test.go
+++ b/internal/relay/speed_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Heads hold waits for others' prompts. The pattern is that of a site just after all
-// routers were killed: four heads in five wait, for up to ten times the reading.
+// Times to the head include waits for other prompts. Here they are as just after all routers were
+// killed under load: four heads in five wait, for up to ten times the reading time.
 func TestReadSpeedExcludesWaits(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 2))
 	const perToken = 80e-6
@@ -43,25 +43,25 @@
 	}
 }
 
-// What an endpoint was not known to hold, but held, was read sooner than it looks: such
-// heads count only while there are no others.
+// If an endpoint held a prefix that it was not known to hold, the prompt was read sooner than its
+// size suggests. Such heads must count only while there are no others.
 func TestReadSpeedPrefersKnown(t *testing.T) {
 	var s readSpeed
 	for range 50 {
 		s.add(10_000, 0.1, false)
 	}
 	if got := s.readTime(10_000); math.Abs(got-0.1) > 0.01 {
-		t.Errorf("nothing sure: got %v s, want 0.1", got)
+		t.Errorf("no known value: got %v s, want 0.1", got)
 	}
 	for range minKnownHeads {
 		s.add(1000, 0.08, true)
 	}
 	if got := s.readTime(10_000); math.Abs(got-0.8) > 0.05 {
-		t.Errorf("some sure: got %v s, want 0.8", got)
+		t.Errorf("some known values: got %v s, want 0.8", got)
 	}
 	var none *readSpeed
 	if got := none.readTime(5); got != 0 {
-		t.Errorf("no speed: got %v, want 0", got)
+		t.Errorf("nil speed: got %v, want 0", got)
 	}
 	s.add(minSpeedTokens-1, 9, true)
 	if got := s.readTime(10_000); math.Abs(got-0.8) > 0.05 {
@@ -72,14 +72,14 @@
 func TestAheadRatio(t *testing.T) {
 	var none *aheadRatio
 	if got := none.ratio(); got != 1 {
-		t.Errorf("nothing seen: got %v, want 1", got)
+		t.Errorf("no data: got %v, want 1", got)
 	}
 	var a aheadRatio
 	for range 100 {
 		a.add(0.1, 0.5)
 	}
 	if got := a.ratio(); math.Abs(got-0.2) > 1e-9 {
-		t.Errorf("a fifth of what the endpoints had: got %v, want 0.2", got)
+		t.Errorf("waits of a fifth of the backlog: got %v, want 0.2", got)
 	}
 	a.add(100, 0.5)
 	if got := a.ratio(); got != 1 {
@@ -90,7 +90,7 @@
 func TestHomeHitRate(t *testing.T) {
 	var f homeHitRate
 	if got := f.chance(); got != homeHitPrior {
-		t.Errorf("nothing seen: got %v, want %v", got, homeHitPrior)
+		t.Errorf("no data: got %v, want %v", got, homeHitPrior)
 	}
 	for range 100 {
 		f.add(false)
@@ -114,13 +114,13 @@
 		m.add(now)
 	}
 	if got := m.perSecond(now); math.Abs(got-10) > 0.5 {
-		t.Errorf("ten a second: got %v", got)
+		t.Errorf("ten events a second: got %v", got)
 	}
 	if got := m.perSecond(now.Add(6 * meterTimeConstant)); got > 0.1 {
-		t.Errorf("after %v of silence: got %v, want nearly 0", 6*meterTimeConstant, got)
+		t.Errorf("after %v without events: got %v, want nearly 0", 6*meterTimeConstant, got)
 	}
 	var none *rateMeter
 	if got := none.perSecond(now); got != 0 {
-		t.Errorf("no meter: got %v, want 0", got)
+		t.Errorf("nil meter: got %v, want 0", got)
 	}
 }
--- a/internal/relay/table_test.go
+++ b/internal/relay/table_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// engine returns a core over one endpoint that fails or answers as send says.
+// engine returns an engine with one route to one endpoint, whose attempts send answers.
 func engine(r Route, send Send) *Engine {
 	e := New(zap.NewNop(), tally.NoopScope, Limits{RetryRatio: 1, RetrySlack: 100, RetryWindow: config.Span(10 * time.Second), ConfigWithin: config.Span(time.Hour)})
 	e.Send, e.EndpointsListed = send, func() bool { return true }
@@ -66,7 +66,8 @@
 	return e
 }
 
-// serveOnce serves a request and returns the status and how often it was sent.
+// serveOnce serves a request whose attempts all fail with err. It returns the HTTP status and the
+// number of attempts.
 func serveOnce(t *testing.T, r Route, err *fault.Error) (status, sent int) {
 	e := engine(r, func(context.Context, *Attempt) (*Reply, error) { sent++; return nil, err })
 	w := httptest.NewRecorder()
--- a/internal/relay/worth_test.go
+++ b/internal/relay/worth_test.go
@@ -16,9 +16,9 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// modelsAsked serves one request by what answers are worth, and returns the models that were
-// asked. The small model answers with a confidence, the larger ones surely. change may set
-// what the engine believes.
+// modelsAsked serves one request with CascadeWorth and returns the models that were asked. The
+// small model answers with the given confidence, larger ones with 95. change, if not nil, may
+// change the state of the engine before.
 func modelsAsked(t *testing.T, confidence int, costs map[string]Cost, change func(e *Engine)) string {
 	var models []string
 	r := Route{Kind: Stream, Resume: true, MaxAttempts: 3, Sizes: []string{"small", "middle", "large"}, Affinity: true, Aim: config.Span(3 * time.Second), Timeout: config.Span(20 * time.Second)}
@@ -50,14 +50,15 @@
 	return strings.Join(models, " ")
 }
 
-// largerModelCosts returns costs of the larger models for 1,000 tokens made.
+// largerModelCosts returns token costs of the larger models from their costs for 1,000 tokens
+// generated.
 func largerModelCosts(middle, large float64) map[string]Cost {
 	return map[string]Cost{"middle": {Input: middle / 4000, Output: middle / 1000}, "large": {Input: large / 4000, Output: large / 1000}}
 }
 
-// Which model is asked for a weak answer follows from what it costs beside what the request
-// earns, 0.7 here, and from what larger models were seen to gain: by the users' costs and
-// gains a doubtful answer goes a step up, one that is surely weak to the largest.
+// Which model is asked for a weak answer depends on its cost, compared with what the request earns
+// (0.7 here), and on the gains measured for larger models. With usual costs and gains a doubtful
+// answer goes one step up, and one that is surely weak goes to the largest model.
 func TestLargerModelByWorth(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -77,8 +78,8 @@
 	}
 }
 
-// Under a burst, where each endpoint gets many prompts that are worth as much, a weak answer to
-// a prompt that is long to read stays: what the others would lose is more.
+// In a burst, where each endpoint gets many prompts of the same worth, a weak answer to a prompt
+// that takes long to read is kept, as the other requests would lose more.
 func TestLargerModelIsNotAskedWhereOthersWait(t *testing.T) {
 	slow := func(perSecond int) func(e *Engine) {
 		return func(e *Engine) {
@@ -96,7 +97,7 @@
 	}
 }
 
-// Where it is not known what a larger model costs or gains, the fixed bounds decide.
+// Where the cost or the gain of a larger model is not known, the fixed thresholds decide.
 func TestUnknownGainsUseFixedThresholds(t *testing.T) {
 	bounds := func(e *Engine) {
 		l := *e.limits.Load()
@@ -113,8 +114,8 @@
 		bounds(e)
 		e.confidences = sizes.ConfidenceStats{}
 	}
-	// What the fixed bounds keep, the worth of the middle model's answer would not.
+	// The fixed thresholds keep this answer. By its worth the middle model would be asked.
 	if got := modelsAsked(t, 62, largerModelCosts(0.001, 0.35), unseen); got != "small" {
-		t.Errorf("gains were not seen: models asked: got %q, want %q", got, "small")
+		t.Errorf("gains not measured: models asked: got %q, want %q", got, "small")
 	}
 }
