--- a/internal/relay/borrow.go
+++ b/internal/relay/borrow.go
@@ -39,20 +39,20 @@
 func (x *run) borrow(ctx context.Context, now time.Time, err *fault.Error) (*Attempt, *attemptRecord, *fault.Error) {
 	ctx, cancel := context.WithDeadline(ctx, grantTimeout.After(now))
 	defer cancel()
-	round := time.NewTicker(limitQueryRound)
-	defer round.Stop()
+	ticker := time.NewTicker(limitQueryRound)
+	defer ticker.Stop()
 	draw := x.e.draw()
-	granted, queried := x.queryLimits(now, draw, nil)
+	answered, queried := x.queryLimits(now, draw, nil)
 	for len(queried) > 0 {
 		select {
-		case <-granted:
-			granted = x.e.grantSignal()
+		case <-answered:
+			answered = x.e.limitAnswerSignal()
 			if a, t, again := x.choose(x.e.Now()); again == nil {
 				return a, t, nil
 			}
-		case <-round.C:
+		case <-ticker.C:
 			draw++
-			granted, queried = x.queryLimits(x.e.Now(), draw, queried)
+			answered, queried = x.queryLimits(x.e.Now(), draw, queried)
 		case <-ctx.Done():
 			return nil, nil, err
 		}
@@ -60,8 +60,8 @@
 	return nil, nil, err
 }
 
-// grantSignal returns a channel that is closed when the next answer to a limit query arrives.
-func (e *Engine) grantSignal() <-chan struct{} {
+// limitAnswerSignal returns a channel that is closed when the next answer to a limit query arrives.
+func (e *Engine) limitAnswerSignal() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.limitAnswered
@@ -71,7 +71,7 @@
 // sent, drawn at random, or again about the endpoints in retry. draw selects one of the routers that
 // share each limit. It returns the endpoints that it queried about, and a channel that is closed when an
 // answer arrives.
-func (x *run) queryLimits(now time.Time, draw uint64, retry []*pool.Endpoint) (granted <-chan struct{}, queried []*pool.Endpoint) {
+func (x *run) queryLimits(now time.Time, draw uint64, retry []*pool.Endpoint) (answered <-chan struct{}, queried []*pool.Endpoint) {
 	e := x.e
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/relay/borrow_test.go
+++ b/internal/relay/borrow_test.go
@@ -16,9 +16,9 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// limited returns an engine whose share of its endpoint's limit is used up. It counts the attempts that
-// the engine sends. ask receives the engine's queries to the router that has the rest of the limit.
-func limited(sent *int, ask func(e *Engine, w NoticeMessage)) *Engine {
+// engineAtLimit returns an engine whose share of its endpoint's limit is used up. It counts the attempts that
+// the engine sends. onQuery receives the engine's queries to the router that has the rest of the limit.
+func engineAtLimit(sent *int, onQuery func(e *Engine, w NoticeMessage)) *Engine {
 	e := engine(Route{Kind: Safe, MaxAttempts: 1}, func(context.Context, *Attempt) (*Reply, error) {
 		*sent++
 		return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Length: 2, IDMatches: true, Authenticated: true}, nil
@@ -27,7 +27,7 @@
 	p := e.book.Get("e")
 	p.RecordSend(time.Now())
 	p.RecordNotice(pool.Notice{Limit: pool.Limited, PerSecond: 0.01}, time.Now(), time.Now())
-	e.Notifier.QueryLimit = func(w NoticeMessage, _ int, _ uint64) { go ask(e, w) }
+	e.Notifier.QueryLimit = func(w NoticeMessage, _ int, _ uint64) { go onQuery(e, w) }
 	return e
 }
 
@@ -40,8 +40,8 @@
 		return w
 	}
 	for _, c := range []struct {
-		name string
-		ask func(e *Engine, w NoticeMessage)
+		name         string
+		onQuery      func(e *Engine, w NoticeMessage)
 		status, sent int
 	}{
 		{"granted", func(e *Engine, w NoticeMessage) { e.ReceiveNotice(by, answer(w, true)) }, 200, 1},
@@ -51,7 +51,7 @@
 		{"no answer", func(*Engine, NoticeMessage) {}, 503, 0},
 	} {
 		sent := 0
-		e := limited(&sent, c.ask)
+		e := engineAtLimit(&sent, c.onQuery)
 		w := httptest.NewRecorder()
 		e.Serve(t.Context(), w, &Request{ID: "x", Method: "GET", Host: "h", Path: "/", Target: "/", Header: http.Header{}, Arrived: time.Now()})
 		if w.Code != c.status || sent != c.sent {
@@ -71,20 +71,20 @@
 	e.Now = func() time.Time { return now }
 	e.book.SetSenders(pool.Senders{Self: 1, All: []uint64{1, 2}})
 	p := e.book.Get("e")
-	const turn = 2 * time.Second
-	q := NoticeMessage{Endpoint: p.Hash(), Incarnation: p.Incarnation(), Notice: pool.Notice{Limit: pool.Limited, PerSecond: 1 / turn.Seconds()}}
+	const interval = 2 * time.Second
+	q := NoticeMessage{Endpoint: p.Hash(), Incarnation: p.Incarnation(), Notice: pool.Notice{Limit: pool.Limited, PerSecond: 1 / interval.Seconds()}}
 	if _, all := p.LimitSharers(); !all {
 		t.Fatal("limit shared by two routers: this one has no share")
 	}
 	for _, c := range []struct {
-		name string
-		before func()
-		ok bool
-		limit pool.LimitStatus
+		name    string
+		before  func()
+		ok      bool
+		limit   pool.LimitStatus
 		granted bool
 	}{
 		{"limit unknown so far", func() {}, true, pool.Limited, false},
-		{"request available", func() { now = now.Add(2 * turn) }, true, pool.Limited, true},
+		{"request available", func() { now = now.Add(2 * interval) }, true, pool.Limited, true},
 		{"share used up", func() {}, true, pool.Limited, false},
 		{"limit lifted", func() { p.RecordNotice(pool.Notice{Limit: pool.Unlimited}, now.Add(time.Millisecond), now) }, true, pool.Unlimited, false},
 		{"another incarnation", func() { q.Incarnation++ }, false, pool.LimitUnspecified, false},
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -45,7 +45,7 @@
 	attempt *Attempt
 	// id is the request ID. fingerprint identifies the request and its repeats; it is zero while the
 	// attempt is active.
-	id string
+	id          string
 	fingerprint poison.Fingerprint
 	// sentAt is when the endpoint was chosen and the attempt began.
 	sentAt time.Time
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -22,8 +22,8 @@
 
 // crashFixture is an engine with one endpoint; gone is the result of its probes.
 type crashFixture struct {
-	e *Engine
-	p pool.Entry
+	e    *Engine
+	p    pool.Entry
 	gone bool
 }
 
@@ -72,7 +72,7 @@
 	s.e.recordAttemptEnd(opening)
 	for _, c := range []struct {
 		name string
-		a *Attempt
+		a    *Attempt
 		want int
 	}{{"dropped a moment ago", dropped, 1}, {"broken off", running, 1}, {"not sent", opening, 0}} {
 		if got := s.crashes(c.a); got != c.want {
--- a/internal/relay/evidence.go
+++ b/internal/relay/evidence.go
@@ -111,7 +111,7 @@
 const (
 	answersInPeak = "answers in a peak"
 	paceOfStreams = "pace of streams"
-	paceInARow = "pace in a row"
+	paceInARow    = "pace in a row"
 	endsOfAnswers = "ends of answers"
 )
 
@@ -207,13 +207,13 @@
 
 // routeEvidence is the evidence on one route or aspect as it is logged.
 type routeEvidence struct {
-	Route string `json:"route"`
-	Old int `json:"old"`
+	Route  string  `json:"route"`
+	Old    int     `json:"old"`
 	OldBad float64 `json:"oldBad"`
-	Good int `json:"good"`
-	Bad int `json:"bad"`
-	Sum float64 `json:"sum"`
-	Ratio float64 `json:"ratio"`
+	Good   int     `json:"good"`
+	Bad    int     `json:"bad"`
+	Sum    float64 `json:"sum"`
+	Ratio  float64 `json:"ratio"`
 }
 
 // evidenceField returns the log field for a roll-out's evidence by route. It holds the counts, so that a
@@ -249,7 +249,7 @@
 	// reportInterval is the time between a router's reports on a trial to the others. It grows by as
 	// much for each reportIntervalRouters routers, so that the bytes sent grow with the number of
 	// routers, not with its square: with 32 routers, reports of 200 bytes take 5 KB/s per router.
-	reportInterval = 300 * time.Millisecond
+	reportInterval        = 300 * time.Millisecond
 	reportIntervalRouters = 8
 )
 
--- a/internal/relay/evidence_test.go
+++ b/internal/relay/evidence_test.go
@@ -40,7 +40,7 @@
 func TestSlowStreamsFindVersionBad(t *testing.T) {
 	for _, c := range []struct {
 		times int
-		want bool
+		want  bool
 	}{{1, false}, {3, true}} {
 		e, _, old, latest := onTrial(2)
 		for i := range 200 {
@@ -152,12 +152,12 @@
 	left := fault.New(fault.CallerGone, fault.MayHaveRun, "left")
 	late := fault.New(fault.DeadlinePassed, fault.MayHaveRun, "late")
 	for _, c := range []struct {
-		name string
-		err *fault.Error
-		outcome string
-		after time.Duration
+		name            string
+		err             *fault.Error
+		outcome         string
+		after           time.Duration
 		warming, headed bool
-		want bool
+		want            bool
 	}{
 		{"a failure of its own", fault.New(fault.EndpointFailed, fault.Ran, "500"), "", 0, false, false, true},
 		{"a refusal with proof", fault.New(fault.Overloaded, fault.NotRun, "full"), "", 0, false, false, false},
@@ -187,10 +187,10 @@
 	failed := fault.New(fault.EndpointFailed, fault.Ran, "failed")
 	silent := fault.New(fault.EndpointLost, fault.MayHaveRun, "silent")
 	for _, c := range []struct {
-		name string
-		kind Kind
+		name   string
+		kind   Kind
 		answer func(e *Engine, a *Attempt, route *Route)
-		want roll.Verdict
+		want   roll.Verdict
 	}{
 		{"good", Stream, func(e *Engine, a *Attempt, route *Route) { e.addHeadEvidence(a, route, false, time.Millisecond) }, roll.Good},
 		{"slow", Safe, func(e *Engine, a *Attempt, route *Route) {
--- a/internal/relay/outcome.go
+++ b/internal/relay/outcome.go
@@ -124,10 +124,10 @@
 }
 
 // silenceTimer cancels an attempt whose endpoint sends nothing for too long, if the request may go to
-// another endpoint. The zero value never does. pause is the timeout between events; 0 for none.
+// another endpoint. The zero value never does. eventTimeout is the time to wait for the next event; 0 for no limit.
 type silenceTimer struct {
-	timer *time.Timer
-	pause time.Duration
+	timer        *time.Timer
+	eventTimeout time.Duration
 }
 
 const (
@@ -136,7 +136,7 @@
 	// the route's aim, so that another endpoint may still answer in time. Half the factor ended healthy
 	// runs that were queued behind others' prompts, which cost 0.02 to 0.05 of a day's result. The
 	// mean alone ended healthy runs with a long estimate, which cost 0.012 to 0.015.
-	headTimeoutFactor = 6
+	headTimeoutFactor  = 6
 	minHeadTimeoutAims = 0.5
 	// eventTimeoutFactor times the route's longest allowed pause is the timeout between events of a
 	// stream. Callers wait for eight such pauses.
@@ -162,7 +162,7 @@
 	}
 	s := &silenceTimer{timer: time.AfterFunc(a.headTimeout(x.route), func() { cancel(errSilent) })}
 	if x.route.resumable() {
-		s.pause = time.Duration(eventTimeoutFactor * float64(x.route.EventAim))
+		s.eventTimeout = time.Duration(eventTimeoutFactor * float64(x.route.EventAim))
 	}
 	return s
 }
@@ -172,8 +172,8 @@
 	if s.timer == nil {
 		return
 	}
-	if s.pause > 0 {
-		s.timer.Reset(s.pause)
+	if s.eventTimeout > 0 {
+		s.timer.Reset(s.eventTimeout)
 	} else {
 		s.timer.Stop()
 	}
--- a/internal/relay/outcome_test.go
+++ b/internal/relay/outcome_test.go
@@ -16,10 +16,10 @@
 func TestHeadTimeoutFollowsEstimate(t *testing.T) {
 	route := &Route{Aim: config.Span(3 * time.Second)}
 	for _, c := range []struct {
-		name string
-		a Attempt
+		name  string
+		a     Attempt
 		least time.Duration
-		most time.Duration
+		most  time.Duration
 	}{
 		{"no estimate", Attempt{expectedHead: 0.2}, 1500 * time.Millisecond, 1500 * time.Millisecond},
 		{"long prompt behind others", Attempt{expectedHead: 0.2, wait: 0.8, readTime: 1.2}, 4 * time.Second, 12 * time.Second},
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -45,9 +45,9 @@
 
 // standaloneQuarantines are the hooks of a router without peers.
 var standaloneQuarantines = QuarantineHooks{
-	SendCrash: func(CrashReport) {},
+	SendCrash:    func(CrashReport) {},
 	SendVerdicts: func([]poison.Verdict) {}, ResendVerdicts: func([]poison.Verdict) {},
-	Rank: func(poison.Fingerprint) int { return 0 },
+	Rank:  func(poison.Fingerprint) int { return 0 },
 	Alone: func() bool { return true },
 }
 
@@ -133,8 +133,8 @@
 // countCrashFor counts the crash of an endpoint for a request that it may have been running, and reports it
 // to other routers; mu is held. besides is the number of other requests tracked there.
 func (e *Engine) countCrashFor(s *sentRequest, p *pool.Entry, hash uint64, besides int, now time.Time) {
-	name, age := s.requestFingerprint(), now.Sub(s.sentAt)
-	r := CrashReport{Fingerprint: name, Endpoint: hash, Age: age}
+	fingerprint, age := s.requestFingerprint(), now.Sub(s.sentAt)
+	r := CrashReport{Fingerprint: fingerprint, Endpoint: hash, Age: age}
 	e.recordCrash(r, true, now)
 	e.Quarantines.SendCrash(r)
 	if !e.logLimits.crashes.AllowN(now, 1) {
@@ -142,7 +142,7 @@
 		return
 	}
 	e.Log.Info("relay: An endpoint has crashed under a request.", zap.String("endpoint", p.ID), zap.String("service", p.Service),
-		zap.String("request", s.id), zap.Stringer("fingerprint", name), zap.Int("crashes", e.crashes.Crashes(name)), zap.Int("besides", besides), zap.Int64("ageMs", age.Milliseconds()))
+		zap.String("request", s.id), zap.Stringer("fingerprint", fingerprint), zap.Int("crashes", e.crashes.Crashes(fingerprint)), zap.Int("besides", besides), zap.Int64("ageMs", age.Milliseconds()))
 }
 
 // recordCrash applies a report of a crash. own says that this router observed it; mu is held.
--- a/internal/relay/report.go
+++ b/internal/relay/report.go
@@ -23,7 +23,7 @@
 	Prefix uint64
 	// Zone is the availability zone whose routers get the report first. OtherZones says that some of
 	// the routers in other zones get it as well.
-	Zone string
+	Zone       string
 	OtherZones bool
 }
 
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -21,7 +21,7 @@
 	// stepAt is when this router learned of the present step.
 	stepAt time.Time
 	// reportedAt is when the last report was sent, and reportedRequests its number of requests.
-	reportedAt time.Time
+	reportedAt       time.Time
 	reportedRequests uint32
 	// loggedVerdict is the verdict that was logged last.
 	loggedVerdict roll.Verdict
@@ -31,7 +31,7 @@
 	writing bool
 	// flow is the rate of requests to the service at all routers. fromStart says that this router
 	// has followed the trial since it was ordered, so that its counts cover the whole trial.
-	flow reportedRate
+	flow      reportedRate
 	fromStart bool
 	// notBefore is when this router writes the next step if no other one does before; it is random,
 	// so that routers do not all write at once. It is zero if no step is due.
@@ -80,7 +80,7 @@
 	// spread; the total is at least minStepWriteWindow and at most maxStepWriteWindow. It takes some
 	// tens of milliseconds until all routers know of a write, so most routers find that another one
 	// was first.
-	stepWriteSpread = 40 * time.Millisecond
+	stepWriteSpread    = 40 * time.Millisecond
 	minStepWriteWindow = 250 * time.Millisecond
 	maxStepWriteWindow = time.Second
 )
@@ -157,34 +157,34 @@
 	if err != nil {
 		r.notBefore = e.Now().Add(minStepWriteWindow)
 	}
-	n, of := r.judge.Exposed()
+	n, total := r.judge.Exposed()
 	e.Log.Info("relay: A step of a roll-out was written.", zap.String("service", next.Service), zap.String("version", next.Version),
 		zap.String("state", string(next.State)), zap.Int("step", next.Step), zap.Stringer("verdict", r.judge.Verdict()),
-		zap.Float64("evidence", r.judge.MaxSum()), r.evidenceField(), zap.Int("exposed", n), zap.Int("requests", of),
+		zap.Float64("evidence", r.judge.MaxSum()), r.evidenceField(), zap.Int("exposed", n), zap.Int("requests", total),
 		zap.Float64("requestsPerSecond", round(r.flow.perSecond)), zap.Int64("onRevision", next.Revision), logs.Err(err))
 }
 
 // findings returns what this router knows of a trial, and logs a change of its verdict; mu is held.
 func (e *Engine) findings(r *rollout) roll.Findings {
 	now := e.Now()
-	n, of := r.judge.Exposed()
-	r.flow.add(now, of)
+	n, total := r.judge.Exposed()
+	r.flow.add(now, total)
 	rest := r.flow.perSecond * max(r.trial.Ends.Sub(now).Seconds(), 0)
-	used, expected := e.exposureUsed(float64(n), float64(of)), e.exposureUsed(float64(n)+rest, float64(of)+rest)
+	used, expected := e.exposureUsed(float64(n), float64(total)), e.exposureUsed(float64(n)+rest, float64(total)+rest)
 	f := roll.Findings{Verdict: r.judge.Verdict(), StepAt: r.stepAt, ExposureSpent: used > 1, ExposureShort: r.fromStart && expected > exposureShortThreshold, Burst: r.fromStart && expected > burstThreshold}
 	if f.Verdict != r.loggedVerdict {
 		r.loggedVerdict = f.Verdict
 		e.Log.Info("relay: What is known of a new version has changed.", zap.String("service", r.trial.Service), zap.String("version", r.trial.Version),
-			zap.Stringer("verdict", f.Verdict), zap.Float64("evidence", r.judge.MaxSum()), r.evidenceField(), zap.Int("exposed", n), zap.Int("requests", of))
+			zap.Stringer("verdict", f.Verdict), zap.Float64("evidence", r.judge.MaxSum()), r.evidenceField(), zap.Int("exposed", n), zap.Int("requests", total))
 	}
 	return f
 }
 
 // exposureUsed returns n requests to a version that may be bad as a fraction of those that it may get out
 // of total requests to its service; over 1 if they are too many.
-func (e *Engine) exposureUsed(n, of float64) float64 {
+func (e *Engine) exposureUsed(n, total float64) float64 {
 	l := e.limits.Load()
-	return n / max(l.ExposeShare*of+l.ExposeSlack*exposureSlackShare, 1)
+	return n / max(l.ExposeShare*total+l.ExposeSlack*exposureSlackShare, 1)
 }
 
 // exposureShortThreshold is the fraction of the allowed requests above which the last step waits. The
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -37,9 +37,9 @@
 // does not get before the last step, so there is no evidence against it.
 func TestBurstDelaysLastStep(t *testing.T) {
 	for _, c := range []struct {
-		name string
+		name  string
 		burst float64
-		want int
+		want  int
 	}{{"even", 1, 3}, {"burst", 2.5, 2}} {
 		e, _, old, latest := onTrial(2)
 		begun := time.Now()
