--- a/internal/relay/evidence.go
+++ b/internal/relay/evidence.go
@@ -43,7 +43,7 @@
 func (r *rollout) hasVersion(v string) bool { return v == r.trial.Version }
 
 // recordTrialRequest counts an attempt for the roll-out of its service, if there is one, and sets the
-// attempt's loaded and peaks; mu is held.
+// attempt's loaded and inPeak; mu is held.
 func (x *run) recordTrialRequest(a *Attempt, now time.Time) {
 	if r := x.e.judgedRollout(a.Endpoint.Service); r != nil {
 		r.judge.AddRequest(r.isNew(&a.Endpoint))
