--- a/internal/relay/evidence.go
+++ b/internal/relay/evidence.go
@@ -233,10 +233,10 @@
 // updateJudge calls add with the judge of a roll-out, and logs if the version is found bad by that; mu is
 // held.
 func (e *Engine) updateJudge(r *rollout, by string, add func(j *roll.Judge)) {
-	was := r.judge.Bad()
+	wasBad := r.judge.Bad()
 	r.judge.Endpoints = e.book.Count(r.trial.Service, r.hasVersion)
 	add(&r.judge)
-	if was || !r.judge.Bad() {
+	if wasBad || !r.judge.Bad() {
 		return
 	}
 	n, total := r.judge.Exposed()
--- a/internal/relay/notice.go
+++ b/internal/relay/notice.go
@@ -49,11 +49,11 @@
 // if a report of its limit is due.
 func (e *Engine) recordNotice(p *pool.Endpoint, request string, n pool.Notice, sentAt, now time.Time) {
 	c := p.RecordNotice(n, sentAt, now)
-	ended := c.Limit && n.Limit == pool.Unlimited
-	if ended || c.Leaving || p.LimitReportDue(now, limitReportInterval) {
+	lifted := c.Limit && n.Limit == pool.Unlimited
+	if lifted || c.Leaving || p.LimitReportDue(now, limitReportInterval) {
 		// Routers without a share learn from those with one that a limit was lifted.
-		_, holds := p.LimitSharers()
-		e.Notifier.SendNotice(newNoticeMessage(p), ended && holds)
+		_, hasShare := p.LimitSharers()
+		e.Notifier.SendNotice(newNoticeMessage(p), lifted && hasShare)
 	}
 	if c.Rest {
 		e.metrics.count("rests_asked", "", "")
--- a/internal/relay/outcome.go
+++ b/internal/relay/outcome.go
@@ -155,9 +155,9 @@
 		return &silenceTimer{}
 	}
 	x.e.mu.Lock()
-	paid := x.e.budget(x.service).Remaining(x.e.Now()) >= 1
+	inBudget := x.e.budget(x.service).Remaining(x.e.Now()) >= 1
 	x.e.mu.Unlock()
-	if !paid {
+	if !inBudget {
 		return &silenceTimer{}
 	}
 	s := &silenceTimer{timer: time.AfterFunc(a.headTimeout(x.route), func() { cancel(errSilent) })}
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -224,8 +224,8 @@
 
 // mergeVerdict merges a verdict and logs it if it is new here; mu is held. why is the reason to log.
 func (e *Engine) mergeVerdict(v *poison.Verdict, why string) {
-	was := e.crashes.Round(v.Fingerprint)
-	if e.crashes.Merge(e.Now(), *v) && v.Round != was {
+	oldRound := e.crashes.Round(v.Fingerprint)
+	if e.crashes.Merge(e.Now(), *v) && v.Round != oldRound {
 		e.logVerdict(v, why)
 	}
 }
@@ -301,13 +301,13 @@
 func (e *Engine) maintainQuarantines(now time.Time) {
 	e.mu.Lock()
 	e.expired = append(e.expired, e.crashes.Expire(now)...)
-	fresh := e.crashes.RecentChanges(now, e.Quarantines.MaxResend)
+	recent := e.crashes.RecentChanges(now, e.Quarantines.MaxResend)
 	suspects, quarantined := e.crashes.Counts()
 	e.mu.Unlock()
 	e.metrics.suspects.Update(float64(suspects))
 	e.metrics.quarantined.Update(float64(quarantined))
-	if len(fresh) > 0 {
-		e.Quarantines.ResendVerdicts(fresh)
+	if len(recent) > 0 {
+		e.Quarantines.ResendVerdicts(recent)
 	}
 }
 
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -29,10 +29,10 @@
 	names map[uint32]string
 	// writing says that a step is being written; the engine's mu guards it.
 	writing bool
-	// flow is the rate of requests to the service at all routers. fromStart says that this router
+	// requestRate is the rate of requests to the service at all routers. fromStart says that this router
 	// has followed the trial since it was ordered, so that its counts cover the whole trial.
-	flow      reportedRate
-	fromStart bool
+	requestRate reportedRate
+	fromStart   bool
 	// notBefore is when this router writes the next step if no other one does before; it is random,
 	// so that routers do not all write at once. It is zero if no step is due.
 	notBefore time.Time
@@ -161,15 +161,15 @@
 	e.Log.Info("relay: A step of a roll-out was written.", zap.String("service", next.Service), zap.String("version", next.Version),
 		zap.String("state", string(next.State)), zap.Int("step", next.Step), zap.Stringer("verdict", r.judge.Verdict()),
 		zap.Float64("evidence", r.judge.MaxSum()), r.evidenceField(), zap.Int("exposed", n), zap.Int("requests", total),
-		zap.Float64("requestsPerSecond", round(r.flow.perSecond)), zap.Int64("onRevision", next.Revision), logs.Err(err))
+		zap.Float64("requestsPerSecond", round(r.requestRate.perSecond)), zap.Int64("onRevision", next.Revision), logs.Err(err))
 }
 
 // findings returns what this router knows of a trial, and logs a change of its verdict; mu is held.
 func (e *Engine) findings(r *rollout) roll.Findings {
 	now := e.Now()
 	n, total := r.judge.Exposed()
-	r.flow.add(now, total)
-	rest := r.flow.perSecond * max(r.trial.Ends.Sub(now).Seconds(), 0)
+	r.requestRate.add(now, total)
+	rest := r.requestRate.perSecond * max(r.trial.Ends.Sub(now).Seconds(), 0)
 	used, expected := e.exposureUsed(float64(n), float64(total)), e.exposureUsed(float64(n)+rest, float64(total)+rest)
 	f := roll.Findings{Verdict: r.judge.Verdict(), StepAt: r.stepAt, ExposureSpent: used > 1, ExposureShort: r.fromStart && expected > exposureShortThreshold, Burst: r.fromStart && expected > burstThreshold}
 	if f.Verdict != r.loggedVerdict {
