--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -53,11 +53,11 @@
 // A crash is not counted for a request whose connection was still being opened when the endpoint was found
 // gone, as nothing of it was sent.
 //
-// Otherwise such requests are quarantined: with five requests that crash endpoints, one or two of some
-// 730 others were, for ten minutes, in two of three runs. Every third crash counted for them had an age
-// of 0 ms and ended as a refused connection: they came to an endpoint that had been gone for half a
-// second, while another attempt probed it. All requests at an endpoint counted as running there from the
-// moment at which it was chosen.
+// If all requests at an endpoint count as running there from the moment at which it is chosen, such requests
+// are quarantined: with five requests that crash endpoints, one or two of some 730 others were, for ten
+// minutes, in two of three runs. Every third crash counted for them had an age of 0 ms and ended as a
+// refused connection: they came to an endpoint that had been gone for half a second, while another attempt
+// probed it.
 func TestCrashIsNotCountedForUnsentRequest(t *testing.T) {
 	s := newCrashFixture()
 	dropped, running, opening := s.send("dropped"), s.send("running"), s.send("opening")
