--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -107,7 +107,7 @@
 	inFlight map[uint64]*inFlight
 	// budgets holds the retry budgets, by service.
 	budgets map[string]*budget.Window
-	// headTimes holds the mean time to the head, by sort of request; see sortOf.
+	// headTimes holds the mean time to the head, by sort of request; see timingKey.
 	headTimes map[string]*timeMean
 	// readSpeeds holds how long endpoints take to read a token, by model; see readKey.
 	readSpeeds map[string]*readSpeed
