--- a/internal/relay/borrow_test.go
+++ b/internal/relay/borrow_test.go
@@ -16,9 +16,9 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// limited returns a core that has nothing left of its share of its endpoint's limit, and counts what
-// it sends. ask is called for its questions to the router that has the rest.
-func limited(sent *int, ask func(e *Engine, w NoticeWord)) *Engine {
+// engineAtLimit returns an engine whose share of its endpoint's limit is used up. It counts the attempts that
+// the engine sends. onQuery receives the engine's queries to the router that has the rest of the limit.
+func engineAtLimit(sent *int, onQuery func(e *Engine, w NoticeMessage)) *Engine {
 	e := engine(Route{Kind: Safe, MaxAttempts: 1}, func(context.Context, *Attempt) (*Reply, error) {
 		*sent++
 		return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Length: 2, IDMatches: true, Authenticated: true}, nil
@@ -27,54 +27,54 @@
 	p := e.book.Get("e")
 	p.RecordSend(time.Now())
 	p.RecordNotice(pool.Notice{Limit: pool.Limited, PerSecond: 0.01}, time.Now(), time.Now())
-	e.Notifier.Ask = func(w NoticeWord, _ int, _ uint64) { go ask(e, w) }
+	e.Notifier.QueryLimit = func(w NoticeMessage, _ int, _ uint64) { go onQuery(e, w) }
 	return e
 }
 
-// A request that limits leave nothing for is sent if another router grants that, and refused soon if
-// none does, with the time to come back.
+// A request that exceeds this router's shares of the limits is sent if another router grants it. Otherwise
+// it is refused soon, with a time to retry.
 func TestRequestIsSentByGrant(t *testing.T) {
 	by := netip.MustParseAddr("127.0.0.1")
-	answer := func(w NoticeWord, granted bool) NoticeWord {
-		w.Answers, w.Granted, w.Wait = true, granted, time.Minute
+	answer := func(w NoticeMessage, granted bool) NoticeMessage {
+		w.IsAnswer, w.Granted, w.Wait = true, granted, time.Minute
 		return w
 	}
 	for _, c := range []struct {
 		name         string
-		ask          func(e *Engine, w NoticeWord)
+		onQuery      func(e *Engine, w NoticeMessage)
 		status, sent int
 	}{
-		{"granted", func(e *Engine, w NoticeWord) { e.HeardNotice(by, answer(w, true)) }, 200, 1},
-		{"granted for another life", func(e *Engine, w NoticeWord) { w.Life++; e.HeardNotice(by, answer(w, true)) }, 503, 0},
-		{"not granted", func(e *Engine, w NoticeWord) { e.HeardNotice(by, answer(w, false)) }, 503, 0},
-		{"the limit has ended", func(e *Engine, w NoticeWord) { w.Limit = pool.Unlimited; e.HeardNotice(by, answer(w, false)) }, 200, 1},
-		{"no answer", func(*Engine, NoticeWord) {}, 503, 0},
+		{"granted", func(e *Engine, w NoticeMessage) { e.ReceiveNotice(by, answer(w, true)) }, 200, 1},
+		{"granted for another incarnation", func(e *Engine, w NoticeMessage) { w.Incarnation++; e.ReceiveNotice(by, answer(w, true)) }, 503, 0},
+		{"not granted", func(e *Engine, w NoticeMessage) { e.ReceiveNotice(by, answer(w, false)) }, 503, 0},
+		{"limit lifted", func(e *Engine, w NoticeMessage) { w.Limit = pool.Unlimited; e.ReceiveNotice(by, answer(w, false)) }, 200, 1},
+		{"no answer", func(*Engine, NoticeMessage) {}, 503, 0},
 	} {
 		sent := 0
-		e := limited(&sent, c.ask)
+		e := engineAtLimit(&sent, c.onQuery)
 		w := httptest.NewRecorder()
 		e.Serve(t.Context(), w, &Request{ID: "x", Method: "GET", Host: "h", Path: "/", Target: "/", Header: http.Header{}, Arrived: time.Now()})
 		if w.Code != c.status || sent != c.sent {
 			t.Errorf("%s: got status %d after %d attempts, want %d and %d", c.name, w.Code, sent, c.status, c.sent)
 		}
 		if w.Code == http.StatusServiceUnavailable && w.Header().Get("Retry-After") == "" {
-			t.Errorf("%s: refused without the time to come back", c.name)
+			t.Errorf("%s: refused without Retry-After", c.name)
 		}
 	}
 }
 
-// A router gives what is left of its share once, in its turn, and nothing of a limit that has ended or
-// that another life named.
+// A router grants a request of its share at most once per interval, and none for a limit that was lifted
+// or that another incarnation of the endpoint announced.
 func TestShareIsGrantedOnce(t *testing.T) {
 	e := engine(Route{Kind: Safe}, nil)
 	now := time.Now()
 	e.Now = func() time.Time { return now }
 	e.book.SetSenders(pool.Senders{Self: 1, All: []uint64{1, 2}})
 	p := e.book.Get("e")
-	const turn = 2 * time.Second
-	q := NoticeWord{Endpoint: p.Hash(), Life: p.Incarnation(), Notice: pool.Notice{Limit: pool.Limited, PerSecond: 1 / turn.Seconds()}}
+	const interval = 2 * time.Second
+	q := NoticeMessage{Endpoint: p.Hash(), Incarnation: p.Incarnation(), Notice: pool.Notice{Limit: pool.Limited, PerSecond: 1 / interval.Seconds()}}
 	if _, all := p.LimitSharers(); !all {
-		t.Fatal("no share of a limit that two share")
+		t.Fatal("limit shared by two routers: this one has no share")
 	}
 	for _, c := range []struct {
 		name    string
@@ -83,19 +83,19 @@
 		limit   pool.LimitStatus
 		granted bool
 	}{
-		{"of a limit that it did not know", func() {}, true, pool.Limited, false},
-		{"in its turn", func() { now = now.Add(2 * turn) }, true, pool.Limited, true},
-		{"again", func() {}, true, pool.Limited, false},
-		{"once it has ended", func() { p.RecordNotice(pool.Notice{Limit: pool.Unlimited}, now.Add(time.Millisecond), now) }, true, pool.Unlimited, false},
-		{"of another life", func() { q.Life++ }, false, pool.LimitUnspecified, false},
+		{"limit unknown so far", func() {}, true, pool.Limited, false},
+		{"request available", func() { now = now.Add(2 * interval) }, true, pool.Limited, true},
+		{"share used up", func() {}, true, pool.Limited, false},
+		{"limit lifted", func() { p.RecordNotice(pool.Notice{Limit: pool.Unlimited}, now.Add(time.Millisecond), now) }, true, pool.Unlimited, false},
+		{"another incarnation", func() { q.Incarnation++ }, false, pool.LimitUnspecified, false},
 	} {
 		c.before()
-		w, ok := e.AnswerLimit(q)
+		w, ok := e.AnswerLimitQuery(q)
 		if ok != c.ok || w.Limit != c.limit || w.Granted != c.granted {
 			t.Errorf("%s: got %+v, %v, want limit %v, granted %v, %v", c.name, w, ok, c.limit, c.granted, c.ok)
 		}
 		if waits := w.Limit == pool.Limited; waits != (w.Wait > 0) {
-			t.Errorf("%s: got a wait of %v", c.name, w.Wait)
+			t.Errorf("%s: got a wait of %v, want more than 0 only for a limited endpoint", c.name, w.Wait)
 		}
 	}
 }
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -13,126 +13,130 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// Gone reports whether nothing listens at an endpoint's address any more: a connection is
-// refused there. known is false where nothing came back: a VM that is silent or cut off, or
-// a packet that was lost.
-type Gone func(ctx context.Context, p pool.Entry) (gone, known bool)
+// CheckEnded reports whether an endpoint has ended: gone is set if its address refuses
+// connections. known is false if nothing came back, as its VM is silent or cut off or a packet was
+// lost.
+type CheckEnded func(ctx context.Context, p pool.Entry) (gone, known bool)
 
 const (
-	// crashedFor is how long after an endpoint was found gone what breaks off there is put
-	// down to the same crash. Endpoints are back after a second at the earliest.
-	crashedFor = time.Second
-	// lingersFor is how long after its last attempt was left a request may still be what
-	// crashes the endpoint: a run that the router dropped does so as well, also one that
-	// waited there, for half a second in a busy service.
-	lingersFor = 2500 * time.Millisecond
-	// goneWithin bounds the question whether an endpoint is gone, which a failed request
-	// waits for: a refusal takes as long as a connection, 4 ms between zones.
-	goneWithin = 100 * time.Millisecond
-	// goneAsks is how often that is asked before it stays open: of four, one comes back
-	// where each packet is lost with a chance of three in ten.
-	goneAsks = 4
-	// inFlightMost bounds the requests that are remembered of one endpoint; the users'
-	// endpoints run 64 at a time, some of which have just ended.
-	inFlightMost = 256
+	// crashWindow is how long after an endpoint was found gone lost connections to it are attributed
+	// to the same crash. Endpoints restart after a second at the earliest.
+	crashWindow = time.Second
+	// abandonedRunWindow is how long after its last attempt ended without a complete answer a request
+	// may still crash the endpoint. A run that the router dropped can do so too, also one that is
+	// still queued there, for half a second in a busy service.
+	abandonedRunWindow = 2500 * time.Millisecond
+	// probeTimeout limits the probe of whether an endpoint has ended, which a failed request waits
+	// for. A refusal takes as long as a connection, 4 ms between availability zones.
+	probeTimeout = 100 * time.Millisecond
+	// maxUnansweredProbes is the number of probes in a row without a result after which an endpoint's
+	// state stays unknown. If packets are lost with a probability of three in ten, one of four
+	// probes gets a result.
+	maxUnansweredProbes = 4
+	// maxInFlight is the maximum number of requests tracked per endpoint. Endpoints run 64 at a time;
+	// the others have just ended.
+	maxInFlight = 256
 )
 
-// sentRequest is a request at an endpoint, from when it was sent until a while after it was left.
+// sentRequest tracks a request at an endpoint, from when it was sent until abandonedRunWindow after its
+// attempt ended.
 type sentRequest struct {
-	// attempt is the attempt while it is under way, then nil: it holds the body.
+	// attempt is nil once the attempt has ended, as it holds the request body.
 	attempt *Attempt
-	// id and fingerprint name the request; fingerprint is zero while it is under way.
+	// id is the request ID. fingerprint identifies the request and its repeats; it is zero while the
+	// attempt is active.
 	id          string
 	fingerprint poison.Fingerprint
-	// sentAt is when it was sent.
+	// sentAt is when the endpoint was chosen and the attempt began.
 	sentAt time.Time
-	// openedAt is when its connection was open; zero before. Nothing of it was at the endpoint
-	// until then.
+	// openedAt is when the connection was open; zero before. Nothing of the request was at the
+	// endpoint until then.
 	openedAt time.Time
-	// leftAt is when it was left without a whole answer; zero while it is under way.
-	leftAt time.Time
-	// counted says that the endpoint's crash was counted for it.
+	// endedAt is when the attempt ended without a complete answer; zero while it is active.
+	endedAt time.Time
+	// counted says that the endpoint's crash was counted for this request.
 	counted bool
-	// suspect says that an endpoint crashed under it before.
+	// suspect says that an endpoint had crashed under this request before it was sent here.
 	suspect bool
 }
 
-// name returns the fingerprint of the request.
-func (s *sentRequest) name() poison.Fingerprint {
+// requestFingerprint returns the fingerprint of the request, also while the attempt is active.
+func (s *sentRequest) requestFingerprint() poison.Fingerprint {
 	if s.attempt != nil {
 		return s.attempt.fingerprint()
 	}
 	return s.fingerprint
 }
 
-// opened notes that its connection is open, unless that is known.
-func (s *sentRequest) opened(now time.Time) {
+// markOpened records that the connection is open, unless that is recorded already.
+func (s *sentRequest) markOpened(now time.Time) {
 	if s.openedAt.IsZero() {
 		s.openedAt = now
 	}
 }
 
-// mayHaveCrashed reports whether it may be what crashed the endpoint that was found gone at a time. One that
-// was still opening its connection then is not: it would be blamed for a crash that it came after.
+// mayHaveCrashed reports whether the request may have crashed the endpoint that was found gone at goneAt. A
+// request whose connection was still being opened then arrived after the crash.
 func (s *sentRequest) mayHaveCrashed(goneAt time.Time) bool {
 	return !s.openedAt.IsZero() && !s.openedAt.After(goneAt)
 }
 
-// forgotten reports whether it was left too long ago to be what crashes the endpoint.
-func (s *sentRequest) forgotten(now time.Time) bool {
-	return !s.leftAt.IsZero() && now.Sub(s.leftAt) > lingersFor
+// expired reports whether the attempt ended too long ago for the request to crash the endpoint.
+func (s *sentRequest) expired(now time.Time) bool {
+	return !s.endedAt.IsZero() && now.Sub(s.endedAt) > abandonedRunWindow
 }
 
-// inFlight is what an endpoint may be running.
+// inFlight holds the requests that an endpoint may be running, and the state of its probes.
 type inFlight struct {
 	requests []*sentRequest
-	// goneAt is when the endpoint was found gone; zero for never.
+	// goneAt is when the endpoint was last found gone; zero for never.
 	goneAt time.Time
-	// asking is closed once the question whether it is gone is answered; nil if nobody
-	// asks.
-	asking chan struct{}
-	// asked is how often that was asked in a row without anything coming back.
-	asked int
+	// probeDone is closed when the current probe of the endpoint has ended; nil if there is none.
+	probeDone chan struct{}
+	// unansweredProbes counts the probes in a row without a result.
+	unansweredProbes int
 }
 
-// uncounted reports whether there are requests that the endpoint's crash was not counted for.
-func (b *inFlight) uncounted(now time.Time) bool {
-	return slices.ContainsFunc(b.requests, func(s *sentRequest) bool { return !s.counted && s.mayHaveCrashed(now) && !s.forgotten(now) })
+// hasUncounted reports whether there are requests for which a crash of the endpoint at now is still to be
+// counted.
+func (b *inFlight) hasUncounted(now time.Time) bool {
+	return slices.ContainsFunc(b.requests, func(s *sentRequest) bool { return !s.counted && s.mayHaveCrashed(now) && !s.expired(now) })
 }
 
-// drop takes a request out.
+// drop stops tracking a request.
 func (b *inFlight) drop(s *sentRequest) {
 	b.requests = slices.DeleteFunc(b.requests, func(q *sentRequest) bool { return q == s })
 }
 
-// noteSent notes a request that is sent to an endpoint; mu is held.
-func (e *Engine) noteSent(a *Attempt) {
+// trackSent records a request that is sent to an endpoint; mu is held.
+func (e *Engine) trackSent(a *Attempt) {
 	b := getOrCreate(e.inFlight, a.hash)
-	if len(b.requests) >= inFlightMost {
+	if len(b.requests) >= maxInFlight {
 		b.requests = b.requests[1:]
 	}
 	a.sent = &sentRequest{attempt: a, id: a.Request.ID, sentAt: e.Now(), suspect: !e.crashes.Empty() && e.crashes.Crashes(a.fingerprint()) > 0}
 	b.requests = append(b.requests, a.sent)
-	a.OnConnected = func() { e.noteOpened(a.sent) }
+	a.OnConnected = func() { e.trackOpened(a.sent) }
 }
 
-// noteOpened notes that the connection of a request is open.
-func (e *Engine) noteOpened(s *sentRequest) {
+// trackOpened records that the connection of a request is open.
+func (e *Engine) trackOpened(s *sentRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s.opened(e.Now())
+	s.markOpened(e.Now())
 }
 
-// noteLeft notes that an attempt has ended; mu is held.
-func (e *Engine) noteLeft(a *Attempt, now time.Time) {
+// trackEnded records that an attempt has ended; mu is held. A request that was answered completely is no
+// longer tracked.
+func (e *Engine) trackEnded(a *Attempt, now time.Time) {
 	if a.harmless {
 		getOrCreate(e.inFlight, a.hash).drop(a.sent)
 		return
 	}
-	a.sent.fingerprint, a.sent.leftAt, a.sent.attempt = a.fingerprint(), now, nil
+	a.sent.fingerprint, a.sent.endedAt, a.sent.attempt = a.fingerprint(), now, nil
 }
 
-// fingerprintFor returns what repeats of a workspace's request have in common; the engine's mu is held.
+// fingerprintFor returns the fingerprint that repeats of a workspace's request share; the engine's mu is held.
 func (r *Request) fingerprintFor(workspace string) poison.Fingerprint {
 	if r.fingerprint == (poison.Fingerprint{}) {
 		req := poison.Request{Method: r.Method, Host: normalizeHost(r.Host), Path: r.Path, Query: r.Target[min(len(r.Path), len(r.Target)):], Caller: workspace, Body: r.Body}
@@ -141,10 +145,10 @@
 	return r.fingerprint
 }
 
-// fingerprint returns that of the attempt's request; mu is held.
+// fingerprint returns the fingerprint of the attempt's request; the engine's mu is held.
 func (a *Attempt) fingerprint() poison.Fingerprint { return a.Request.fingerprintFor(a.Workspace) }
 
-// fingerprint returns that of the request; the engine's mu is held.
+// fingerprint returns the fingerprint of the request; the engine's mu is held.
 func (x *run) fingerprint() poison.Fingerprint {
 	if x.workspace == nil {
 		return x.r.fingerprintFor("")
@@ -152,72 +156,76 @@
 	return x.r.fingerprintFor(x.workspace.Name)
 }
 
-// sweepInFlight forgets what was left a while ago.
+// sweepInFlight removes the requests whose attempts ended more than abandonedRunWindow ago, and then the
+// endpoints that have neither requests nor a probe and were not found gone within crashWindow.
 func (e *Engine) sweepInFlight(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for hash, b := range e.inFlight {
-		b.requests = slices.DeleteFunc(b.requests, func(s *sentRequest) bool { return s.forgotten(now) })
-		if len(b.requests) == 0 && b.asking == nil && now.Sub(b.goneAt) > crashedFor {
+		b.requests = slices.DeleteFunc(b.requests, func(s *sentRequest) bool { return s.expired(now) })
+		if len(b.requests) == 0 && b.probeDone == nil && now.Sub(b.goneAt) > crashWindow {
 			delete(e.inFlight, hash)
 		}
 	}
 }
 
-// broken reports whether an attempt's connection ended by itself, or could not be opened.
-func broken(err *fault.Error, t *attemptRecord) bool {
+// connectionLost reports whether the connection of an attempt broke off, or could not be opened. An attempt
+// that the router gave up because the endpoint was silent does not count.
+func connectionLost(err *fault.Error, t *attemptRecord) bool {
 	return err.Kind == fault.EndpointLost && t.Outcome != outcomeSilent
 }
 
-// askGone finds out whether the endpoint of an attempt that broke off has ended, and counts
-// that for the requests that it may have been running. Those that ask at once ask together.
-func (e *Engine) askGone(ctx context.Context, a *Attempt) {
+// checkCrashed determines whether the endpoint of an attempt whose connection was lost has ended, and
+// counts the crash for the requests that it may have been running. Concurrent calls for one endpoint
+// share a probe.
+func (e *Engine) checkCrashed(ctx context.Context, a *Attempt) {
 	e.mu.Lock()
 	b := getOrCreate(e.inFlight, a.hash)
 	if a.harmless {
 		b.drop(a.sent)
 	} else {
-		// What may have run was sent.
-		a.sent.opened(a.sent.sentAt)
+		// The request may have run, so it was sent.
+		a.sent.markOpened(a.sent.sentAt)
 	}
 	now := e.Now()
-	if !b.uncounted(now) {
+	if !b.hasUncounted(now) {
 		e.mu.Unlock()
 		return
 	}
-	if now.Sub(b.goneAt) <= crashedFor && (a.harmless || a.sent.mayHaveCrashed(b.goneAt)) {
+	if now.Sub(b.goneAt) <= crashWindow && (a.harmless || a.sent.mayHaveCrashed(b.goneAt)) {
 		e.countCrash(&a.Endpoint, b, now)
 		e.mu.Unlock()
 		return
 	}
-	asking := b.asking
-	if asking == nil {
-		b.asking = make(chan struct{})
+	probeDone := b.probeDone
+	if probeDone == nil {
+		b.probeDone = make(chan struct{})
 	}
 	e.mu.Unlock()
-	if asking == nil {
-		e.findGone(ctx, a.Endpoint, b)
+	if probeDone == nil {
+		e.probeEndpoint(ctx, a.Endpoint, b)
 		return
 	}
 	select {
-	case <-asking:
+	case <-probeDone:
 	case <-ctx.Done():
 	}
 }
 
-// findGone asks whether an endpoint has ended, for all who ask, and counts it if it has.
-func (e *Engine) findGone(ctx context.Context, p pool.Entry, b *inFlight) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), goneWithin)
+// probeEndpoint probes whether an endpoint has ended, for all that wait for b.probeDone, and counts the
+// crash if it has.
+func (e *Engine) probeEndpoint(ctx context.Context, p pool.Entry, b *inFlight) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	gone, known := e.CheckEnded(ctx, p)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	close(b.asking)
-	b.asking = nil
-	if b.asked++; known {
-		b.asked = 0
-	} else if b.asked%goneAsks != 0 {
-		e.probe(pool.HashOf(p.ID))
+	close(b.probeDone)
+	b.probeDone = nil
+	if b.unansweredProbes++; known {
+		b.unansweredProbes = 0
+	} else if b.unansweredProbes%maxUnansweredProbes != 0 {
+		e.enqueueProbe(pool.HashOf(p.ID))
 	}
 	if gone {
 		b.goneAt = e.Now()
@@ -226,11 +234,12 @@
 	}
 }
 
-// probe has it asked whether an endpoint has ended, if it may be running what that would be
-// counted for; mu is held. Where too many wait already, it is left out: what follows shows it.
-func (e *Engine) probe(hash uint64) {
+// enqueueProbe queues a probe of whether an endpoint has ended, if the endpoint may be running requests
+// for which its crash is to be counted; mu is held. If too many probes are pending, this one is
+// dropped: later failures show the crash.
+func (e *Engine) enqueueProbe(hash uint64) {
 	b, p := e.inFlight[hash], e.book.ByHash(hash)
-	if b == nil || p == nil || !b.uncounted(e.Now()) {
+	if b == nil || p == nil || !b.hasUncounted(e.Now()) {
 		return
 	}
 	select {
@@ -239,27 +248,27 @@
 	}
 }
 
-// probesMost bounds the endpoints that wait for that.
-const probesMost = 64
+// maxPendingProbes is the maximum number of endpoints that wait for a probe.
+const maxPendingProbes = 64
 
-// WatchCrashes asks whether endpoints have ended that others found failing, or at which a request
-// was dropped under which another one crashed, and judges the requests that are suspected, until
+// WatchCrashes probes the endpoints of which peers reported failures, and those at which a request was
+// dropped under which another endpoint crashed. It also judges the suspected requests. It returns nil when
 // ctx is done.
 func (e *Engine) WatchCrashes(ctx context.Context) error {
-	settled := time.NewTimer(0)
-	defer settled.Stop()
+	judgeTimer := time.NewTimer(0)
+	defer judgeTimer.Stop()
 	for waiting := true; ; {
 		select {
 		case p := <-e.probes:
-			e.runProbe(ctx, p)
+			e.handleProbe(ctx, p)
 		case <-e.judgeDue:
 			if !waiting {
-				settled.Reset(poison.SettleDelay)
+				judgeTimer.Reset(poison.SettleDelay)
 			}
 			waiting = true
-		case <-settled.C:
+		case <-judgeTimer.C:
 			if waiting = e.judge(); waiting {
-				settled.Reset(poison.SettleDelay / 2)
+				judgeTimer.Reset(poison.SettleDelay / 2)
 			}
 		case <-ctx.Done():
 			return nil
@@ -267,52 +276,52 @@
 	}
 }
 
-// runProbe asks whether an endpoint has ended, unless that is being asked.
-func (e *Engine) runProbe(ctx context.Context, p pool.Entry) {
+// handleProbe probes whether an endpoint has ended, unless a probe of it is in progress.
+func (e *Engine) handleProbe(ctx context.Context, p pool.Entry) {
 	e.mu.Lock()
 	b, now := e.inFlight[pool.HashOf(p.ID)], e.Now()
-	if b == nil || b.asking != nil || !b.uncounted(now) {
+	if b == nil || b.probeDone != nil || !b.hasUncounted(now) {
 		e.mu.Unlock()
 		return
 	}
-	b.asking = make(chan struct{})
+	b.probeDone = make(chan struct{})
 	e.mu.Unlock()
-	e.findGone(ctx, p, b)
+	e.probeEndpoint(ctx, p, b)
 }
 
-// countCrash counts the crash of an endpoint for the requests that it may have been running; mu
-// is held. One that was about to leave has ended as planned.
+// countCrash counts the crash of an endpoint for the requests that it may have been running; mu is held.
+// An endpoint that had announced that it leaves ended as planned.
 func (e *Engine) countCrash(p *pool.Entry, b *inFlight, now time.Time) {
 	known := e.book.Get(p.ID)
 	if known == nil || known.IsLeaving() {
 		return
 	}
 	for _, s := range b.requests {
-		if s.counted || s.forgotten(now) || !s.mayHaveCrashed(b.goneAt) {
+		if s.counted || s.expired(now) || !s.mayHaveCrashed(b.goneAt) {
 			continue
 		}
 		s.counted = true
-		e.countFor(s, p, known.Hash(), len(b.requests)-1, now)
-		e.probeAll(e.droppedAt(s.name(), b))
+		e.countCrashFor(s, p, known.Hash(), len(b.requests)-1, now)
+		e.enqueueProbes(e.endpointsDropping(s.requestFingerprint(), b))
 	}
 }
 
-// droppedAt returns the endpoints, by their hashes, other than but, at which a request was dropped a
-// moment ago and which were not found to have crashed since: a run that was dropped crashes its endpoint
-// unseen. mu is held.
-func (e *Engine) droppedAt(p poison.Fingerprint, but *inFlight) (list []uint64) {
+// endpointsDropping returns the hashes of the endpoints, other than except, at which the request was dropped
+// recently and which were not found to have crashed since: a dropped run can crash its endpoint without a
+// failed attempt that shows it. mu is held.
+func (e *Engine) endpointsDropping(p poison.Fingerprint, except *inFlight) (list []uint64) {
 	for hash, b := range e.inFlight {
-		its := func(s *sentRequest) bool { return !s.counted && !s.leftAt.IsZero() && s.fingerprint == p }
-		if b != but && slices.ContainsFunc(b.requests, its) {
+		matches := func(s *sentRequest) bool { return !s.counted && !s.endedAt.IsZero() && s.fingerprint == p }
+		if b != except && slices.ContainsFunc(b.requests, matches) {
 			list = append(list, hash)
 		}
 	}
 	return list
 }
 
-// probeAll has it asked whether endpoints have ended; mu is held.
-func (e *Engine) probeAll(hashes []uint64) {
+// enqueueProbes queues a probe for each endpoint; mu is held.
+func (e *Engine) enqueueProbes(hashes []uint64) {
 	for _, hash := range hashes {
-		e.probe(hash)
+		e.enqueueProbe(hash)
 	}
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -16,47 +16,48 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// CrashReport is word of a request under which an endpoint crashed, or that was answered whole.
+// CrashReport reports that an endpoint crashed under a request, or that the request was answered completely.
 type CrashReport struct {
 	Fingerprint poison.Fingerprint
 	// Endpoint is the hash of the endpoint's ID.
 	Endpoint uint64
-	// Age is how long the request had been there.
+	// Age is the time from the choice of the endpoint to its crash.
 	Age time.Duration
-	// Whole says that the request was answered, which clears it.
-	Whole bool
+	// Answered says that the request was answered, which clears it.
+	Answered bool
 }
 
-// Quarantines is what the engine tells and asks of the other routers and the store about requests
-// that crash endpoints. Its functions are seams.
-type Quarantines struct {
-	// Report tells the routers that keep the request's crashes.
-	Report func(r CrashReport)
-	// Changed tells all routers of verdicts, Again some of them once more.
-	Changed, Again func(list []poison.Verdict)
-	// AgainMost is how many verdicts are worth telling again at a time.
-	AgainMost int
+// QuarantineHooks connects the engine to the other routers and the store for requests that crash
+// endpoints. The owner of the Engine sets the functions.
+type QuarantineHooks struct {
+	// SendCrash sends a report to the routers that keep the crashes of its request.
+	SendCrash func(r CrashReport)
+	// SendVerdicts sends verdicts that changed to all routers, ResendVerdicts sends recent ones again
+	// to some.
+	SendVerdicts, ResendVerdicts func(list []poison.Verdict)
+	// MaxResend is the maximum number of verdicts for one call of ResendVerdicts.
+	MaxResend int
 	// Rank returns how many routers come before this one for a request.
 	Rank func(p poison.Fingerprint) int
-	// Alone reports whether no other router hears of what this one learns but from the store.
+	// Alone reports whether other routers learn from this one through the store only.
 	Alone func() bool
 }
 
-// aloneQuarantines are those of a router alone.
-var aloneQuarantines = Quarantines{
-	Report:  func(CrashReport) {},
-	Changed: func([]poison.Verdict) {}, Again: func([]poison.Verdict) {},
+// standaloneQuarantines are the hooks of a router without peers.
+var standaloneQuarantines = QuarantineHooks{
+	SendCrash:    func(CrashReport) {},
+	SendVerdicts: func([]poison.Verdict) {}, ResendVerdicts: func([]poison.Verdict) {},
 	Rank:  func(poison.Fingerprint) int { return 0 },
 	Alone: func() bool { return true },
 }
 
-// quarantined returns why a request is not sent to any endpoint; nil if it may be. It is asked
-// before each attempt, as the verdict may come between two; mu is held.
+// quarantineError returns the error with which a quarantined request is refused, and nil if the request may
+// be sent. It is called before each attempt, as the verdict may change between two; mu is held.
 //
-// A request that crashes what runs it is like any other to the router that meets it first, so
-// that each repeat would crash as many endpoints as its route allows attempts. What it did is
-// therefore remembered apart from its attempts, at every router.
-func (x *run) quarantined(now time.Time) *fault.Error {
+// A router that receives a crashing request for the first time cannot tell it from others, so each repeat
+// would crash as many endpoints as its route allows attempts. Therefore every router keeps the crashes
+// under a request beyond its attempts.
+func (x *run) quarantineError(now time.Time) *fault.Error {
 	e := x.e
 	if e.crashes.Empty() {
 		return nil
@@ -69,12 +70,12 @@
 	return fault.New(fault.Quarantined, fault.NotRun, "%d endpoints or more crashed under request %v; it is not sent to another.", len(v.Crashes), p).WithRetryAt(v.Until)
 }
 
-// awaitJudgement returns once it is known whether the request is quarantined: one under which
-// enough endpoints have crashed is not sent to another in the meantime.
+// awaitJudgement returns once it is known whether the request is quarantined: a request under which enough
+// endpoints have crashed is not sent to another one before.
 func (x *run) awaitJudgement(ctx context.Context) {
 	e := x.e
 	e.awaitResume(ctx)
-	x.awaitDropped(ctx)
+	x.awaitDroppedProbes(ctx)
 	e.mu.Lock()
 	due, waits := time.Time{}, false
 	if !e.crashes.Empty() {
@@ -87,31 +88,31 @@
 	}
 }
 
-// awaitDropped has it asked again whether the endpoints have ended at which the request was dropped,
-// if the crashes under it would be enough with these, and waits for that. A dropped run may end its
-// endpoint just after it was asked about: without the wait the next attempt is what finds out, and
-// costs one more.
-func (x *run) awaitDropped(ctx context.Context) {
+// awaitDroppedProbes probes the endpoints at which the request was dropped, and waits for the results, if
+// the crashes under it would reach the threshold with theirs. A dropped run may end its endpoint just
+// after the last probe. Without the wait the next attempt would find out, at the cost of one more
+// endpoint.
+func (x *run) awaitDroppedProbes(ctx context.Context) {
 	e := x.e
 	e.mu.Lock()
-	asks := false
+	mustWait := false
 	if !e.crashes.Empty() {
 		p := x.fingerprint()
-		if dropped := e.droppedAt(p, nil); e.crashes.ReachesThreshold(p, len(dropped)) {
-			asks = true
-			e.probeAll(dropped)
+		if dropped := e.endpointsDropping(p, nil); e.crashes.ReachesThreshold(p, len(dropped)) {
+			mustWait = true
+			e.enqueueProbes(dropped)
 		}
 	}
 	e.mu.Unlock()
-	if asks {
+	if mustWait {
 		tasks.Pause(ctx, e.Now().Add(poison.SettleDelay))
 	}
 }
 
-// apart returns the endpoints that a request under which one crashed should not meet: those
-// that run another such request. Each then shows by itself whether it crashes what runs it.
-// Nothing for other requests; mu is held.
-func (x *run) apart() (avoid []string) {
+// suspectEndpoints returns the IDs of the endpoints that a suspected request should avoid: those that
+// run another suspected request. It is then known which of the two crashes an endpoint. It returns nil
+// for requests that are not suspected; mu is held.
+func (x *run) suspectEndpoints() (avoid []string) {
 	if x.e.crashes.Empty() {
 		return nil
 	}
@@ -121,7 +122,7 @@
 	}
 	for _, b := range x.e.inFlight {
 		for _, s := range b.requests {
-			if s.suspect && s.attempt != nil && s.name() != p {
+			if s.suspect && s.attempt != nil && s.requestFingerprint() != p {
 				avoid = append(avoid, s.attempt.Endpoint.ID)
 			}
 		}
@@ -129,28 +130,29 @@
 	return avoid
 }
 
-// countFor counts the crash of an endpoint for a request that it may have been running; mu is held.
-func (e *Engine) countFor(s *sentRequest, p *pool.Entry, hash uint64, besides int, now time.Time) {
-	name, age := s.name(), now.Sub(s.sentAt)
-	r := CrashReport{Fingerprint: name, Endpoint: hash, Age: age}
-	e.takeCrash(r, true, now)
-	e.Quarantines.Report(r)
+// countCrashFor counts the crash of an endpoint for a request that it may have been running, and reports it
+// to other routers; mu is held. besides is the number of other requests tracked there.
+func (e *Engine) countCrashFor(s *sentRequest, p *pool.Entry, hash uint64, besides int, now time.Time) {
+	fingerprint, age := s.requestFingerprint(), now.Sub(s.sentAt)
+	r := CrashReport{Fingerprint: fingerprint, Endpoint: hash, Age: age}
+	e.recordCrash(r, true, now)
+	e.Quarantines.SendCrash(r)
 	if !e.logLimits.crashes.AllowN(now, 1) {
 		e.metrics.count("unlogged_crashes", "", p.Service)
 		return
 	}
 	e.Log.Info("relay: An endpoint has crashed under a request.", zap.String("endpoint", p.ID), zap.String("service", p.Service),
-		zap.String("request", s.id), zap.Stringer("fingerprint", name), zap.Int("crashes", e.crashes.Crashes(name)), zap.Int("besides", besides), zap.Int64("ageMs", age.Milliseconds()))
+		zap.String("request", s.id), zap.Stringer("fingerprint", fingerprint), zap.Int("crashes", e.crashes.Crashes(fingerprint)), zap.Int("besides", besides), zap.Int64("ageMs", age.Milliseconds()))
 }
 
-// takeCrash takes over word of a crash, of this router or another; mu is held.
-func (e *Engine) takeCrash(r CrashReport, own bool, now time.Time) {
+// recordCrash applies a report of a crash. own says that this router observed it; mu is held.
+func (e *Engine) recordCrash(r CrashReport, own bool, now time.Time) {
 	why := "other routers told of crashes"
 	if own {
 		why = "an endpoint crashed under it here"
 	}
 	changed, pending := e.crashes.RecordCrash(now, r.Fingerprint, r.Endpoint, r.Age, own)
-	e.tellVerdicts(changed, why)
+	e.publishVerdicts(changed, why)
 	if !pending {
 		return
 	}
@@ -160,17 +162,17 @@
 	}
 }
 
-// judge judges the suspects that are due, and reports whether others are to follow.
+// judge judges the suspects that are due, and reports whether there are others that are not due yet.
 func (e *Engine) judge() (pending bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	changed, pending := e.crashes.Judge(e.Now(), e.view)
-	e.tellVerdicts(changed, "enough endpoints crashed under it")
+	e.publishVerdicts(changed, "enough endpoints crashed under it")
 	return pending
 }
 
-// view returns how much this router sees of the service of an endpoint, or of all if that is
-// not known any more; mu is held.
+// view returns the part of an endpoint's service that this router observes, or of all services if the
+// endpoint is unknown; mu is held.
 func (e *Engine) view(endpoint uint64) (v poison.View) {
 	service, all := "", true
 	if p := e.book.ByHash(endpoint); p != nil {
@@ -188,70 +190,70 @@
 	return v
 }
 
-// HeardCrash takes over what another router tells of a request.
-func (e *Engine) HeardCrash(r CrashReport) {
+// ReceiveCrash applies another router's report on a request.
+func (e *Engine) ReceiveCrash(r CrashReport) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.Whole {
-		e.cleared(r.Fingerprint, e.Now())
+	if r.Answered {
+		e.clearRequest(r.Fingerprint, e.Now())
 		return
 	}
-	e.takeCrash(r, false, e.Now())
+	e.recordCrash(r, false, e.Now())
 }
 
-// HeardVerdicts takes over verdicts and suspicions of another router.
-func (e *Engine) HeardVerdicts(list []poison.Verdict) {
+// ReceiveVerdicts merges verdicts and suspicions of another router.
+func (e *Engine) ReceiveVerdicts(list []poison.Verdict) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before, _ := e.crashes.Counts()
 	for i := range list {
-		e.learnVerdict(&list[i], "another router told it")
+		e.mergeVerdict(&list[i], "another router told it")
 	}
 	if suspects, _ := e.crashes.Counts(); suspects > before {
 		e.Log.Info("relay: Another router told what it suspects.", zap.Int("new", suspects-before), zap.Int("suspects", suspects))
 	}
 }
 
-// TakeVerdict takes over a verdict that the store holds.
-func (e *Engine) TakeVerdict(v poison.Verdict) {
+// MergeStoredVerdict merges a verdict that the store holds.
+func (e *Engine) MergeStoredVerdict(v poison.Verdict) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.learnVerdict(&v, "the store holds it")
+	e.mergeVerdict(&v, "the store holds it")
 	e.crashes.SetStoredRound(v.Fingerprint, v.Round)
 }
 
-// learnVerdict takes over a verdict; mu is held.
-func (e *Engine) learnVerdict(v *poison.Verdict, why string) {
-	was := e.crashes.Round(v.Fingerprint)
-	if e.crashes.Merge(e.Now(), *v) && v.Round != was {
+// mergeVerdict merges a verdict and logs it if it is new here; mu is held. why is the reason to log.
+func (e *Engine) mergeVerdict(v *poison.Verdict, why string) {
+	oldRound := e.crashes.Round(v.Fingerprint)
+	if e.crashes.Merge(e.Now(), *v) && v.Round != oldRound {
 		e.logVerdict(v, why)
 	}
 }
 
-// DropVerdict notes that the store holds no verdict of a request any more: an operator lifts
-// one by removing it there.
-func (e *Engine) DropVerdict(p poison.Fingerprint) {
+// RecordVerdictRemoval records that the store holds no verdict on a request any more. An operator lifts a
+// quarantine by removing its verdict from the store.
+func (e *Engine) RecordVerdictRemoval(p poison.Fingerprint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if v := e.crashes.RecordRemoval(e.Now(), p); v != nil {
-		e.tellVerdicts([]poison.Verdict{*v}, "it was removed from the store")
+		e.publishVerdicts([]poison.Verdict{*v}, "it was removed from the store")
 	}
 }
 
-// cleared notes that a request was answered whole, and reports whether that says anything
-// new; mu is held.
-func (e *Engine) cleared(p poison.Fingerprint, now time.Time) bool {
+// clearRequest records that a request was answered completely, and reports whether it was suspected or
+// quarantined before; mu is held.
+func (e *Engine) clearRequest(p poison.Fingerprint, now time.Time) bool {
 	known := e.crashes.Crashes(p) > 0 || e.crashes.Round(p)%2 == 1
 	if v := e.crashes.RecordSuccess(now, p); v != nil {
-		e.tellVerdicts([]poison.Verdict{*v}, "an endpoint answered it whole")
+		e.publishVerdicts([]poison.Verdict{*v}, "an endpoint answered it whole")
 	}
 	return known
 }
 
-// harmless notes that an endpoint answered an attempt's request whole: it is there no more. With success
-// it does not crash what runs it; a failure says nothing, as the endpoint may have failed, or turned it
-// away, before it ran.
-func (e *Engine) harmless(a *Attempt, status int) {
+// recordCompleted records that an endpoint answered an attempt's request completely, so that it no longer
+// runs it. A successful answer shows that the request does not crash endpoints. A failure shows nothing:
+// the endpoint may have failed, or refused the request, before it ran it.
+func (e *Engine) recordCompleted(a *Attempt, status int) {
 	a.harmless = true
 	if status >= http.StatusMultipleChoices {
 		return
@@ -261,20 +263,20 @@
 	if e.crashes.Empty() {
 		return
 	}
-	if p := a.fingerprint(); e.cleared(p, e.Now()) {
-		e.Quarantines.Report(CrashReport{Fingerprint: p, Endpoint: a.hash, Whole: true})
+	if p := a.fingerprint(); e.clearRequest(p, e.Now()) {
+		e.Quarantines.SendCrash(CrashReport{Fingerprint: p, Endpoint: a.hash, Answered: true})
 	}
 }
 
-// tellVerdicts logs verdicts that changed here and tells all routers; mu is held.
-func (e *Engine) tellVerdicts(list []poison.Verdict, why string) {
+// publishVerdicts logs verdicts that this router changed, and sends them to all routers; mu is held.
+func (e *Engine) publishVerdicts(list []poison.Verdict, why string) {
 	if len(list) == 0 {
 		return
 	}
 	for i := range list {
 		e.logVerdict(&list[i], why)
 	}
-	e.Quarantines.Changed(list)
+	e.Quarantines.SendVerdicts(list)
 }
 
 func (e *Engine) logVerdict(v *poison.Verdict, why string) {
@@ -285,7 +287,7 @@
 	e.Log.Info(message, zap.Stringer("fingerprint", v.Fingerprint), zap.Int("round", v.Round), zap.Time("until", v.Until), zap.Int("crashes", len(v.Crashes)), zap.String("why", why))
 }
 
-// logHeld tells that a request would be quarantined but for others that were at its crashes; mu is held.
+// logHeld logs that a suspect is not quarantined because other suspects were at its crashes; mu is held.
 func (e *Engine) logHeld(p poison.Fingerprint, crashes int) {
 	if !e.logLimits.crashes.AllowN(e.Now(), 1) {
 		e.metrics.count("unlogged_crashes", "", "")
@@ -294,41 +296,42 @@
 	e.Log.Info("relay: A suspect is held, as others were at its crashes.", zap.Stringer("fingerprint", p), zap.Int("crashes", crashes))
 }
 
-// tendQuarantines tells again what other routers may have missed, and forgets what is old.
-func (e *Engine) tendQuarantines(now time.Time) {
+// maintainQuarantines sends recent verdicts again, as routers may have missed them, removes expired ones and
+// updates the metrics.
+func (e *Engine) maintainQuarantines(now time.Time) {
 	e.mu.Lock()
 	e.expired = append(e.expired, e.crashes.Expire(now)...)
-	fresh := e.crashes.RecentChanges(now, e.Quarantines.AgainMost)
+	recent := e.crashes.RecentChanges(now, e.Quarantines.MaxResend)
 	suspects, quarantined := e.crashes.Counts()
 	e.mu.Unlock()
 	e.metrics.suspects.Update(float64(suspects))
 	e.metrics.quarantined.Update(float64(quarantined))
-	if len(fresh) > 0 {
-		e.Quarantines.Again(fresh)
+	if len(recent) > 0 {
+		e.Quarantines.ResendVerdicts(recent)
 	}
 }
 
 const (
-	// startersMost bounds the verdicts that a starting router is told: it has the stored ones
-	// already, and they take a hundred bytes each.
-	startersMost = 256
-	// suspectsTold bounds the suspects that it is told, some fifty bytes each: those that crashed
-	// something last. Of a request that crashes what runs it, a repeat is not long ago.
-	suspectsTold = 64
+	// maxStartupVerdicts is the maximum number of verdicts sent to a starting router, a hundred bytes
+	// each. It reads those that are stored from the store.
+	maxStartupVerdicts = 256
+	// maxStartupSuspicions is the maximum number of suspicions sent to it, some fifty bytes each: those
+	// with the latest crashes, as the repeat of a crashing request follows soon.
+	maxStartupSuspicions = 64
 )
 
-// ForStarting returns what a starting router may not find in the store: verdicts that are new, and
+// StartupVerdicts returns what a starting router may not find in the store: recent verdicts, and
 // suspicions.
-func (e *Engine) ForStarting() []poison.Verdict {
+func (e *Engine) StartupVerdicts() []poison.Verdict {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append(e.crashes.RecentChanges(e.Now(), startersMost), e.crashes.Suspicions(suspectsTold)...)
+	return append(e.crashes.RecentChanges(e.Now(), maxStartupVerdicts), e.crashes.Suspicions(maxStartupSuspicions)...)
 }
 
-// Unstored returns a verdict that this router should store, or remove from the store if it was
-// lifted or is forgotten; nil for none. Routers wait for those that come before them in rank by
-// step each, so that one writes. One that is alone does not: nobody else may know, and with forty
-// routers it would wait for ten seconds, in which each of them loses endpoints to the request.
+// Unstored returns a verdict that this router is to store, or to remove from the store if it was
+// lifted or has expired; nil if there is none. A router waits for step per router that precedes it in
+// rank, so that only one writes. A router that is alone does not wait, as no other may have the verdict:
+// with forty routers it would wait for ten seconds, in which each of them loses endpoints to the request.
 func (e *Engine) Unstored(step time.Duration) *poison.Verdict {
 	if e.Quarantines.Alone() {
 		step = 0
@@ -345,8 +348,8 @@
 	return e.crashes.Unstored(e.Now(), step, e.Quarantines.Rank)
 }
 
-// Stored notes the round of a request's verdict that the store holds; 0 for none.
-func (e *Engine) Stored(p poison.Fingerprint, round int) {
+// SetStoredRound records the round of the verdict on a request that the store holds; 0 if it holds none.
+func (e *Engine) SetStoredRound(p poison.Fingerprint, round int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crashes.SetStoredRound(p, round)
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -14,33 +14,33 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// rollout is a trial with the evidence that this router has and hears of.
+// rollout is a trial with the evidence of this router and the others.
 type rollout struct {
 	trial roll.Trial
 	judge roll.Judge
-	// stepAt is when this router heard of the present step.
+	// stepAt is when this router learned of the present step.
 	stepAt time.Time
-	// toldAt is when the last report was sent, and told how many requests it held.
-	toldAt time.Time
-	told   uint32
-	// verdict is what was logged last.
-	verdict roll.Verdict
-	// names holds the routes and what else is compared, by hash, for logs.
+	// reportedAt is when the last report was sent, and reportedRequests its number of requests.
+	reportedAt       time.Time
+	reportedRequests uint32
+	// loggedVerdict is the verdict that was logged last.
+	loggedVerdict roll.Verdict
+	// names holds the names of routes and aspects by hash, for logs.
 	names map[uint32]string
-	// writing says that a step is being written; mu of the engine guards it.
+	// writing says that a step is being written; the engine's mu guards it.
 	writing bool
-	// flow is how often requests come to the service at all routers; all says that this
-	// router knew the trial from its order on, so that its counts are of the whole.
-	flow reportedRate
-	all  bool
-	// notBefore is when the next step is tried, so that routers do not all
-	// write at once.
+	// requestRate is the rate of requests to the service at all routers. fromStart says that this router
+	// has followed the trial since it was ordered, so that its counts cover the whole trial.
+	requestRate reportedRate
+	fromStart   bool
+	// notBefore is when this router writes the next step if no other one does before; it is random,
+	// so that routers do not all write at once. It is zero if no step is due.
 	notBefore time.Time
 }
 
-// TakeTrial takes over a stored trial. Begun and Ends count only for a trial
-// that is new to this router: one that it saw begin keeps its own times.
-func (e *Engine) TakeTrial(t roll.Trial) {
+// PutTrial applies a stored trial, unless its revision is not newer than the known one. A trial that is
+// already known keeps its Begun and Ends; those of t are used only if it is new to this router.
+func (e *Engine) PutTrial(t roll.Trial) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r, ok := e.rollouts[t.Service]
@@ -48,7 +48,7 @@
 		return
 	}
 	if !ok || r.trial.Version != t.Version || t.State == roll.Ordered && r.trial.State != roll.Ordered {
-		r = &rollout{stepAt: e.Now(), all: t.Step == 0}
+		r = &rollout{stepAt: e.Now(), fromStart: t.Step == 0}
 		e.rollouts[t.Service] = r
 	} else {
 		t.Begun, t.Ends = r.trial.Begun, r.trial.Ends
@@ -64,8 +64,8 @@
 	r.trial = t
 }
 
-// DropTrial forgets the trial of a service.
-func (e *Engine) DropTrial(service string, revision int64) {
+// RemoveTrial removes the trial of a service, unless a newer revision is known.
+func (e *Engine) RemoveTrial(service string, revision int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r, ok := e.rollouts[service]; ok && r.trial.Revision <= revision {
@@ -76,22 +76,22 @@
 }
 
 const (
-	// moveSpread is the time over which the routers' writes of the same step are
-	// spread, for each router, and moveLeast and moveMost bound it: it takes a
-	// write some tens of milliseconds to be known to all, so most routers find
-	// that another one was first.
-	moveSpread = 40 * time.Millisecond
-	moveLeast  = 250 * time.Millisecond
-	moveMost   = time.Second
+	// stepWriteSpread is the time per router over which the routers' writes of the same step are
+	// spread; the total is at least minStepWriteWindow and at most maxStepWriteWindow. It takes some
+	// tens of milliseconds until all routers know of a write, so most routers find that another one
+	// was first.
+	stepWriteSpread    = 40 * time.Millisecond
+	minStepWriteWindow = 250 * time.Millisecond
+	maxStepWriteWindow = time.Second
 )
 
-// moveWithin returns the time over which the routers' writes are spread.
-func (e *Engine) moveWithin() time.Duration {
-	return min(max(time.Duration(e.RouterCount())*moveSpread, moveLeast), moveMost)
+// stepWriteWindow returns the time over which the routers' writes of the same step are spread.
+func (e *Engine) stepWriteWindow() time.Duration {
+	return min(max(time.Duration(e.RouterCount())*stepWriteSpread, minStepWriteWindow), maxStepWriteWindow)
 }
 
-// moveRolls writes the next step of each trial that has one.
-func (e *Engine) moveRolls(ctx context.Context) {
+// writeDueSteps writes the next step of each trial for which one is due.
+func (e *Engine) writeDueSteps(ctx context.Context) {
 	now := e.Now()
 	for _, next := range e.nextSteps(now) {
 		if err := ctx.Err(); err != nil {
@@ -101,14 +101,14 @@
 	}
 }
 
-// nextSteps returns the steps that are due.
+// nextSteps returns the steps that this router is to write at now.
 func (e *Engine) nextSteps(now time.Time) (due []roll.Trial) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.rollouts {
 		next, changed := r.trial.Next(now, e.findings(r))
 		if !changed {
-			// A step must be due all the while, so that no single look takes it.
+			// A step must be due at each check until it is written, so that no single check triggers it.
 			r.notBefore = time.Time{}
 			continue
 		}
@@ -116,7 +116,7 @@
 			continue
 		}
 		if r.notBefore.IsZero() {
-			r.notBefore = now.Add(jitter(e.draw(), e.moveWithin()))
+			r.notBefore = now.Add(jitter(e.draw(), e.stepWriteWindow()))
 			if next.State == roll.Rejected {
 				r.notBefore = now
 			}
@@ -126,23 +126,23 @@
 		}
 		r.writing = true
 		if next.State == roll.Proven {
-			next.Retired = e.replaced(next)
+			next.Retired = e.retiredVersions(next)
 		}
 		due = append(due, next)
 	}
 	return due
 }
 
-// replaced returns the versions that get nothing any more once a trial's version is proven:
-// those that served beside it too; mu is held.
-func (e *Engine) replaced(t roll.Trial) roll.Retired {
-	past := t.Retired
+// retiredVersions returns the versions that get no more requests once a trial's version is proven,
+// including others that served beside it; mu is held.
+func (e *Engine) retiredVersions(t roll.Trial) roll.Retired {
+	retired := t.Retired
 	for _, v := range e.book.Versions(t.Service) {
 		if t.IsOld(v) {
-			past = past.With(v)
+			retired = retired.With(v)
 		}
 	}
-	return past
+	return retired
 }
 
 func (e *Engine) writeStep(ctx context.Context, next roll.Trial) {
@@ -155,63 +155,63 @@
 	}
 	r.writing, r.notBefore = false, time.Time{}
 	if err != nil {
-		r.notBefore = e.Now().Add(moveLeast)
+		r.notBefore = e.Now().Add(minStepWriteWindow)
 	}
-	n, of := r.judge.Exposed()
+	n, total := r.judge.Exposed()
 	e.Log.Info("relay: A step of a roll-out was written.", zap.String("service", next.Service), zap.String("version", next.Version),
 		zap.String("state", string(next.State)), zap.Int("step", next.Step), zap.Stringer("verdict", r.judge.Verdict()),
-		zap.Float64("evidence", r.judge.MaxSum()), r.weights(), zap.Int("exposed", n), zap.Int("requests", of),
-		zap.Float64("requestsPerSecond", round(r.flow.perSecond)), zap.Int64("onRevision", next.Revision), logs.Err(err))
+		zap.Float64("evidence", r.judge.MaxSum()), r.evidenceField(), zap.Int("exposed", n), zap.Int("requests", total),
+		zap.Float64("requestsPerSecond", round(r.requestRate.perSecond)), zap.Int64("onRevision", next.Revision), logs.Err(err))
 }
 
-// findings returns what is known of a trial; mu is held.
+// findings returns what this router knows of a trial, and logs a change of its verdict; mu is held.
 func (e *Engine) findings(r *rollout) roll.Findings {
 	now := e.Now()
-	n, of := r.judge.Exposed()
-	r.flow.add(now, of)
-	rest := r.flow.perSecond * max(r.trial.Ends.Sub(now).Seconds(), 0)
-	used, expected := e.exposed(float64(n), float64(of)), e.exposed(float64(n)+rest, float64(of)+rest)
-	f := roll.Findings{Verdict: r.judge.Verdict(), StepAt: r.stepAt, ExposureSpent: used > 1, ExposureShort: r.all && expected > crowded, Burst: r.all && expected > burst}
-	if f.Verdict != r.verdict {
-		r.verdict = f.Verdict
+	n, total := r.judge.Exposed()
+	r.requestRate.add(now, total)
+	rest := r.requestRate.perSecond * max(r.trial.Ends.Sub(now).Seconds(), 0)
+	used, expected := e.exposureUsed(float64(n), float64(total)), e.exposureUsed(float64(n)+rest, float64(total)+rest)
+	f := roll.Findings{Verdict: r.judge.Verdict(), StepAt: r.stepAt, ExposureSpent: used > 1, ExposureShort: r.fromStart && expected > exposureShortThreshold, Burst: r.fromStart && expected > burstThreshold}
+	if f.Verdict != r.loggedVerdict {
+		r.loggedVerdict = f.Verdict
 		e.Log.Info("relay: What is known of a new version has changed.", zap.String("service", r.trial.Service), zap.String("version", r.trial.Version),
-			zap.Stringer("verdict", f.Verdict), zap.Float64("evidence", r.judge.MaxSum()), r.weights(), zap.Int("exposed", n), zap.Int("requests", of))
+			zap.Stringer("verdict", f.Verdict), zap.Float64("evidence", r.judge.MaxSum()), r.evidenceField(), zap.Int("exposed", n), zap.Int("requests", total))
 	}
 	return f
 }
 
-// exposed returns which part of the requests that a version which may be bad may get are n of
-// so many.
-func (e *Engine) exposed(n, of float64) float64 {
+// exposureUsed returns n requests to a version that may be bad as a fraction of those that it may get out
+// of total requests to its service; over 1 if they are too many.
+func (e *Engine) exposureUsed(n, total float64) float64 {
 	l := e.limits.Load()
-	return n / max(l.ExposeShare*of+l.ExposeSlack*exposeKept, 1)
+	return n / max(l.ExposeShare*total+l.ExposeSlack*exposureSlackShare, 1)
 }
 
-// crowded is the part of the allowed requests from which on the last step waits: what is left of the
-// trial is reckoned up to a twentieth too low, as reports come late.
-const crowded = 0.95
+// exposureShortThreshold is the fraction of the allowed requests above which the last step waits. The
+// estimate of the rest of the trial is up to a twentieth too low, as reports arrive late.
+const exposureShortThreshold = 0.95
 
-// burst is the part of the allowed requests from which on those that are expected are no
-// accident: even requests, counted over half a second, stay within a tenth of it.
-const burst = 1.2
+// burstThreshold is the fraction of the allowed requests above which the expected ones are a burst: with
+// an even rate, counted over half a second, they vary by no more than a tenth of it.
+const burstThreshold = 1.2
 
-// exposeKept is the part of the users' slack that is used up: requests are under way
-// when the last of them is told.
-const exposeKept = 0.5
+// exposureSlackShare is the fraction of the operator's slack that is used: when the last of the allowed
+// requests is reported, others are under way.
+const exposureSlackShare = 0.5
 
-// fit is which endpoints of a service may serve a session.
+// fit selects the endpoints of a service that may serve a session.
 type fit struct {
-	// version reports whether a version may; nil for all.
+	// version reports whether a version may serve it; nil if all may.
 	version func(version string) bool
-	// one says that only the first of them does, in the order of their hashes.
-	one bool
-	// spare says which versions may where none that fits is left; nil for none: a
-	// session may go back from a version on trial, never on to it.
-	spare func(version string) bool
+	// firstOnly says that only the first of the endpoints may, in the order of their hashes.
+	firstOnly bool
+	// fallback reports whether a version may serve it if no endpoint that fits is left; nil for none. A
+	// session may return from the version on trial to an old one, but not the reverse.
+	fallback func(version string) bool
 }
 
-// fit returns which endpoints of a service may serve a session; mu is held. A version
-// that this router found bad gets nothing more, whatever is stored.
+// fit returns which endpoints of a service may serve the session with the random number draw, 0 to 1; mu is
+// held. A version that this router found bad gets no more requests during its trial, whatever is stored.
 func (e *Engine) fit(service string, draw float64) fit {
 	r, ok := e.rollouts[service]
 	if !ok {
@@ -222,15 +222,15 @@
 	case r.trial.State == roll.Proven:
 		return fit{version: isNew}
 	case r.trial.ServesNew(draw) && !r.judge.Bad():
-		return fit{version: isNew, spare: isOld, one: e.loads(r, draw)}
+		return fit{version: isNew, fallback: isOld, firstOnly: e.inLoadedShare(r, draw)}
 	default:
 		return fit{version: isOld}
 	}
 }
 
-// loads reports whether a session is one of those that load one endpoint of the version
-// on trial as the old version's are; mu is held.
-func (e *Engine) loads(r *rollout, draw float64) bool {
+// inLoadedShare reports whether a session belongs to the share that loads one endpoint of the version on
+// trial like those of the old version; mu is held.
+func (e *Engine) inLoadedShare(r *rollout, draw float64) bool {
 	return draw < r.trial.LoadedShare(e.book.Count(r.trial.Service, r.hasVersion), e.Now())
 }
 
