--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -17,8 +17,8 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// ErrHistory says that the store no longer has the changes that were asked for.
-const ErrHistory fault.Const = "mirror: the history is gone"
+// ErrHistoryGone says that the store no longer has the changes that were asked for.
+const ErrHistoryGone fault.Const = "mirror: the history is gone"
 
 // Source is where objects are read. Its functions are seams.
 type Source struct {
@@ -27,7 +27,7 @@
 	Page func(ctx context.Context, kind, after string) (Page, error)
 	// Watch returns the changes after a revision and the revision they lead
 	// to, as soon as there are any, or none at the time until. The error is
-	// ErrHistory if they are not known any more.
+	// ErrHistoryGone if they are not known any more.
 	Watch func(ctx context.Context, kind string, since int64, until time.Time) ([]Change, int64, error)
 }
 
@@ -45,17 +45,17 @@
 	Source Source
 	Mirror *Mirror
 	Kind   string
-	// Wait is how long one watch waits.
-	Wait config.Span
-	// Rest is how long it rests after a change, so that changes that come
+	// WatchTimeout is how long one watch waits.
+	WatchTimeout config.Span
+	// BatchDelay is how long it rests after a change, so that changes that come
 	// together cost one call.
-	Rest config.Span
-	// Turn returns when the store should be asked, and false if ctx was done
+	BatchDelay config.Span
+	// AwaitTurn returns when the store should be asked, and false if ctx was done
 	// first; nil for always.
-	Turn func(ctx context.Context) bool
-	// Patient reports whether others try a store that is lost more often than this
+	AwaitTurn func(ctx context.Context) bool
+	// RetrySlowly reports whether others try a store that is lost more often than this
 	// router and will tell it of its return; nil for no.
-	Patient func() bool
+	RetrySlowly func() bool
 
 	// read holds the pages of a list that were read so far, and at when the first was
 	// asked for: a page that fails is asked for again, not the whole list.
@@ -99,9 +99,9 @@
 func (f *Follower) Run(ctx context.Context) error {
 	heard := time.Now()
 	for ctx.Err() == nil {
-		if f.Turn != nil {
+		if f.AwaitTurn != nil {
 			before := time.Now()
-			if !f.Turn(ctx) {
+			if !f.AwaitTurn(ctx) {
 				return nil
 			}
 			if time.Since(before) > outageLeast {
@@ -116,7 +116,7 @@
 		case err == nil:
 			f.back(sent)
 			heard = time.Now()
-		case errors.Is(err, ErrHistory):
+		case errors.Is(err, ErrHistoryGone):
 			f.Log.Info("mirror: The history is gone; all is read again.", zap.String("kind", f.Kind), zap.Int64("revision", f.Mirror.Revision(f.Kind)))
 			f.again = true
 		default:
@@ -133,7 +133,7 @@
 	if since < 0 || f.again {
 		return f.list(ctx, sent)
 	}
-	until := f.Wait.After(sent)
+	until := f.WatchTimeout.After(sent)
 	if !f.lostAt.IsZero() || f.begins {
 		// Word that the store is back should not wait for a change, nor the proof that others
 		// wait for where the one that asked the store before is gone.
@@ -151,8 +151,8 @@
 		changes[i].LapsesAt = f.lapsesAt
 	}
 	f.Mirror.Apply(f.Kind, changes, revision, sent)
-	if len(changes) > 0 && f.Rest > 0 {
-		tasks.Pause(ctx, f.Rest.After(time.Now()))
+	if len(changes) > 0 && f.BatchDelay > 0 {
+		tasks.Pause(ctx, f.BatchDelay.After(time.Now()))
 	}
 	return nil
 }
@@ -183,7 +183,7 @@
 	for _, p := range f.read {
 		objects = append(objects, p.Objects...)
 	}
-	f.Mirror.List(f.Kind, objects, f.read[0].Revision, f.at, f.lapsesAt)
+	f.Mirror.Replace(f.Kind, objects, f.read[0].Revision, f.at, f.lapsesAt)
 	f.Log.Info("mirror: All of a kind was read.", zap.String("kind", f.Kind), zap.Int64("revision", f.read[0].Revision), zap.Int("objects", len(objects)),
 		zap.Int("pages", len(f.read)), zap.Bool("historyLost", f.again), zap.Int64("tookMs", time.Since(f.at).Milliseconds()))
 	f.again, f.read = false, nil
@@ -231,7 +231,7 @@
 // pause returns the pause after a failed call.
 func (f *Follower) pause() time.Duration {
 	d := min(pauseMost, pauseFirst<<min(f.failures, 8))
-	if f.Patient != nil && f.Patient() {
+	if f.RetrySlowly != nil && f.RetrySlowly() {
 		d = min(patientMost, patientFirst<<min(f.failures, 8))
 	}
 	return d/2 + time.Duration(rand.Int64N(int64(d)))/2
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -22,8 +22,8 @@
 // Change is a change of an object.
 type Change struct {
 	Object
-	// Gone says that the object was removed; only name and revision count.
-	Gone bool
+	// Removed says that the object was removed; only name and revision count.
+	Removed bool
 	// LapsesAt is when a removed object counts as gone: later than now where
 	// it may have been removed for want of contact with the store.
 	LapsesAt time.Time
@@ -73,17 +73,17 @@
 	return m.kinds[kind].revision
 }
 
-// Proven returns when the copy of a kind was the newest, for sure.
-func (m *Mirror) Proven(kind string) time.Time {
+// ConfirmedAt returns when the copy of a kind was the newest, for sure.
+func (m *Mirror) ConfirmedAt(kind string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.kinds[kind].provenAt
 }
 
-// List takes over all objects of a kind as they were at a revision, read after
+// Replace takes over all objects of a kind as they were at a revision, read after
 // the time at. Those that are missing were removed; they count as gone at
 // lapsesAt. A list that is older than the copy changes nothing.
-func (m *Mirror) List(kind string, objects []Object, revision int64, at, lapsesAt time.Time) {
+func (m *Mirror) Replace(kind string, objects []Object, revision int64, at, lapsesAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.kinds[kind]
@@ -97,7 +97,7 @@
 	}
 	for name := range c.objects {
 		if !listed[name] {
-			m.apply(kind, c, Change{Object: Object{Name: name, Revision: revision}, Gone: true, LapsesAt: lapsesAt})
+			m.apply(kind, c, Change{Object: Object{Name: name, Revision: revision}, Removed: true, LapsesAt: lapsesAt})
 		}
 	}
 	if c.revision < 0 {
@@ -126,7 +126,7 @@
 	if g, ok := c.gone[ch.Name]; ok && ch.Revision <= g.Revision {
 		return
 	}
-	if !ch.Gone {
+	if !ch.Removed {
 		delete(c.gone, ch.Name)
 		c.objects[ch.Name] = ch.Object
 		m.OnChange(kind, ch)
@@ -165,10 +165,10 @@
 
 // Delta is what a copy of one kind lacks.
 type Delta struct {
-	Revision int64
-	ProvenAt time.Time
-	// Whole says that Changes holds every object, and others are gone.
-	Whole   bool
+	Revision    int64
+	ConfirmedAt time.Time
+	// Full says that Changes holds every object, and others are gone.
+	Full    bool
 	Changes []Change
 }
 
@@ -181,29 +181,29 @@
 	if c == nil || c.revision < 0 {
 		return Delta{}, false
 	}
-	d = Delta{Revision: c.revision, ProvenAt: c.provenAt, Whole: revision < c.floor}
+	d = Delta{Revision: c.revision, ConfirmedAt: c.provenAt, Full: revision < c.floor}
 	for _, o := range c.objects {
-		if d.Whole || o.Revision > revision {
+		if d.Full || o.Revision > revision {
 			d.Changes = append(d.Changes, Change{Object: o})
 		}
 	}
 	for _, g := range c.gone {
-		if !d.Whole && g.Revision > revision {
+		if !d.Full && g.Revision > revision {
 			d.Changes = append(d.Changes, g)
 		}
 	}
 	return d, true
 }
 
-// Await returns when the copy of a kind goes further than have says, at the time
+// AwaitChange returns when the copy of a kind goes further than have says, at the time
 // until, or when ctx is done.
-func (m *Mirror) Await(ctx context.Context, have map[string]int64, until time.Time) {
+func (m *Mirror) AwaitChange(ctx context.Context, have map[string]int64, until time.Time) {
 	m.await(ctx, until, func() bool { return m.beyond(have) })
 }
 
-// AwaitNews is Await, but that it returns too when the copy of a kind was proven to be the newest
+// AwaitChangeOrConfirmation is Await, but that it returns too when the copy of a kind was proven to be the newest
 // after a time.
-func (m *Mirror) AwaitNews(ctx context.Context, have map[string]int64, kind string, after, until time.Time) {
+func (m *Mirror) AwaitChangeOrConfirmation(ctx context.Context, have map[string]int64, kind string, after, until time.Time) {
 	m.await(ctx, until, func() bool { return m.beyond(have) || m.kinds[kind].provenAt.After(after) })
 }
 
@@ -217,9 +217,9 @@
 	return false
 }
 
-// AwaitProof returns when the copy of a kind was proven to be the newest after a time, at the
+// AwaitConfirmation returns when the copy of a kind was proven to be the newest after a time, at the
 // time until, or when ctx is done.
-func (m *Mirror) AwaitProof(ctx context.Context, kind string, after, until time.Time) {
+func (m *Mirror) AwaitConfirmation(ctx context.Context, kind string, after, until time.Time) {
 	m.await(ctx, until, func() bool { return m.kinds[kind].provenAt.After(after) })
 }
 
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("%s: got revision %d after %d", c.Name, c.Revision, s[c.Name])
 		}
 		s[c.Name] = c.Revision
-		if c.Gone {
+		if c.Removed {
 			s[c.Name] = -c.Revision
 		}
 	}
@@ -46,10 +46,10 @@
 func TestOldWordsChangeNothing(t *testing.T) {
 	m := New("k")
 	s := listen(t, m)
-	m.List("k", []Object{object("a", 3), object("b", 4)}, 5, t0, time.Time{})
-	m.Apply("k", []Change{{Object: object("a", 7)}, {Object: Object{Name: "b", Revision: 8}, Gone: true}}, 8, t0)
+	m.Replace("k", []Object{object("a", 3), object("b", 4)}, 5, t0, time.Time{})
+	m.Apply("k", []Change{{Object: object("a", 7)}, {Object: Object{Name: "b", Revision: 8}, Removed: true}}, 8, t0)
 	m.Apply("k", []Change{{Object: object("a", 6)}, {Object: object("b", 4)}}, 7, t0)
-	m.List("k", []Object{object("a", 3), object("b", 4)}, 5, t0, time.Time{})
+	m.Replace("k", []Object{object("a", 3), object("b", 4)}, 5, t0, time.Time{})
 	if want := (state{"a": 7, "b": -8}); !maps.Equal(s, want) {
 		t.Errorf("state: got %v, want %v", s, want)
 	}
@@ -60,12 +60,12 @@
 
 func TestProofsNeverGoBack(t *testing.T) {
 	m := New("k")
-	m.List("k", nil, 5, t0, time.Time{})
+	m.Replace("k", nil, 5, t0, time.Time{})
 	m.Apply("k", nil, 5, t0.Add(time.Second))
 	m.Apply("k", nil, 5, t0)
 	// An answer about an older revision proves nothing about a newer copy.
 	m.Apply("k", nil, 4, t0.Add(time.Hour))
-	if got, want := m.Proven("k"), t0.Add(time.Second); !got.Equal(want) {
+	if got, want := m.ConfirmedAt("k"), t0.Add(time.Second); !got.Equal(want) {
 		t.Errorf("proven at: got %v, want %v", got, want)
 	}
 }
@@ -80,7 +80,7 @@
 		for _, c := range copies {
 			states = append(states, listen(t, c))
 		}
-		truth.List("k", nil, 0, t0, time.Time{})
+		truth.Replace("k", nil, 0, t0, time.Time{})
 		var late []func()
 		pull := func(from, to *Mirror) {
 			d, ok := from.Since("k", to.Revision("k"))
@@ -91,7 +91,7 @@
 		}
 		for revision := int64(1); revision < 200; revision++ {
 			name := fmt.Sprint(rnd.IntN(12))
-			c := Change{Object: object(name, revision), Gone: rnd.IntN(3) == 0}
+			c := Change{Object: object(name, revision), Removed: rnd.IntN(3) == 0}
 			truth.Apply("k", []Change{c}, revision, t0)
 			pull(truth, copies[rnd.IntN(3)])
 			pull(copies[rnd.IntN(3)], copies[rnd.IntN(3)])
@@ -112,15 +112,15 @@
 }
 
 func give(to *Mirror, d Delta) {
-	if !d.Whole {
-		to.Apply("k", d.Changes, d.Revision, d.ProvenAt)
+	if !d.Full {
+		to.Apply("k", d.Changes, d.Revision, d.ConfirmedAt)
 		return
 	}
 	var list []Object
 	for _, c := range d.Changes {
 		list = append(list, c.Object)
 	}
-	to.List("k", list, d.Revision, d.ProvenAt, time.Time{})
+	to.Replace("k", list, d.Revision, d.ConfirmedAt, time.Time{})
 }
 
 func alive(s state) state {
@@ -135,11 +135,11 @@
 
 func TestAwaitHearsOfAChange(*testing.T) {
 	m := New("k", "other")
-	m.List("k", nil, 1, t0, time.Time{})
+	m.Replace("k", nil, 1, t0, time.Time{})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		m.Await(context.Background(), map[string]int64{"k": 1}, time.Now().Add(time.Minute))
+		m.AwaitChange(context.Background(), map[string]int64{"k": 1}, time.Now().Add(time.Minute))
 	}()
 	m.Apply("k", []Change{{Object: object("a", 2)}}, 2, t0)
 	<-ended
@@ -152,12 +152,12 @@
 	m := New("k")
 	var got []Change
 	m.OnChange = func(_ string, c Change) { got = append(got, c) }
-	f := Follower{Log: zap.NewNop(), Mirror: m, Kind: "k", Wait: config.Span(time.Millisecond), Source: Source{
+	f := Follower{Log: zap.NewNop(), Mirror: m, Kind: "k", WatchTimeout: config.Span(time.Millisecond), Source: Source{
 		Page: func(context.Context, string, string) (Page, error) {
 			return Page{Objects: []Object{object("a", 1)}, Revision: 1}, nil
 		},
 		Watch: func(context.Context, string, int64, time.Time) ([]Change, int64, error) {
-			return []Change{{Object: Object{Name: "a", Revision: 2}, Gone: true}}, 2, nil
+			return []Change{{Object: Object{Name: "a", Revision: 2}, Removed: true}}, 2, nil
 		},
 	}}
 	ctx := context.Background()
@@ -169,7 +169,7 @@
 	if err := f.step(ctx, now); err != nil {
 		t.Fatal(err)
 	}
-	if len(got) != 2 || !got[1].Gone || got[1].LapsesAt.Before(now.Add(time.Second)) {
+	if len(got) != 2 || !got[1].Removed || got[1].LapsesAt.Before(now.Add(time.Second)) {
 		t.Errorf("changes: got %+v, want a removal that lapses about 2 s later", got)
 	}
 }
@@ -177,7 +177,7 @@
 func TestLostStoreIsAskedWithoutWaiting(t *testing.T) {
 	const wait = 700 * time.Millisecond
 	var waits []time.Duration
-	f := Follower{Log: zap.NewNop(), Mirror: New("k"), Kind: "k", Wait: config.Span(wait), Source: Source{
+	f := Follower{Log: zap.NewNop(), Mirror: New("k"), Kind: "k", WatchTimeout: config.Span(wait), Source: Source{
 		Page: func(context.Context, string, string) (Page, error) { return Page{Revision: 1}, nil },
 		Watch: func(_ context.Context, _ string, _ int64, until time.Time) ([]Change, int64, error) {
 			waits = append(waits, time.Until(until))
@@ -222,7 +222,9 @@
 			}
 			return Page{Revision: int64(lists)}, nil
 		},
-		Watch: func(context.Context, string, int64, time.Time) ([]Change, int64, error) { return nil, 0, ErrHistory },
+		Watch: func(context.Context, string, int64, time.Time) ([]Change, int64, error) {
+			return nil, 0, ErrHistoryGone
+		},
 	}}
 	if err := f.Run(ctx); err != nil || lists != 2 {
 		t.Errorf("got %d lists, %v; want 2", lists, err)
@@ -262,7 +264,7 @@
 // While others try a lost store, this router tries seldom.
 func TestPatientRouterTriesSeldom(t *testing.T) {
 	patient := true
-	f := Follower{Patient: func() bool { return patient }, failures: 9}
+	f := Follower{RetrySlowly: func() bool { return patient }, failures: 9}
 	for range 20 {
 		if got := f.pause(); got < patientMost/2 || got > patientMost {
 			t.Fatalf("pause: got %v, want %v to %v", got, patientMost/2, patientMost)
@@ -275,13 +277,13 @@
 }
 
 // Who waits for word of the store is told when it is back, though nothing has changed.
-func TestAwaitProof(*testing.T) {
+func TestAwaitConfirmation(*testing.T) {
 	m := New("k")
-	m.List("k", nil, 1, t0, time.Time{})
+	m.Replace("k", nil, 1, t0, time.Time{})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		m.AwaitProof(context.Background(), "k", t0.Add(time.Second), time.Now().Add(time.Minute))
+		m.AwaitConfirmation(context.Background(), "k", t0.Add(time.Second), time.Now().Add(time.Minute))
 	}()
 	m.Apply("k", nil, 1, t0.Add(3*time.Second))
 	<-ended
--- a/internal/peers/asker.go
+++ b/internal/peers/asker.go
@@ -140,7 +140,7 @@
 	for ctx.Err() == nil {
 		now := time.Now()
 		a.late = slices.DeleteFunc(a.late, ended)
-		informed := now.Sub(a.Mirror.Proven(a.Watched)) <= time.Duration(a.agedAfter(now))
+		informed := now.Sub(a.Mirror.ConfirmedAt(a.Watched)) <= time.Duration(a.agedAfter(now))
 		switch {
 		case !a.listed() && (!a.introduced.Load() || a.reads()):
 			tasks.Pause(ctx, startPoll.After(now))
@@ -304,7 +304,7 @@
 		at := sent.Add(time.Duration(got.HeldMs-k.AgeMs) * time.Millisecond)
 		if k.Whole {
 			a.Log.Info("peers: All of a kind was told.", zap.String("kind", kind), zap.String("peer", p.Name), zap.Int64("revision", k.Revision), zap.Int("objects", len(changes)))
-			a.Mirror.List(kind, objects(changes), k.Revision, at, time.Time{})
+			a.Mirror.Replace(kind, objects(changes), k.Revision, at, time.Time{})
 		} else {
 			a.Mirror.Apply(kind, changes, k.Revision, at)
 		}
--- a/internal/peers/pack_test.go
+++ b/internal/peers/pack_test.go
@@ -28,11 +28,11 @@
 	a := asker(p)
 	now := time.Now()
 	spec := longSpec()
-	p.mirror.List("config", []mirror.Object{{Name: "a", Revision: 5, Spec: spec}}, 5, now, time.Time{})
-	p.mirror.List("k", nil, 5, now, time.Time{})
+	p.mirror.Replace("config", []mirror.Object{{Name: "a", Revision: 5, Spec: spec}}, 5, now, time.Time{})
+	p.mirror.Replace("k", nil, 5, now, time.Time{})
 	d, _ := p.mirror.Since("config", -1)
 	var ps packs
-	sent := encode("config", d, now.Sub(d.ProvenAt), now, &ps, false)
+	sent := encode("config", d, now.Sub(d.ConfirmedAt), now, &ps, false)
 	text, err := json.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 	if got, most := len(text), len(spec)/5; got > most {
 		t.Errorf("sent: got %d bytes of %d, want at most %d", got, len(spec), most)
 	}
-	again := encode("config", d, now.Sub(d.ProvenAt), now, &ps, false)
+	again := encode("config", d, now.Sub(d.ConfirmedAt), now, &ps, false)
 	if &sent.Changes[0].Packed[0] != &again.Changes[0].Packed[0] {
 		t.Error("sent again: packed anew, want what was kept")
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -59,7 +59,7 @@
 
 func put(m *mirror.Mirror, revision int64, at time.Time) {
 	for _, kind := range []string{"config", "k"} {
-		m.List(kind, []mirror.Object{{Name: "a", Revision: revision, Spec: json.RawMessage(`{}`)}}, revision, at, time.Time{})
+		m.Replace(kind, []mirror.Object{{Name: "a", Revision: revision, Spec: json.RawMessage(`{}`)}}, revision, at, time.Time{})
 	}
 }
 
@@ -74,7 +74,7 @@
 	if got := a.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5", got)
 	}
-	got := a.Mirror.Proven("config")
+	got := a.Mirror.ConfirmedAt("config")
 	if got.After(proven.Add(time.Millisecond)) || got.Before(proven.Add(-patience)) {
 		t.Errorf("proven at: got %v, want at most %v", got, proven)
 	}
@@ -126,11 +126,11 @@
 	put(p.mirror, 5, time.Now())
 	a.ask(context.Background(), p.Peer, true)
 	lapsesAt := time.Now().Add(time.Hour)
-	p.mirror.List("k", nil, 6, time.Now(), lapsesAt)
+	p.mirror.Replace("k", nil, 6, time.Now(), lapsesAt)
 	var got mirror.Change
 	a.Mirror.OnChange = func(_ string, c mirror.Change) { got = c }
 	a.ask(context.Background(), p.Peer, true)
-	if !got.Gone || got.LapsesAt.Before(lapsesAt.Add(-patience)) || got.LapsesAt.After(lapsesAt.Add(patience)) {
+	if !got.Removed || got.LapsesAt.Before(lapsesAt.Add(-patience)) || got.LapsesAt.After(lapsesAt.Add(patience)) {
 		t.Errorf("change: got %+v, want gone, lapsing at about %v", got, lapsesAt)
 	}
 }
@@ -544,8 +544,8 @@
 		spec := fmt.Sprintf(`{"service":"s","address":"10.6.64.%d:8580","zone":"zone-a","version":"v1","capacity":24,"state":"ready","sequence":%d}`, i%250, i)
 		objects = append(objects, mirror.Object{Name: fmt.Sprintf("i-%010x", 7919*i), Revision: int64(i + 1), Spec: json.RawMessage(spec)})
 	}
-	p.mirror.List("k", objects, 3000, time.Now(), time.Time{})
-	p.mirror.List("config", nil, 1, time.Now(), time.Time{})
+	p.mirror.Replace("k", objects, 3000, time.Now(), time.Time{})
+	p.mirror.Replace("config", nil, 1, time.Now(), time.Time{})
 	var traffic Traffic
 	p.srv.Config.Handler.(*Server).Traffic = &traffic
 	a := asker(p)
@@ -566,7 +566,7 @@
 	p := serve(t, "p")
 	a := asker(p)
 	at := time.Now()
-	p.mirror.List("k", []mirror.Object{{Name: "a", Revision: 5, Spec: json.RawMessage(`{}`)}}, 5, at, time.Time{})
+	p.mirror.Replace("k", []mirror.Object{{Name: "a", Revision: 5, Spec: json.RawMessage(`{}`)}}, 5, at, time.Time{})
 	if a.ask(context.Background(), p.Peer, true) {
 		t.Fatal("ask of a peer that has not read the watched kind: got true, want false")
 	}
@@ -582,7 +582,7 @@
 	put(p.mirror, 5, time.Now())
 	a := asker(p)
 	a.Fleet.Put(Peer{Name: "self"})
-	a.Mirror.List("config", nil, 5, time.Now(), time.Time{})
+	a.Mirror.Replace("config", nil, 5, time.Now(), time.Time{})
 	if !a.Fleet.Asker(time.Now()) {
 		t.Fatal("one of two routers: got no asker, want one")
 	}
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -108,8 +108,8 @@
 	}
 	c.asks, c.follows = asker(order[2].Name, c.relay), asker(order[200].Name, c.follower)
 	for _, m := range []*mirror.Mirror{c.reader, c.relay, c.follower} {
-		m.List("k", nil, 5, time.Now(), time.Time{})
-		m.List("config", nil, 5, time.Now(), time.Time{})
+		m.Replace("k", nil, 5, time.Now(), time.Time{})
+		m.Replace("config", nil, 5, time.Now(), time.Time{})
 	}
 	c.reads.Store(true)
 	for _, run := range []func(context.Context) error{c.watch, c.asks.Run, c.follows.Run} {
@@ -143,7 +143,7 @@
 	look := func(lasts time.Duration) {
 		for end := time.Now().Add(lasts); time.Now().Before(end); {
 			<-time.After(10 * time.Millisecond)
-			oldest = max(oldest, time.Since(c.follower.Proven("config")))
+			oldest = max(oldest, time.Since(c.follower.ConfirmedAt("config")))
 			if c.follows.direct.Load() {
 				t.Fatalf("the follower turned to the store; its copy was %v old", oldest)
 			}
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -86,7 +86,7 @@
 	a := answer{Kinds: make(map[string]kindAnswer), HeldMs: now.Sub(asked).Milliseconds()}
 	for kind, revision := range q.Have {
 		if d, ok := s.Mirror.Since(kind, revision); ok {
-			a.Kinds[kind] = encode(kind, d, s.Age(d.ProvenAt, now), now, &s.packs, q.Packs)
+			a.Kinds[kind] = encode(kind, d, s.Age(d.ConfirmedAt, now), now, &s.packs, q.Packs)
 		}
 	}
 	if q.starting() {
@@ -114,10 +114,10 @@
 func (s *Server) hold(ctx context.Context, q *question, asked time.Time) {
 	until := asked.Add(min(time.Duration(q.WaitMs)*time.Millisecond, waitMost))
 	if q.Proof {
-		s.Mirror.AwaitProof(ctx, s.Watched, asked.Add(-time.Duration(agedAfter)), until)
+		s.Mirror.AwaitConfirmation(ctx, s.Watched, asked.Add(-time.Duration(agedAfter)), until)
 		return
 	}
-	proven, most := s.Mirror.Proven(s.Watched), agedAfter
+	proven, most := s.Mirror.ConfirmedAt(s.Watched), agedAfter
 	if q.Follows {
 		most = relayAgedAfter
 	}
@@ -125,8 +125,8 @@
 		until = aged
 	}
 	if q.Follows {
-		s.Mirror.AwaitNews(ctx, q.Have, s.Watched, proven, until)
+		s.Mirror.AwaitChangeOrConfirmation(ctx, q.Have, s.Watched, proven, until)
 		return
 	}
-	s.Mirror.Await(ctx, q.Have, until)
+	s.Mirror.AwaitChange(ctx, q.Have, until)
 }
--- a/internal/peers/turn.go
+++ b/internal/peers/turn.go
@@ -47,7 +47,7 @@
 
 // heard reports whether the store was heard of lately, by this router or others.
 func (a *Asker) heard(now time.Time) bool {
-	return now.Sub(a.Mirror.Proven(a.Watched)) <= unheardAfter
+	return now.Sub(a.Mirror.ConfirmedAt(a.Watched)) <= unheardAfter
 }
 
 // Alone reports whether this router has found no peer well informed for a while though the
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -145,15 +145,15 @@
 // encode returns a delta of a kind, whose proof is so old, as it is sent at now; whole lists are
 // compressed if the asker reads that.
 func encode(kind string, d mirror.Delta, age time.Duration, now time.Time, p *packs, packed bool) kindAnswer {
-	a := kindAnswer{Revision: d.Revision, AgeMs: ceilMs(age), Whole: d.Whole}
-	if packed && d.Whole && len(d.Changes) >= packsFrom {
+	a := kindAnswer{Revision: d.Revision, AgeMs: ceilMs(age), Whole: d.Full}
+	if packed && d.Full && len(d.Changes) >= packsFrom {
 		if a.packed = p.list(kind, d); a.packed != nil {
 			a.Bytes = len(a.packed)
 			return a
 		}
 	}
 	for _, c := range d.Changes {
-		w := wireChange{Object: c.Object, Gone: c.Gone, LapseMs: max(c.LapsesAt.Sub(now).Milliseconds(), 0)}
+		w := wireChange{Object: c.Object, Gone: c.Removed, LapseMs: max(c.LapsesAt.Sub(now).Milliseconds(), 0)}
 		if w.Packed = p.of(kind, &c.Object); w.Packed != nil {
 			w.Spec = nil
 		}
@@ -169,7 +169,7 @@
 	}
 	list := make([]mirror.Change, 0, len(a.Changes))
 	for _, c := range a.Changes {
-		ch := mirror.Change{Object: c.Object, Gone: c.Gone}
+		ch := mirror.Change{Object: c.Object, Removed: c.Gone}
 		if len(c.Packed) > 0 {
 			spec, err := unpack(c.Packed)
 			if err != nil {
--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -89,7 +89,7 @@
 	d := &duties{
 		log: r.Log, scope: r.admin.Scope.SubScope("duties"), wire: r.wire.Duties, fleet: r.fleet, notes: r.notes,
 		windows: usage.Clock{Length: s.UsageWindow}, late: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: life}, clock: common,
-		reachable: func() bool { return time.Since(r.mirror.Proven(r.wire.ConfigKind)) <= reachedWithin },
+		reachable: func() bool { return time.Since(r.mirror.ConfirmedAt(r.wire.ConfigKind)) <= reachedWithin },
 		book:      usage.NewCounter(), machine: duty.New(s.VM, life, s.DutyLease, common.Local()), told: make(map[tellKey]*telling),
 	}
 	r.Engine.Began = d.began
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -55,7 +55,7 @@
 		{w.EndpointKind, endpointWait, changeRest, []string{w.TrialKind, w.VerdictKind}},
 		{w.RouterKind, routerWait, changeRest, nil},
 	} {
-		follower := &mirror.Follower{Log: r.Log, Source: w.Source, Mirror: r.mirror, Kind: f.kind, Wait: f.wait, Rest: f.rest, Turn: r.turn(f.kind, f.after...), Patient: r.asker.Patient}
+		follower := &mirror.Follower{Log: r.Log, Source: w.Source, Mirror: r.mirror, Kind: f.kind, WatchTimeout: f.wait, BatchDelay: f.rest, AwaitTurn: r.turn(f.kind, f.after...), RetrySlowly: r.asker.Patient}
 		r.tasks.Go(ctx, "store "+f.kind, follower.Run)
 	}
 	r.tasks.Go(ctx, "peers", r.asker.Run)
@@ -100,7 +100,7 @@
 }
 
 func (r *Router) takeTable(c mirror.Change) error {
-	if c.Gone {
+	if c.Removed {
 		return nil
 	}
 	t, err := r.wire.Table(c.Object)
@@ -113,7 +113,7 @@
 }
 
 func (r *Router) takeTrial(c mirror.Change) error {
-	if c.Gone {
+	if c.Removed {
 		r.Engine.DropTrial(c.Name, c.Revision)
 		return nil
 	}
@@ -125,7 +125,7 @@
 }
 
 func (r *Router) takeClosing(c mirror.Change) {
-	if c.Gone {
+	if c.Removed {
 		r.Engine.OpenZone(c.Name, c.Revision)
 	} else {
 		r.Engine.CloseZone(c.Name, c.Revision)
@@ -133,7 +133,7 @@
 }
 
 func (r *Router) takeEndpoint(c mirror.Change) error {
-	if c.Gone {
+	if c.Removed {
 		r.Engine.DropEndpoint(c.Name, c.Revision, c.LapsesAt)
 		return nil
 	}
@@ -145,7 +145,7 @@
 }
 
 func (r *Router) takeRouter(c mirror.Change) error {
-	if c.Gone {
+	if c.Removed {
 		r.fleet.Remove(c.Name)
 		return nil
 	}
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -33,7 +33,7 @@
 
 // takeVerdict takes over a quarantine that was stored or removed.
 func (r *Router) takeVerdict(c mirror.Change) error {
-	if c.Gone {
+	if c.Removed {
 		p, err := poison.ParseFingerprint(c.Name)
 		if err == nil {
 			r.Engine.DropVerdict(p)
@@ -55,7 +55,7 @@
 	var failedAt time.Time
 	for ctx.Err() == nil {
 		now := time.Now()
-		heard := r.mirror.Proven(r.wire.ConfigKind).After(failedAt)
+		heard := r.mirror.ConfirmedAt(r.wire.ConfigKind).After(failedAt)
 		if heard || now.After(verdictAgain.After(failedAt)) {
 			failedAt = r.storeNext(ctx)
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -86,7 +86,7 @@
 	r.secret.Set(r.self.Token)
 	r.asker = peers.NewAsker(log, r.fleet, r.mirror, w.ConfigKind, w.ConfigKind, w.ClosingKind, w.VerdictKind, w.TrialKind, w.EndpointKind, w.RouterKind)
 	w.OnStoreCall(r.storeCalled)
-	r.Engine.Proven = func() time.Time { return r.mirror.Proven(w.ConfigKind) }
+	r.Engine.Proven = func() time.Time { return r.mirror.ConfirmedAt(w.ConfigKind) }
 	r.Engine.Listed = func() bool { return r.mirror.Revision(w.EndpointKind) >= 0 }
 	r.Engine.Routers = r.fleet.Sending
 	r.Engine.Senders = r.senders
