--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -170,7 +170,7 @@
 		}
 		if err := l.write(ctx, b, ops); err != nil {
 			b.fresh = false
-			if errors.Is(err, store.ErrDown) {
+			if errors.Is(err, store.ErrUnavailable) {
 				l.fail(ops, err)
 				return
 			}
@@ -233,7 +233,7 @@
 		}
 	}
 	if !assert.That(len(added) > 0, "claimBatchIsNotEmpty") {
-		return store.ErrDown
+		return store.ErrUnavailable
 	}
 	slice, version, records, body := b.read.EncodeAppend(added)
 	call, cancel := context.WithTimeout(ctx, callWithin)
@@ -242,7 +242,7 @@
 	l.Bytes.Add(int64(len(body)))
 	next, err := l.store.Put(call, Kind, sliceName(b.n, slice), version, body)
 	for _, o := range carried {
-		o.tried = o.tried || !errors.Is(err, store.ErrDown)
+		o.tried = o.tried || !errors.Is(err, store.ErrUnavailable)
 	}
 	if err != nil {
 		return err
@@ -260,7 +260,7 @@
 	defer cancel()
 	if !b.listed {
 		if err := l.list(call, b); err != nil {
-			return errors.Mark(err, store.ErrDown)
+			return errors.Mark(err, store.ErrUnavailable)
 		}
 	}
 	slice, _ := b.read.NextSlice()
@@ -272,10 +272,10 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Mark(err, store.ErrDown)
+			return errors.Mark(err, store.ErrUnavailable)
 		}
 		if err := b.read.ApplyRead(slice, o.Version, o.Value); err != nil {
-			return errors.Mark(err, store.ErrDown)
+			return errors.Mark(err, store.ErrUnavailable)
 		}
 		next, version := b.read.NextSlice()
 		if version != 0 {
--- a/internal/claims/log_test.go
+++ b/internal/claims/log_test.go
@@ -221,14 +221,14 @@
 
 // TestDoubt says "not written" only of claims that no write has carried.
 func TestDoubt(t *testing.T) {
-	down := errors.Mark(errors.New("x"), store.ErrDown)
+	down := errors.Mark(errors.New("x"), store.ErrUnavailable)
 	tests := []struct {
 		name string
 		put  error
 		want error
 	}{
 		{"the platform refuses the write", down, ErrNotWritten},
-		{"the write's outcome is not known, then the platform is down", errors.Mark(errors.New("x"), store.ErrUnknown), ErrDoubt},
+		{"the write's outcome is not known, then the platform is down", errors.Mark(errors.New("x"), store.ErrOutcomeUnknown), ErrDoubt},
 	}
 	for _, tt := range tests {
 		written := false
--- a/internal/commit/apply.go
+++ b/internal/commit/apply.go
@@ -78,7 +78,7 @@
 	var last error
 	for range triesMost {
 		change, err := try(ctx, c, e)
-		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnknown) {
+		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
 			last = err
 			continue
 		}
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -127,7 +127,7 @@
 
 // fresh refuses under stale settings where the settings say so.
 func (e *Entry) fresh(eff *config.Effective, now time.Time) *fault.Error {
-	if *eff.Values.OnStale != config.Refuse || now.Before(eff.Values.StaleAfter.After(e.Holder.HeardAt())) {
+	if *eff.Values.OnStale != config.Refuse || now.Before(eff.Values.StaleAfter.After(e.Holder.ConfirmedAt())) {
 		return nil
 	}
 	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").WithRetryAt(comeBackAfter.After(now))
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -126,9 +126,9 @@
 		p.mu.Unlock()
 		return false
 	}
-	ps.e.Holder.Newer(ctx, c, reply.Revision)
+	ps.e.Holder.CatchUp(ctx, c, reply.Revision)
 	if reply.Revision == ps.e.Holder.Revision() {
-		ps.e.Holder.Heard()
+		ps.e.Holder.Confirm()
 	}
 	ps.e.takeCrashes(p, c.Peer.Incarnation, reply.Load.Crashes)
 	p.mu.Lock()
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return wire.RunReply{Err: sendFault(err)}
 	}
-	e.Holder.Newer(ctx, c, reply.Revision)
+	e.Holder.CatchUp(ctx, c, reply.Revision)
 	return reply
 }
 
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -47,12 +47,12 @@
 // the settings for long: a process that was frozen finds out here.
 func (e *Entry) catchUp() {
 	now := e.Now()
-	if now.Before(hearWithin.After(e.Holder.HeardAt())) {
+	if now.Before(hearWithin.After(e.Holder.ConfirmedAt())) {
 		return
 	}
 	e.peers.pokeAll()
 	deadline := catchUpWithin.After(now)
-	for e.Now().Before(deadline) && e.Holder.HeardAt().Before(now) {
+	for e.Now().Before(deadline) && e.Holder.ConfirmedAt().Before(now) {
 		tasks.Pause(e.kill, stopPoll.After(time.Now()))
 	}
 }
--- a/internal/fakes/objects.go
+++ b/internal/fakes/objects.go
@@ -150,7 +150,7 @@
 
 func (o *Objects) put(ctx *fasthttp.RequestCtx, key string, f Faults) {
 	value := append([]byte(nil), ctx.PostBody()...)
-	if len(value) > store.MaxValue {
+	if len(value) > store.MaxValueBytes {
 		ctx.Error("too large", fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -186,7 +186,7 @@
 		body, hash := n.Encode()
 		edits[path], bodies[hash] = hash, body
 	}
-	if err := b.holder.TakeOver(b.holder.Current().Head.Next(edits, config.Change{}), bodies); err != nil {
+	if err := b.holder.Advance(b.holder.Current().Head.Next(edits, config.Change{}), bodies); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/guard/handle.go
+++ b/internal/guard/handle.go
@@ -21,7 +21,7 @@
 
 // handleBeat answers an entry's heartbeat with the load.
 func (g *Guard) handleBeat(_ context.Context, c *link.Conn, p wire.Beat) (wire.BeatReply, error) {
-	g.Holder.Heard()
+	g.Holder.Confirm()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if l, ok := g.links[c.Peer.Incarnation]; ok && l.conn == c {
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -33,7 +33,7 @@
 	batchMost = 400
 	// bytesMost bounds the size of one object; it lies under the platform's
 	// limit.
-	bytesMost = store.MaxValue * 9 / 10
+	bytesMost = store.MaxValueBytes * 9 / 10
 	// waitAfterError is how long a failed write waits before it is repeated.
 	waitAfterError = config.Span(time.Second)
 	// putWithin bounds one write.
--- a/internal/ledger/writer_test.go
+++ b/internal/ledger/writer_test.go
@@ -31,14 +31,14 @@
 				what, m.answers = m.answers[0], m.answers[1:]
 			}
 			if what == "down" {
-				return 0, store.ErrDown
+				return 0, store.ErrUnavailable
 			}
 			if _, ok := m.objects[name]; ok {
 				return 0, store.ErrConflict
 			}
 			m.objects[name] = append([]byte(nil), value...)
 			if what == "lost" {
-				return 0, store.ErrUnknown
+				return 0, store.ErrOutcomeUnknown
 			}
 			return 1, nil
 		},
@@ -108,8 +108,8 @@
 		t.Fatal(err)
 	}
 	for name, v := range m.objects {
-		if len(v) > store.MaxValue {
-			t.Errorf("%s has %d bytes, want at most %d", name, len(v), store.MaxValue)
+		if len(v) > store.MaxValueBytes {
+			t.Errorf("%s has %d bytes, want at most %d", name, len(v), store.MaxValueBytes)
 		}
 	}
 }
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -102,7 +102,7 @@
 		}
 		p.Local.TLS = source.Mutual()
 	}
-	p.Local.Mux = link.NewMux(p.Pool.Submit, p.Holder.Newer)
+	p.Local.Mux = link.NewMux(p.Pool.Submit, p.Holder.CatchUp)
 	link.On(p.Local.Mux, wire.MethodDelta, p.Holder.Serve)
 	if err := p.listen(o); err != nil {
 		return nil, err
@@ -195,7 +195,7 @@
 		Identity:   p.Identity,
 		Now:        p.Now(),
 		Revision:   p.Holder.Revision(),
-		HeardAt:    p.Holder.HeardAt(),
+		HeardAt:    p.Holder.ConfirmedAt(),
 		Violations: assert.Violations(),
 		LinkBytes:  p.Local.Bytes.Load(),
 		LinkMsgs:   p.Local.Messages.Load(),
--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -174,7 +174,7 @@
 		return duty.Missing
 	case errors.Is(err, ErrRefused):
 		return duty.Refused
-	case errors.Is(err, store.ErrDown):
+	case errors.Is(err, store.ErrUnavailable):
 		return duty.Failed
 	default:
 		return duty.Unknown
--- a/internal/spread/holder.go
+++ b/internal/spread/holder.go
@@ -48,24 +48,24 @@
 // Revision returns the revision in force.
 func (h *Holder) Revision() int64 { return h.Current().Head.Revision }
 
-// Heard notes that the platform or a peer knows of nothing newer.
-func (h *Holder) Heard() {
+// Confirm notes that the platform or a peer knows of nothing newer.
+func (h *Holder) Confirm() {
 	now := h.now()
 	h.heardAt.Store(&now)
 }
 
-// HeardAt returns when Heard was last called, or the zero time.
-func (h *Holder) HeardAt() time.Time {
+// ConfirmedAt returns when Heard was last called, or the zero time.
+func (h *Holder) ConfirmedAt() time.Time {
 	if t := h.heardAt.Load(); t != nil {
 		return *t
 	}
 	return time.Time{}
 }
 
-// TakeOver moves to head if it is newer, with bodies for the nodes that are
+// Advance moves to head if it is newer, with bodies for the nodes that are
 // not at hand. It is the one place where a revision is taken over. It returns
 // config.ErrRevision if head is not newer.
-func (h *Holder) TakeOver(head config.Head, bodies map[string][]byte) error {
+func (h *Holder) Advance(head config.Head, bodies map[string][]byte) error {
 	h.mu.Lock()
 	old := h.Current()
 	next, err := old.Advance(head, bodies)
@@ -77,7 +77,7 @@
 		zap.Int64("old", old.Head.Revision), zap.Int64("new", next.Head.Revision))
 	h.current.Store(next)
 	h.mu.Unlock()
-	h.Heard()
+	h.Confirm()
 	h.log.Info("settings: Took over a revision.", zap.Int64("revision", head.Revision))
 	if h.onMove != nil {
 		h.onMove(next)
@@ -93,7 +93,7 @@
 	}
 	cur := h.Current()
 	if head.Head.Revision <= cur.Head.Revision {
-		h.Heard()
+		h.Confirm()
 		return nil
 	}
 	bodies := make(map[string][]byte)
@@ -109,7 +109,7 @@
 		}
 		missing = missing[n:]
 	}
-	err := h.TakeOver(head.Head, bodies)
+	err := h.Advance(head.Head, bodies)
 	if err == config.ErrRevision {
 		return nil
 	}
@@ -119,8 +119,8 @@
 // nodesPerDelta bounds the size of one reply.
 const nodesPerDelta = 64
 
-// Newer is what link.Mux calls for a peer with a newer revision.
-func (h *Holder) Newer(ctx context.Context, c *link.Conn, revision int64) {
+// CatchUp is what link.Mux calls for a peer with a newer revision.
+func (h *Holder) CatchUp(ctx context.Context, c *link.Conn, revision int64) {
 	if revision <= h.Revision() {
 		return
 	}
--- a/internal/spread/holder_test.go
+++ b/internal/spread/holder_test.go
@@ -43,7 +43,7 @@
 			go func() {
 				defer wg.Done()
 				before := h.Revision()
-				err := h.TakeOver(config.Head{Revision: r}, nil)
+				err := h.Advance(config.Head{Revision: r}, nil)
 				if after := h.Revision(); after < before || (err == nil && after < r) {
 					t.Errorf("offered %d: got %d after %d", r, after, before)
 				}
--- a/internal/spread/watch.go
+++ b/internal/spread/watch.go
@@ -90,7 +90,7 @@
 		o, err = c.Get(ctx, KindHead, NameHead)
 	}
 	if errors.Is(err, store.ErrNotFound) || (err == nil && o.Version == version) {
-		h.Heard()
+		h.Confirm()
 		return version, nil
 	}
 	if err != nil {
@@ -111,7 +111,7 @@
 	if err != nil {
 		return version, err
 	}
-	if err := h.TakeOver(head, bodies); err != nil && err != config.ErrRevision {
+	if err := h.Advance(head, bodies); err != nil && err != config.ErrRevision {
 		return version, err
 	}
 	return o.Version, nil
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -30,15 +30,15 @@
 	ErrUnchanged fault.Const = "store: no change"
 	// ErrTooLarge says that the value is over the platform's limit.
 	ErrTooLarge fault.Const = "store: the value is too large"
-	// ErrUnknown says that a write may or may not have taken effect.
-	ErrUnknown fault.Const = "store: the outcome of the write is not known"
-	// ErrDown says that the platform did not answer, or answered an error,
+	// ErrOutcomeUnknown says that a write may or may not have taken effect.
+	ErrOutcomeUnknown fault.Const = "store: the outcome of the write is not known"
+	// ErrUnavailable says that the platform did not answer, or answered an error,
 	// and nothing was written.
-	ErrDown fault.Const = "store: the platform does not answer"
+	ErrUnavailable fault.Const = "store: the platform does not answer"
 )
 
-// MaxValue is the greatest size of a value, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the greatest size of a value, in bytes.
+const MaxValueBytes = 1 << 20
 
 // VersionHeader carries an object's version.
 const VersionHeader = "X-Object-Version"
@@ -58,11 +58,11 @@
 
 // Client reaches an object API. Its fields are seams: tests replace them.
 type Client struct {
-	// Get returns an object or ErrNotFound or ErrDown.
+	// Get returns an object or ErrNotFound or ErrUnavailable.
 	Get func(ctx context.Context, kind, name string) (Object, error)
 	// Put writes an object if it still has version ifVersion; 0 means that
 	// it must not exist. It returns the new version, or ErrConflict,
-	// ErrTooLarge, ErrDown (nothing written) or ErrUnknown.
+	// ErrTooLarge, ErrUnavailable (nothing written) or ErrOutcomeUnknown.
 	Put func(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error)
 	// List returns the objects of a kind whose names begin with prefix, in
 	// the order of names.
@@ -108,13 +108,13 @@
 		deadline = time.Now().Add(callWithin)
 	}
 	if err := ctx.Err(); err != nil {
-		return errors.Mark(err, ErrDown)
+		return errors.Mark(err, ErrUnavailable)
 	}
 	if err := h.http.DoDeadline(req, resp, deadline); err != nil {
-		if errors.Is(err, ErrDown) {
+		if errors.Is(err, ErrUnavailable) {
 			return err
 		}
-		return errors.Mark(errors.Wrap(err, "store"), ErrUnknown)
+		return errors.Mark(errors.Wrap(err, "store"), ErrOutcomeUnknown)
 	}
 	return read(resp)
 }
@@ -145,22 +145,22 @@
 	}
 	version, err := strconv.ParseInt(string(resp.Header.Peek(VersionHeader)), 10, 64)
 	if err != nil {
-		return ErrDown
+		return ErrUnavailable
 	}
 	*o = Object{Name: name, Version: version, Value: append([]byte(nil), resp.Body()...)}
 	return nil
 }
 
-// readOnly turns an unknown outcome into ErrDown, as reading changes nothing.
+// readOnly turns an unknown outcome into ErrUnavailable, as reading changes nothing.
 func readOnly(err error) error {
-	if errors.Is(err, ErrUnknown) {
-		return errors.Mark(err, ErrDown)
+	if errors.Is(err, ErrOutcomeUnknown) {
+		return errors.Mark(err, ErrUnavailable)
 	}
 	return err
 }
 
 func (h *wire) put(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, ErrTooLarge
 	}
 	var version int64
@@ -180,7 +180,7 @@
 		var err error
 		version, err = strconv.ParseInt(string(resp.Header.Peek(VersionHeader)), 10, 64)
 		if err != nil {
-			return ErrUnknown
+			return ErrOutcomeUnknown
 		}
 		return nil
 	})
@@ -229,8 +229,8 @@
 	case fasthttp.StatusRequestEntityTooLarge:
 		return ErrTooLarge
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
-		return ErrDown
+		return ErrUnavailable
 	default:
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 }
--- a/internal/store/conns.go
+++ b/internal/store/conns.go
@@ -26,7 +26,7 @@
 func (c *conns) dial(addr string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialWithin)
 	if err != nil {
-		return nil, errors.Mark(err, ErrDown)
+		return nil, errors.Mark(err, ErrUnavailable)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/store/vms.go
+++ b/internal/store/vms.go
@@ -37,7 +37,7 @@
 
 // VMs reaches the platform's VM list. Its field is a seam.
 type VMs struct {
-	// List returns the VMs, or ErrDown.
+	// List returns the VMs, or ErrUnavailable.
 	List func(ctx context.Context) ([]VM, error)
 }
 
@@ -63,7 +63,7 @@
 		return err
 	}
 	if err := json.Unmarshal(resp.Body(), dst); err != nil {
-		return ErrDown
+		return ErrUnavailable
 	}
 	return nil
 }
