--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -57,55 +57,55 @@
 	// router and will tell it of its return; nil for no.
 	RetrySlowly func() bool
 
-	// read holds the pages of a list that were read so far, and at when the first was
+	// pages holds the pages of a list that were pages so far, and at when the first was
 	// asked for: a page that fails is asked for again, not the whole list.
-	read []Page
-	at   time.Time
-	// again says that the history was lost, so that all is read again.
-	again bool
-	// begins says that others asked the store until now.
-	begins bool
-	// lostAt is when the store was heard of last before it was lost; zero while
+	pages    []Page
+	listedAt time.Time
+	// relist says that the history was lost, so that all is read relist.
+	relist bool
+	// resumed says that others asked the store until now.
+	resumed bool
+	// lostSince is when the store was heard of last before it was lost; zero while
 	// it answers.
-	lostAt time.Time
+	lostSince time.Time
 	// lapsesAt is when entries that lapsed in the last outage count as gone.
 	lapsesAt time.Time
 	failures int
 }
 
 const (
-	// callWithin bounds a call beyond the time that it waits on purpose. The
+	// callTimeout bounds a call beyond the time that it waits on purpose. The
 	// users' slow store takes up to 0.4 s an answer.
-	callWithin = 1500 * time.Millisecond
-	// outageLeast is how long the store must be away for entries to lapse;
+	callTimeout = 1500 * time.Millisecond
+	// minOutage is how long the store must be away for entries to lapse;
 	// they are removed after three missed heartbeats of about a second.
-	outageLeast = time.Second
+	minOutage = time.Second
 	// lapseGrace is how long after an outage lapsed entries are waited for.
 	lapseGrace = config.Span(2 * time.Second)
-	// pauseFirst and pauseMost bound the pauses between failed calls, which
+	// minBackoff and pauseMost bound the pauses between failed calls, which
 	// double.
-	pauseFirst = 50 * time.Millisecond
-	pauseMost  = 800 * time.Millisecond
-	// patientFirst and patientMost do so where others try more often: each call is priced
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
+	// minSlowBackoff and patientMost do so where others try more often: each call is priced
 	// also while the store is down, and the others' word takes less than half a second.
-	patientFirst = 400 * time.Millisecond
-	patientMost  = 4 * time.Second
-	// pagesFor is how long pages that were read are kept: the history that brings them up
+	minSlowBackoff = 400 * time.Millisecond
+	maxSlowBackoff = 4 * time.Second
+	// pageTTL is how long pages that were read are kept: the history that brings them up
 	// to date goes back 20 s on the users' stores, and may be shorter.
-	pagesFor = 10 * time.Second
+	pageTTL = 10 * time.Second
 )
 
 // Run follows until ctx is done.
 func (f *Follower) Run(ctx context.Context) error {
-	heard := time.Now()
+	lastSuccess := time.Now()
 	for ctx.Err() == nil {
 		if f.AwaitTurn != nil {
 			before := time.Now()
 			if !f.AwaitTurn(ctx) {
 				return nil
 			}
-			if time.Since(before) > outageLeast {
-				heard, f.begins = time.Now(), true
+			if time.Since(before) > minOutage {
+				lastSuccess, f.resumed = time.Now(), true
 			}
 		}
 		sent := time.Now()
@@ -114,14 +114,14 @@
 		case ctx.Err() != nil:
 			return nil
 		case err == nil:
-			f.back(sent)
-			heard = time.Now()
+			f.recordSuccess(sent)
+			lastSuccess = time.Now()
 		case errors.Is(err, ErrHistoryGone):
 			f.Log.Info("mirror: The history is gone; all is read again.", zap.String("kind", f.Kind), zap.Int64("revision", f.Mirror.Revision(f.Kind)))
-			f.again = true
+			f.relist = true
 		default:
-			f.lost(heard, err)
-			tasks.Pause(ctx, time.Now().Add(f.pause()))
+			f.recordFailure(lastSuccess, err)
+			tasks.Pause(ctx, time.Now().Add(f.backoff()))
 		}
 	}
 	return nil
@@ -130,23 +130,23 @@
 // step makes one call.
 func (f *Follower) step(ctx context.Context, sent time.Time) error {
 	since := f.Mirror.Revision(f.Kind)
-	if since < 0 || f.again {
+	if since < 0 || f.relist {
 		return f.list(ctx, sent)
 	}
 	until := f.WatchTimeout.After(sent)
-	if !f.lostAt.IsZero() || f.begins {
+	if !f.lostSince.IsZero() || f.resumed {
 		// Word that the store is back should not wait for a change, nor the proof that others
 		// wait for where the one that asked the store before is gone.
 		until = sent
 	}
-	ctx, cancel := context.WithDeadline(ctx, until.Add(callWithin))
+	ctx, cancel := context.WithDeadline(ctx, until.Add(callTimeout))
 	defer cancel()
 	changes, revision, err := f.Source.Watch(ctx, f.Kind, since, until)
 	if err != nil {
 		return err
 	}
-	f.begins = false
-	f.returned(time.Now())
+	f.resumed = false
+	f.updateLapse(time.Now())
 	for i := range changes {
 		changes[i].LapsesAt = f.lapsesAt
 	}
@@ -160,79 +160,79 @@
 // list reads the pages of a kind that are left. What changes meanwhile comes again with the
 // first watch, as the revision is the first page's.
 func (f *Follower) list(ctx context.Context, sent time.Time) error {
-	if f.read == nil || sent.Sub(f.at) > pagesFor {
-		f.read, f.at = nil, sent
+	if f.pages == nil || sent.Sub(f.listedAt) > pageTTL {
+		f.pages, f.listedAt = nil, sent
 	}
 	for {
-		page, err := f.page(ctx)
+		page, err := f.nextPage(ctx)
 		if err != nil {
 			return err
 		}
-		f.read = append(f.read, page)
+		f.pages = append(f.pages, page)
 		if !page.More || len(page.Objects) == 0 {
 			break
 		}
-		if !f.again && f.Mirror.Revision(f.Kind) >= 0 {
+		if !f.relist && f.Mirror.Revision(f.Kind) >= 0 {
 			// A peer was quicker.
-			f.read = nil
+			f.pages = nil
 			return nil
 		}
 	}
-	f.returned(time.Now())
+	f.updateLapse(time.Now())
 	var objects []Object
-	for _, p := range f.read {
+	for _, p := range f.pages {
 		objects = append(objects, p.Objects...)
 	}
-	f.Mirror.Replace(f.Kind, objects, f.read[0].Revision, f.at, f.lapsesAt)
-	f.Log.Info("mirror: All of a kind was read.", zap.String("kind", f.Kind), zap.Int64("revision", f.read[0].Revision), zap.Int("objects", len(objects)),
-		zap.Int("pages", len(f.read)), zap.Bool("historyLost", f.again), zap.Int64("tookMs", time.Since(f.at).Milliseconds()))
-	f.again, f.read = false, nil
+	f.Mirror.Replace(f.Kind, objects, f.pages[0].Revision, f.listedAt, f.lapsesAt)
+	f.Log.Info("mirror: All of a kind was read.", zap.String("kind", f.Kind), zap.Int64("revision", f.pages[0].Revision), zap.Int("objects", len(objects)),
+		zap.Int("pages", len(f.pages)), zap.Bool("historyLost", f.relist), zap.Int64("tookMs", time.Since(f.listedAt).Milliseconds()))
+	f.relist, f.pages = false, nil
 	return nil
 }
 
-// page reads the next page.
-func (f *Follower) page(ctx context.Context) (Page, error) {
+// nextPage reads the next nextPage.
+func (f *Follower) nextPage(ctx context.Context) (Page, error) {
 	after := ""
-	if n := len(f.read); n > 0 {
-		last := f.read[n-1].Objects
+	if n := len(f.pages); n > 0 {
+		last := f.pages[n-1].Objects
 		after = last[len(last)-1].Name
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(callWithin))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(callTimeout))
 	defer cancel()
 	return f.Source.Page(ctx, f.Kind, after)
 }
 
-// returned sets when lapsed entries count as gone, on the first answer after an
+// updateLapse sets when lapsed entries count as gone, on the first answer after an
 // outage.
-func (f *Follower) returned(now time.Time) {
-	if !f.lostAt.IsZero() && now.Sub(f.lostAt) >= outageLeast {
+func (f *Follower) updateLapse(now time.Time) {
+	if !f.lostSince.IsZero() && now.Sub(f.lostSince) >= minOutage {
 		f.lapsesAt = lapseGrace.After(now)
 	}
 }
 
-// lost notes a failed call.
-func (f *Follower) lost(heard time.Time, err error) {
+// recordFailure notes a failed call.
+func (f *Follower) recordFailure(lastSuccess time.Time, err error) {
 	f.failures++
-	if f.lostAt.IsZero() {
-		f.lostAt = heard
+	if f.lostSince.IsZero() {
+		f.lostSince = lastSuccess
 		f.Log.Warn("mirror: The store was lost.", zap.String("kind", f.Kind), zap.Int64("revision", f.Mirror.Revision(f.Kind)), logs.Err(err))
 	}
 }
 
-// back notes an answer.
-func (f *Follower) back(now time.Time) {
-	if !f.lostAt.IsZero() {
+// recordSuccess notes an answer.
+func (f *Follower) recordSuccess(now time.Time) {
+	if !f.lostSince.IsZero() {
 		f.Log.Info("mirror: The store is back.", zap.String("kind", f.Kind), zap.Int64("revision", f.Mirror.Revision(f.Kind)),
-			zap.Int("failures", f.failures), zap.Duration("away", now.Sub(f.lostAt)))
+			zap.Int("failures", f.failures), zap.Duration("away", now.Sub(f.lostSince)))
 	}
-	f.lostAt, f.failures = time.Time{}, 0
+	f.lostSince, f.failures = time.Time{}, 0
 }
 
-// pause returns the pause after a failed call.
-func (f *Follower) pause() time.Duration {
-	d := min(pauseMost, pauseFirst<<min(f.failures, 8))
+// backoff returns the backoff after a failed call.
+func (f *Follower) backoff() time.Duration {
+	d := min(maxBackoff, minBackoff<<min(f.failures, 8))
 	if f.RetrySlowly != nil && f.RetrySlowly() {
-		d = min(patientMost, patientFirst<<min(f.failures, 8))
+		d = min(maxSlowBackoff, minSlowBackoff<<min(f.failures, 8))
 	}
 	return d/2 + time.Duration(rand.Int64N(int64(d)))/2
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -35,33 +35,33 @@
 	// short and not call the mirror. It is set before the first change.
 	OnChange func(kind string, c Change)
 	mu       sync.Mutex
-	kinds    map[string]*copied
+	kinds    map[string]*kindCopy
 	// changed is closed and made anew at each change.
 	changed chan struct{}
 }
 
-// copied is the copy of one kind.
-type copied struct {
+// kindCopy is the copy of one kind.
+type kindCopy struct {
 	// revision is up to which the copy goes; -1 before the first list. It
 	// never goes back.
 	revision int64
-	// provenAt is when the copy was the newest, for sure.
-	provenAt time.Time
-	objects  map[string]Object
-	// gone holds the removed objects since floor; a copy that is older than
+	// confirmedAt is when the copy was the newest, for sure.
+	confirmedAt time.Time
+	objects     map[string]Object
+	// tombstones holds the removed objects since floor; a copy that is older than
 	// floor needs the whole list.
-	gone  map[string]Change
-	floor int64
+	tombstones map[string]Change
+	deltaFloor int64
 }
 
-// goneMost bounds how many removed objects of a kind are remembered.
-const goneMost = 1024
+// maxTombstones bounds how many removed objects of a kind are remembered.
+const maxTombstones = 1024
 
 // New returns an empty mirror of the named kinds.
 func New(kinds ...string) *Mirror {
-	m := &Mirror{OnChange: func(string, Change) {}, kinds: make(map[string]*copied), changed: make(chan struct{})}
+	m := &Mirror{OnChange: func(string, Change) {}, kinds: make(map[string]*kindCopy), changed: make(chan struct{})}
 	for _, k := range kinds {
-		m.kinds[k] = &copied{revision: -1, objects: make(map[string]Object), gone: make(map[string]Change)}
+		m.kinds[k] = &kindCopy{revision: -1, objects: make(map[string]Object), tombstones: make(map[string]Change)}
 	}
 	return m
 }
@@ -77,7 +77,7 @@
 func (m *Mirror) ConfirmedAt(kind string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.kinds[kind].provenAt
+	return m.kinds[kind].confirmedAt
 }
 
 // Replace takes over all objects of a kind as they were at a revision, read after
@@ -101,7 +101,7 @@
 		}
 	}
 	if c.revision < 0 {
-		c.floor = revision
+		c.deltaFloor = revision
 	}
 	m.advance(c, revision, at)
 }
@@ -119,26 +119,26 @@
 }
 
 // apply takes over one change, unless the copy has a newer one; mu is held.
-func (m *Mirror) apply(kind string, c *copied, ch Change) {
+func (m *Mirror) apply(kind string, c *kindCopy, ch Change) {
 	if o, ok := c.objects[ch.Name]; ok && ch.Revision <= o.Revision {
 		return
 	}
-	if g, ok := c.gone[ch.Name]; ok && ch.Revision <= g.Revision {
+	if g, ok := c.tombstones[ch.Name]; ok && ch.Revision <= g.Revision {
 		return
 	}
 	if !ch.Removed {
-		delete(c.gone, ch.Name)
+		delete(c.tombstones, ch.Name)
 		c.objects[ch.Name] = ch.Object
 		m.OnChange(kind, ch)
 		return
 	}
-	if len(c.gone) >= goneMost {
-		clear(c.gone)
-		c.floor = ch.Revision
+	if len(c.tombstones) >= maxTombstones {
+		clear(c.tombstones)
+		c.deltaFloor = ch.Revision
 	}
 	// Also of an object that was never known here: a late word of it must not
 	// bring it in.
-	c.gone[ch.Name] = ch
+	c.tombstones[ch.Name] = ch
 	if _, ok := c.objects[ch.Name]; ok {
 		delete(c.objects, ch.Name)
 		m.OnChange(kind, ch)
@@ -146,11 +146,11 @@
 }
 
 // advance notes up to where the copy goes; mu is held.
-func (m *Mirror) advance(c *copied, revision int64, at time.Time) {
+func (m *Mirror) advance(c *kindCopy, revision int64, at time.Time) {
 	returned := false
-	if at.After(c.provenAt) && revision >= c.revision {
-		returned = at.Sub(c.provenAt) > provenGap
-		c.provenAt = at
+	if at.After(c.confirmedAt) && revision >= c.revision {
+		returned = at.Sub(c.confirmedAt) > minConfirmationGap
+		c.confirmedAt = at
 	}
 	if revision > c.revision || returned {
 		c.revision = revision
@@ -159,9 +159,9 @@
 	}
 }
 
-// provenGap is how much newer a proof is that is told at once to those who wait for one: it
+// minConfirmationGap is how much newer a proof is that is told at once to those who wait for one: it
 // follows a time without word of the store.
-const provenGap = time.Second
+const minConfirmationGap = time.Second
 
 // Delta is what a copy of one kind lacks.
 type Delta struct {
@@ -181,13 +181,13 @@
 	if c == nil || c.revision < 0 {
 		return Delta{}, false
 	}
-	d = Delta{Revision: c.revision, ConfirmedAt: c.provenAt, Full: revision < c.floor}
+	d = Delta{Revision: c.revision, ConfirmedAt: c.confirmedAt, Full: revision < c.deltaFloor}
 	for _, o := range c.objects {
 		if d.Full || o.Revision > revision {
 			d.Changes = append(d.Changes, Change{Object: o})
 		}
 	}
-	for _, g := range c.gone {
+	for _, g := range c.tombstones {
 		if !d.Full && g.Revision > revision {
 			d.Changes = append(d.Changes, g)
 		}
@@ -198,19 +198,19 @@
 // AwaitChange returns when the copy of a kind goes further than have says, at the time
 // until, or when ctx is done.
 func (m *Mirror) AwaitChange(ctx context.Context, have map[string]int64, until time.Time) {
-	m.await(ctx, until, func() bool { return m.beyond(have) })
+	m.await(ctx, until, func() bool { return m.changedSince(have) })
 }
 
 // AwaitChangeOrConfirmation is Await, but that it returns too when the copy of a kind was proven to be the newest
 // after a time.
 func (m *Mirror) AwaitChangeOrConfirmation(ctx context.Context, have map[string]int64, kind string, after, until time.Time) {
-	m.await(ctx, until, func() bool { return m.beyond(have) || m.kinds[kind].provenAt.After(after) })
+	m.await(ctx, until, func() bool { return m.changedSince(have) || m.kinds[kind].confirmedAt.After(after) })
 }
 
-// beyond reports whether the copy of a kind goes further than have says; mu is held.
-func (m *Mirror) beyond(have map[string]int64) bool {
+// changedSince reports whether the copy of a kind goes further than have says; mu is held.
+func (m *Mirror) changedSince(have map[string]int64) bool {
 	for kind, revision := range have {
-		if c := m.kinds[kind]; c != nil && c.lacking(revision) {
+		if c := m.kinds[kind]; c != nil && c.changedSince(revision) {
 			return true
 		}
 	}
@@ -220,7 +220,7 @@
 // AwaitConfirmation returns when the copy of a kind was proven to be the newest after a time, at the
 // time until, or when ctx is done.
 func (m *Mirror) AwaitConfirmation(ctx context.Context, kind string, after, until time.Time) {
-	m.await(ctx, until, func() bool { return m.kinds[kind].provenAt.After(after) })
+	m.await(ctx, until, func() bool { return m.kinds[kind].confirmedAt.After(after) })
 }
 
 // await returns when a condition holds, which is looked at with mu held after each change, at
@@ -243,13 +243,13 @@
 	}
 }
 
-// lacking reports whether a copy up to a revision lacks a change, not only a
+// changedSince reports whether a copy up to a revision lacks a change, not only a
 // newer revision of other kinds.
-func (c *copied) lacking(revision int64) bool {
+func (c *kindCopy) changedSince(revision int64) bool {
 	if c.revision <= revision {
 		return false
 	}
-	if revision < c.floor {
+	if revision < c.deltaFloor {
 		return true
 	}
 	for _, o := range c.objects {
@@ -257,7 +257,7 @@
 			return true
 		}
 	}
-	for _, g := range c.gone {
+	for _, g := range c.tombstones {
 		if g.Revision > revision {
 			return true
 		}
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -24,13 +24,13 @@
 	return Object{Name: name, Revision: revision, Spec: json.RawMessage(fmt.Sprint(revision))}
 }
 
-// state is what a listener of a mirror knows.
-type state map[string]int64
+// observed is what a listener of a mirror knows.
+type observed map[string]int64
 
-// listen makes a state that follows a mirror, and fails on a change that goes
+// observe makes a state that follows a mirror, and fails on a change that goes
 // back.
-func listen(t *testing.T, m *Mirror) state {
-	s := make(state)
+func observe(t *testing.T, m *Mirror) observed {
+	s := make(observed)
 	m.OnChange = func(_ string, c Change) {
 		if c.Revision < s[c.Name] {
 			t.Errorf("%s: got revision %d after %d", c.Name, c.Revision, s[c.Name])
@@ -43,14 +43,14 @@
 	return s
 }
 
-func TestOldWordsChangeNothing(t *testing.T) {
+func TestStaleUpdatesAreIgnored(t *testing.T) {
 	m := New("k")
-	s := listen(t, m)
+	s := observe(t, m)
 	m.Replace("k", []Object{object("a", 3), object("b", 4)}, 5, t0, time.Time{})
 	m.Apply("k", []Change{{Object: object("a", 7)}, {Object: Object{Name: "b", Revision: 8}, Removed: true}}, 8, t0)
 	m.Apply("k", []Change{{Object: object("a", 6)}, {Object: object("b", 4)}}, 7, t0)
 	m.Replace("k", []Object{object("a", 3), object("b", 4)}, 5, t0, time.Time{})
-	if want := (state{"a": 7, "b": -8}); !maps.Equal(s, want) {
+	if want := (observed{"a": 7, "b": -8}); !maps.Equal(s, want) {
 		t.Errorf("state: got %v, want %v", s, want)
 	}
 	if got := m.Revision("k"); got != 8 {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestProofsNeverGoBack(t *testing.T) {
+func TestConfirmedAtNeverGoesBack(t *testing.T) {
 	m := New("k")
 	m.Replace("k", nil, 5, t0, time.Time{})
 	m.Apply("k", nil, 5, t0.Add(time.Second))
@@ -71,47 +71,47 @@
 }
 
 // Copies that are fed from one another in any order, late and twice, end equal.
-func TestCopiesOfCopiesAgree(t *testing.T) {
+func TestReplicasConverge(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 7))
-		truth, copies := New("k"), []*Mirror{New("k"), New("k"), New("k")}
-		want := listen(t, truth)
-		var states []state
+		origin, copies := New("k"), []*Mirror{New("k"), New("k"), New("k")}
+		want := observe(t, origin)
+		var states []observed
 		for _, c := range copies {
-			states = append(states, listen(t, c))
+			states = append(states, observe(t, c))
 		}
-		truth.Replace("k", nil, 0, t0, time.Time{})
-		var late []func()
+		origin.Replace("k", nil, 0, t0, time.Time{})
+		var delayed []func()
 		pull := func(from, to *Mirror) {
 			d, ok := from.Since("k", to.Revision("k"))
 			if !ok {
 				return
 			}
-			late = append(late, func() { give(to, d) })
+			delayed = append(delayed, func() { applyDelta(to, d) })
 		}
 		for revision := int64(1); revision < 200; revision++ {
 			name := fmt.Sprint(rnd.IntN(12))
 			c := Change{Object: object(name, revision), Removed: rnd.IntN(3) == 0}
-			truth.Apply("k", []Change{c}, revision, t0)
-			pull(truth, copies[rnd.IntN(3)])
+			origin.Apply("k", []Change{c}, revision, t0)
+			pull(origin, copies[rnd.IntN(3)])
 			pull(copies[rnd.IntN(3)], copies[rnd.IntN(3)])
-			if len(late) > 0 && rnd.IntN(2) == 0 {
-				late[rnd.IntN(len(late))]()
+			if len(delayed) > 0 && rnd.IntN(2) == 0 {
+				delayed[rnd.IntN(len(delayed))]()
 			}
 		}
 		for _, c := range copies {
-			d, _ := truth.Since("k", c.Revision("k"))
-			give(c, d)
+			d, _ := origin.Since("k", c.Revision("k"))
+			applyDelta(c, d)
 		}
 		for i, s := range states {
-			if got, want := alive(s), alive(want); !maps.Equal(got, want) {
+			if got, want := existing(s), existing(want); !maps.Equal(got, want) {
 				t.Fatalf("seed %d, copy %d: got %v, want %v", seed, i, got, want)
 			}
 		}
 	}
 }
 
-func give(to *Mirror, d Delta) {
+func applyDelta(to *Mirror, d Delta) {
 	if !d.Full {
 		to.Apply("k", d.Changes, d.Revision, d.ConfirmedAt)
 		return
@@ -123,8 +123,8 @@
 	to.Replace("k", list, d.Revision, d.ConfirmedAt, time.Time{})
 }
 
-func alive(s state) state {
-	out := make(state)
+func existing(s observed) observed {
+	out := make(observed)
 	for name, revision := range s {
 		if revision > 0 {
 			out[name] = revision
@@ -133,7 +133,7 @@
 	return out
 }
 
-func TestAwaitHearsOfAChange(*testing.T) {
+func TestAwaitChangeReturnsOnChange(*testing.T) {
 	m := New("k", "other")
 	m.Replace("k", nil, 1, t0, time.Time{})
 	ended := make(chan struct{})
@@ -145,10 +145,10 @@
 	<-ended
 }
 
-var errDown = errors.New("down")
+var errUnavailable = errors.New("down")
 
 // A store that is away for long lets entries lapse; they are waited for after it.
-func TestRemovalsAfterAnOutageLapse(t *testing.T) {
+func TestRemovalsAfterOutageLapseLater(t *testing.T) {
 	m := New("k")
 	var got []Change
 	m.OnChange = func(_ string, c Change) { got = append(got, c) }
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	now := time.Now()
-	f.lost(now.Add(-2*time.Second), errDown)
+	f.recordFailure(now.Add(-2*time.Second), errUnavailable)
 	if err := f.step(ctx, now); err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestLostStoreIsAskedWithoutWaiting(t *testing.T) {
+func TestLostStoreIsWatchedWithoutWaiting(t *testing.T) {
 	const wait = 700 * time.Millisecond
 	var waits []time.Duration
 	f := Follower{Log: zap.NewNop(), Mirror: New("k"), Kind: "k", WatchTimeout: config.Span(wait), Source: Source{
@@ -192,26 +192,26 @@
 	}
 	step()
 	step()
-	f.lost(time.Now(), errDown)
+	f.recordFailure(time.Now(), errUnavailable)
 	step()
-	f.back(time.Now())
+	f.recordSuccess(time.Now())
 	step()
 	if len(waits) != 3 || waits[0] < wait/2 || waits[1] > 0 || waits[2] < wait/2 {
 		t.Errorf("waits: got %v, want about %v, none while the store is lost, and %v again", waits, wait, wait)
 	}
 }
 
-func TestShortTroubleLetsNothingLapse(t *testing.T) {
+func TestShortOutageDelaysNoRemoval(t *testing.T) {
 	f := Follower{Log: zap.NewNop(), Mirror: New("k"), Kind: "k"}
 	now := time.Now()
-	f.lost(now.Add(-outageLeast/2), errDown)
-	f.returned(now)
+	f.recordFailure(now.Add(-minOutage/2), errUnavailable)
+	f.updateLapse(now)
 	if !f.lapsesAt.IsZero() {
 		t.Errorf("lapses at: got %v, want never", f.lapsesAt)
 	}
 }
 
-func TestLostHistoryIsListedAgain(t *testing.T) {
+func TestLostHistoryIsRelisted(t *testing.T) {
 	m := New("k")
 	lists := 0
 	ctx, cancel := context.WithCancel(context.Background())
@@ -233,17 +233,17 @@
 
 // A list of many pages under a store that answers two calls in three: each page is asked for
 // until it is there, and none twice.
-func TestListGoesOnWhereItStopped(t *testing.T) {
+func TestListResumesAfterFailedPage(t *testing.T) {
 	m := New("k")
-	var asked []string
+	var pagesAfter []string
 	calls := 0
 	f := Follower{Log: zap.NewNop(), Mirror: m, Kind: "k", Source: Source{
 		Page: func(_ context.Context, _, after string) (Page, error) {
 			if calls++; calls%3 == 0 {
-				return Page{}, errDown
+				return Page{}, errUnavailable
 			}
-			asked = append(asked, after)
-			n := len(asked)
+			pagesAfter = append(pagesAfter, after)
+			n := len(pagesAfter)
 			return Page{Objects: []Object{object(fmt.Sprint("o", n), int64(n))}, Revision: int64(10 * n), More: n < 5}, nil
 		},
 	}}
@@ -252,7 +252,7 @@
 		steps++
 		_ = f.step(context.Background(), time.Now())
 	}
-	if got, want := fmt.Sprint(asked), "[ o1 o2 o3 o4]"; got != want || steps != 3 {
+	if got, want := fmt.Sprint(pagesAfter), "[ o1 o2 o3 o4]"; got != want || steps != 3 {
 		t.Errorf("pages: got those after %s in %d steps, want %s in 3", got, steps, want)
 	}
 	d, _ := m.Since("k", -1)
@@ -262,17 +262,17 @@
 }
 
 // While others try a lost store, this router tries seldom.
-func TestPatientRouterTriesSeldom(t *testing.T) {
-	patient := true
-	f := Follower{RetrySlowly: func() bool { return patient }, failures: 9}
+func TestRetrySlowlyLengthensBackoff(t *testing.T) {
+	slowly := true
+	f := Follower{RetrySlowly: func() bool { return slowly }, failures: 9}
 	for range 20 {
-		if got := f.pause(); got < patientMost/2 || got > patientMost {
-			t.Fatalf("pause: got %v, want %v to %v", got, patientMost/2, patientMost)
+		if got := f.backoff(); got < maxSlowBackoff/2 || got > maxSlowBackoff {
+			t.Fatalf("pause: got %v, want %v to %v", got, maxSlowBackoff/2, maxSlowBackoff)
 		}
 	}
-	patient = false
-	if got := f.pause(); got > pauseMost {
-		t.Errorf("pause where nobody else tries: got %v, want at most %v", got, pauseMost)
+	slowly = false
+	if got := f.backoff(); got > maxBackoff {
+		t.Errorf("pause where nobody else tries: got %v, want at most %v", got, maxBackoff)
 	}
 }
 
--- a/internal/spread/holder.go
+++ b/internal/spread/holder.go
@@ -29,15 +29,15 @@
 	current atomic.Pointer[config.Snapshot]
 	// mu is held while a revision is taken over.
 	mu sync.Mutex
-	// heardAt is when the platform or a peer last confirmed the revision.
-	heardAt atomic.Pointer[time.Time]
-	// onMove is called after each move, with mu not held.
-	onMove func(*config.Snapshot)
+	// confirmedAt is when the platform or a peer last confirmed the revision.
+	confirmedAt atomic.Pointer[time.Time]
+	// onAdvance is called after each move, with mu not held.
+	onAdvance func(*config.Snapshot)
 }
 
 // New returns a holder of the empty settings. onMove may be nil.
-func New(log *zap.Logger, now func() time.Time, onMove func(*config.Snapshot)) *Holder {
-	h := &Holder{log: log, now: now, onMove: onMove}
+func New(log *zap.Logger, now func() time.Time, onAdvance func(*config.Snapshot)) *Holder {
+	h := &Holder{log: log, now: now, onAdvance: onAdvance}
 	h.current.Store(config.Empty())
 	return h
 }
@@ -51,12 +51,12 @@
 // Confirm notes that the platform or a peer knows of nothing newer.
 func (h *Holder) Confirm() {
 	now := h.now()
-	h.heardAt.Store(&now)
+	h.confirmedAt.Store(&now)
 }
 
 // ConfirmedAt returns when Heard was last called, or the zero time.
 func (h *Holder) ConfirmedAt() time.Time {
-	if t := h.heardAt.Load(); t != nil {
+	if t := h.confirmedAt.Load(); t != nil {
 		return *t
 	}
 	return time.Time{}
@@ -79,8 +79,8 @@
 	h.mu.Unlock()
 	h.Confirm()
 	h.log.Info("settings: Took over a revision.", zap.Int64("revision", head.Revision))
-	if h.onMove != nil {
-		h.onMove(next)
+	if h.onAdvance != nil {
+		h.onAdvance(next)
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 	bodies := make(map[string][]byte)
 	missing := cur.Missing(head.Head)
 	for len(missing) > 0 {
-		n := min(len(missing), nodesPerDelta)
+		n := min(len(missing), maxNodesPerDelta)
 		var part wire.DeltaReply
 		if err := c.Call(ctx, wire.MethodDelta, wire.Delta{Hashes: missing[:n]}, &part); err != nil {
 			return err
@@ -116,23 +116,23 @@
 	return err
 }
 
-// nodesPerDelta bounds the size of one reply.
-const nodesPerDelta = 64
+// maxNodesPerDelta bounds the size of one reply.
+const maxNodesPerDelta = 64
 
 // CatchUp is what link.Mux calls for a peer with a newer revision.
 func (h *Holder) CatchUp(ctx context.Context, c *link.Conn, revision int64) {
 	if revision <= h.Revision() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, fetchWithin)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	if err := h.Fetch(ctx, c); err != nil {
 		h.log.Warn("settings: Could not fetch from a peer.", zap.String("peer", c.Peer.VM), logs.Err(err))
 	}
 }
 
-// fetchWithin bounds one fetch from a peer.
-const fetchWithin = 2 * time.Second
+// fetchTimeout bounds one fetch from a peer.
+const fetchTimeout = 2 * time.Second
 
 // Serve answers MethodDelta from the settings in force.
 func (h *Holder) Serve(_ context.Context, _ *link.Conn, p wire.Delta) (wire.DeltaReply, error) {
--- a/internal/spread/holder_test.go
+++ b/internal/spread/holder_test.go
@@ -22,9 +22,9 @@
 	os.Exit(m.Run())
 }
 
-// TestNeverBack offers revisions in any order from several goroutines: the one
+// TestRevisionNeverGoesBack offers revisions in any order from several goroutines: the one
 // in force only grows, and the newest offered ends in force.
-func TestNeverBack(t *testing.T) {
+func TestRevisionNeverGoesBack(t *testing.T) {
 	assert.SetFatal()
 	rapid.Check(t, func(t *rapid.T) {
 		moved := make([]int64, 0, 16)
--- a/internal/spread/watch.go
+++ b/internal/spread/watch.go
@@ -23,16 +23,16 @@
 	KindNode = "settingsNode"
 )
 
-// watchFor is how long one watch waits; a waiting watch counts as a call. A
+// watchTimeout is how long one watch waits; a waiting watch counts as a call. A
 // watch that ends without a change is not believed: the head is read once more,
 // so that a watch that missed a change costs this long and no longer.
-const watchFor = 4 * time.Second
+const watchTimeout = 4 * time.Second
 
-// pauseAfterError is how long the watcher waits after the platform failed.
-const pauseAfterError = config.Span(500 * time.Millisecond)
+// retryDelay is how long the watcher waits after the platform failed.
+const retryDelay = config.Span(500 * time.Millisecond)
 
-// pauseAfterOld is how long the watcher waits after news that was not new.
-const pauseAfterOld = config.Span(100 * time.Millisecond)
+// staleHeadDelay is how long the watcher waits after news that was not new.
+const staleHeadDelay = config.Span(100 * time.Millisecond)
 
 // ReadHead returns the head as the platform has it, with its object version;
 // the zero head with version 0 if there is none yet.
@@ -68,13 +68,13 @@
 	version := int64(0)
 	for ctx.Err() == nil {
 		if !watching() {
-			tasks.Pause(ctx, pauseAfterError.After(time.Now()))
+			tasks.Pause(ctx, retryDelay.After(time.Now()))
 			continue
 		}
-		next, err := h.step(ctx, c, version)
+		next, err := h.watchOnce(ctx, c, version)
 		if err != nil && ctx.Err() == nil {
 			h.log.Warn("settings: The platform does not answer.", logs.Err(err))
-			tasks.Pause(ctx, pauseAfterError.After(time.Now()))
+			tasks.Pause(ctx, retryDelay.After(time.Now()))
 			continue
 		}
 		version = next
@@ -82,8 +82,8 @@
 	return nil
 }
 
-func (h *Holder) step(ctx context.Context, c *store.Client, version int64) (int64, error) {
-	wait, cancel := context.WithTimeout(ctx, watchFor)
+func (h *Holder) watchOnce(ctx context.Context, c *store.Client, version int64) (int64, error) {
+	wait, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	o, err := c.Watch(wait, KindHead, NameHead, version)
 	if errors.Is(err, store.ErrUnchanged) {
@@ -104,7 +104,7 @@
 	if head.Revision <= cur.Head.Revision {
 		// Our own revision, heard of elsewhere before, or a watch that goes
 		// back in time: not to be taken, and not to be spun on.
-		tasks.Pause(ctx, pauseAfterOld.After(time.Now()))
+		tasks.Pause(ctx, staleHeadDelay.After(time.Now()))
 		return o.Version, nil
 	}
 	bodies, err := ReadNodes(ctx, c, cur.Missing(head))
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -75,12 +75,12 @@
 	Close func()
 }
 
-// callWithin bounds a call whose context has no deadline.
-const callWithin = 5 * time.Second
+// defaultCallTimeout bounds a call whose context has no deadline.
+const defaultCallTimeout = 5 * time.Second
 
 // New returns a client of the object API at addr.
 func New(addr netip.AddrPort) *Client {
-	h := &wire{base: "http://" + addr.String(), conns: newConns()}
+	h := &httpClient{base: "http://" + addr.String(), conns: newConnSet()}
 	h.http = &fasthttp.HostClient{
 		Addr:                addr.String(),
 		Dial:                h.conns.dial,
@@ -91,21 +91,21 @@
 	return &Client{Get: h.get, Put: h.put, List: h.list, Watch: h.watch, Close: h.conns.closeAll}
 }
 
-// wire is the HTTP form of a Client.
-type wire struct {
+// httpClient is the HTTP form of a Client.
+type httpClient struct {
 	base  string
 	http  *fasthttp.HostClient
-	conns *conns
+	conns *connSet
 }
 
-func (h *wire) do(ctx context.Context, prepare func(*fasthttp.Request), read func(*fasthttp.Response) error) error {
+func (h *httpClient) do(ctx context.Context, prepare func(*fasthttp.Request), read func(*fasthttp.Response) error) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	prepare(req)
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(callWithin)
+		deadline = time.Now().Add(defaultCallTimeout)
 	}
 	if err := ctx.Err(); err != nil {
 		return errors.Mark(err, ErrUnavailable)
@@ -129,7 +129,7 @@
 	return base + "/v1/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-func (h *wire) get(ctx context.Context, kind, name string) (Object, error) {
+func (h *httpClient) get(ctx context.Context, kind, name string) (Object, error) {
 	var o Object
 	err := h.do(ctx, func(req *fasthttp.Request) {
 		req.SetRequestURI(objectURL(h.base, kind, name))
@@ -159,7 +159,7 @@
 	return err
 }
 
-func (h *wire) put(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
+func (h *httpClient) put(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
 	if len(value) > MaxValueBytes {
 		return 0, ErrTooLarge
 	}
@@ -187,7 +187,7 @@
 	return version, err
 }
 
-func (h *wire) list(ctx context.Context, kind, prefix string) ([]Object, error) {
+func (h *httpClient) list(ctx context.Context, kind, prefix string) ([]Object, error) {
 	var l Listing
 	err := h.do(ctx, func(req *fasthttp.Request) {
 		req.SetRequestURI(h.base + "/v1/objects/" + url.PathEscape(kind) + "?prefix=" + url.QueryEscape(prefix))
@@ -197,7 +197,7 @@
 	return l.Items, readOnly(err)
 }
 
-func (h *wire) watch(ctx context.Context, kind, name string, since int64) (Object, error) {
+func (h *httpClient) watch(ctx context.Context, kind, name string, since int64) (Object, error) {
 	var o Object
 	err := h.do(ctx, func(req *fasthttp.Request) {
 		req.SetRequestURI(h.base + "/v1/watch/" + url.PathEscape(kind) + "/" + url.PathEscape(name))
--- a/internal/store/conns.go
+++ b/internal/store/conns.go
@@ -11,20 +11,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// dialWithin bounds the opening of a connection.
-const dialWithin = 2 * time.Second
+// dialTimeout bounds the opening of a connection.
+const dialTimeout = 2 * time.Second
 
-// conns knows every open connection, so that waiting calls can be ended.
-type conns struct {
+// connSet knows every open connection, so that waiting calls can be ended.
+type connSet struct {
 	mu     sync.Mutex
 	open   map[net.Conn]struct{}
 	closed bool
 }
 
-func newConns() *conns { return &conns{open: make(map[net.Conn]struct{})} }
+func newConnSet() *connSet { return &connSet{open: make(map[net.Conn]struct{})} }
 
-func (c *conns) dial(addr string) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", addr, dialWithin)
+func (c *connSet) dial(addr string) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, errors.Mark(err, ErrUnavailable)
 	}
@@ -34,31 +34,31 @@
 		_ = conn.Close()
 		return nil, net.ErrClosed
 	}
-	k := &knownConn{Conn: conn, owner: c}
+	k := &trackedConn{Conn: conn, set: c}
 	c.open[k] = struct{}{}
 	return k, nil
 }
 
-func (c *conns) closeAll() {
+func (c *connSet) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	for conn := range c.open {
-		_ = conn.(*knownConn).Conn.Close()
+		_ = conn.(*trackedConn).Conn.Close()
 	}
 	clear(c.open)
 }
 
-// knownConn takes itself off its owner's list when it is closed.
-type knownConn struct {
+// trackedConn takes itself off its owner's list when it is closed.
+type trackedConn struct {
 	net.Conn
-	owner *conns
+	set *connSet
 }
 
 // Close closes the connection.
-func (k *knownConn) Close() error {
-	k.owner.mu.Lock()
-	delete(k.owner.open, k)
-	k.owner.mu.Unlock()
+func (k *trackedConn) Close() error {
+	k.set.mu.Lock()
+	delete(k.set.open, k)
+	k.set.mu.Unlock()
 	return k.Conn.Close()
 }
--- a/internal/store/vms.go
+++ b/internal/store/vms.go
@@ -43,12 +43,12 @@
 
 // NewVMs returns a client of the VM list at addr.
 func NewVMs(addr netip.AddrPort) *VMs {
-	h := &wire{base: "http://" + addr.String(), conns: newConns()}
+	h := &httpClient{base: "http://" + addr.String(), conns: newConnSet()}
 	h.http = &fasthttp.HostClient{Addr: addr.String(), Dial: h.conns.dial}
 	return &VMs{List: h.vms}
 }
 
-func (h *wire) vms(ctx context.Context) ([]VM, error) {
+func (h *httpClient) vms(ctx context.Context) ([]VM, error) {
 	var out []VM
 	err := h.do(ctx, func(req *fasthttp.Request) {
 		req.SetRequestURI(h.base + "/v1/vms")
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -60,7 +60,7 @@
     "lostLineWrittenAgain": ("internal/ledger/writer.go", 'name := fmt.Sprintf("%s-%08d", w.opts.Prefix, w.seq)', 'name := fmt.Sprintf("%s-%08d-%d", w.opts.Prefix, w.seq, time.Now().UnixNano())', "./internal/ledger", "TestLostAnswers"),
     "guardNeverBills": ("internal/guard/guard.go", "if now.After(u.writeAt) {", "if false {", "./internal/rig", "TestBills"),
     "ownBillForgets": ("internal/guard/bills.go", "		r.billed = true", "		r.settled = true", "./internal/guard", "TestAskAfterOwnBill"),
-    "revisionGoesBack": ("pkg/config/snapshot.go", "if head.Revision <= s.Head.Revision {", "if false {", "./internal/spread", "TestNeverBack"),
+    "revisionGoesBack": ("pkg/config/snapshot.go", "if head.Revision <= s.Head.Revision {", "if false {", "./internal/spread", "TestRevisionNeverGoesBack"),
     "guardTrustsOrders": ("internal/guard/order.go", "if fence < version || fence < g.fence {", "if false {", "./internal/rig", "TestOldOrder"),
     "rolloutForgetsLimit": ("pkg/roll/step.go", "|| loads >= most {", "{", "./internal/rig", "TestRollout"),
     "shareIgnored": ("pkg/route/decide.go", "case req.Draw >= c.Spec.Exposure():", "case false:", "./internal/rig", "TestRollout|TestRolloutAborted"),
