--- a/internal/router/bodies.go
+++ b/internal/router/bodies.go
@@ -9,40 +9,42 @@
 	"sync/atomic"
 )
 
-// errBodiesFull says that the bodies under way take all the memory that they may.
-var errBodiesFull = errors.New("router: the bodies of other requests take the memory")
-
-// bodies bounds the memory that the bodies of requests under way take together.
-type bodies struct {
-	// most is the bound in bytes; 0 for none.
-	most int64
-	// held is what is taken; it is never negative.
-	held atomic.Int64
+// errBodyBudgetFull says that the bodies under way take all the memory that they may.
+var errBodyBudgetFull = errors.New("router: the bodies of other requests take the memory")
+
+// bodyBudget bounds the memory that the bodyBudget of requests under way take together.
+type bodyBudget struct {
+	// maxBytes is the bound in bytes; 0 for none.
+	maxBytes int64
+	// usedBytes is what is taken; it is never negative.
+	usedBytes atomic.Int64
 }
 
-// bodiesShare is the part of the process's memory, in hundredths, that bodies may
+// bodyMemoryPercent is the part of the process's memory, in hundredths, that bodies may
 // take: a body grows by doubling while it is read, and is sent from a copy.
-const bodiesShare = 20
+const bodyMemoryPercent = 20
 
-func newBodies(memoryMB int) *bodies { return &bodies{most: int64(memoryMB) << 20 * bodiesShare / 100} }
+func newBodyBudget(memoryMB int) *bodyBudget {
+	return &bodyBudget{maxBytes: int64(memoryMB) << 20 * bodyMemoryPercent / 100}
+}
 
-// free gives back what a body of n bytes took.
-func (b *bodies) free(n int) { b.held.Add(-int64(n)) }
+// release gives back what a body of n bytes took.
+func (b *bodyBudget) release(n int) { b.usedBytes.Add(-int64(n)) }
 
 // reader returns a reader that takes room for what it reads, and fails with
 // errBodiesFull where there is none. What it returned must be freed.
-func (b *bodies) reader(r io.Reader) io.Reader { return &heldReader{b, r} }
+func (b *bodyBudget) reader(r io.Reader) io.Reader { return &budgetReader{b, r} }
 
-type heldReader struct {
-	b *bodies
+type budgetReader struct {
+	b *bodyBudget
 	r io.Reader
 }
 
 // Read reads and takes room.
-func (h *heldReader) Read(p []byte) (int, error) {
+func (h *budgetReader) Read(p []byte) (int, error) {
 	n, err := h.r.Read(p)
-	if held := h.b.held.Add(int64(n)); h.b.most > 0 && held > h.b.most {
-		return n, errBodiesFull
+	if held := h.b.usedBytes.Add(int64(n)); h.b.maxBytes > 0 && held > h.b.maxBytes {
+		return n, errBodyBudgetFull
 	}
 	return n, err
 }
--- a/internal/router/bodies_test.go
+++ b/internal/router/bodies_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestBodiesAreBounded(t *testing.T) {
-	b := newBodies(5) // a fifth of 5 MB
+	b := newBodyBudget(5) // a fifth of 5 MB
 	read := func(mb float64) (int, error) {
 		text, err := io.ReadAll(b.reader(strings.NewReader(strings.Repeat("x", int(mb*(1<<20))))))
 		return len(text), err
@@ -21,16 +21,16 @@
 		t.Fatalf("first body: got %v, want none", err)
 	}
 	m, err := read(0.75)
-	if !errors.Is(err, errBodiesFull) {
-		t.Errorf("body beyond the bound: got %v, want %v", err, errBodiesFull)
+	if !errors.Is(err, errBodyBudgetFull) {
+		t.Errorf("body beyond the bound: got %v, want %v", err, errBodyBudgetFull)
 	}
-	b.free(m)
-	b.free(n)
+	b.release(m)
+	b.release(n)
 	if n, err = read(0.75); err != nil {
 		t.Errorf("body after the others were freed: got %v, want none", err)
 	}
-	b.free(n)
-	if got := b.held.Load(); got != 0 {
+	b.release(n)
+	if got := b.usedBytes.Load(); got != 0 {
 		t.Errorf("held at the end: got %d, want 0", got)
 	}
 }
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// headerMost, headerWithin and idleWithin hold until the configuration
+	// defaultMaxHeaderBytes, headerWithin and idleWithin hold until the configuration
 	// says otherwise.
-	headerMost   = 64 << 10
-	headerWithin = config.Span(5 * time.Second)
-	idleWithin   = config.Span(60 * time.Second)
-	// bodyWithin bounds the reading of a body.
-	bodyWithin = config.Span(10 * time.Second)
-	// bodiesAgain is when a caller comes back whose body found no room, in
+	defaultMaxHeaderBytes = 64 << 10
+	defaultHeaderTimeout  = config.Span(5 * time.Second)
+	defaultIdleTimeout    = config.Span(60 * time.Second)
+	// bodyReadTimeout bounds the reading of a body.
+	bodyReadTimeout = config.Span(10 * time.Second)
+	// bodyRetryAfter is when a caller comes back whose body found no room, in
 	// seconds.
-	bodiesAgain = "0.5"
-	// bodyMost bounds a body where the configuration does not, in bytes.
-	bodyMost = 8 << 20
+	bodyRetryAfter = "0.5"
+	// defaultMaxBodyBytes bounds a body where the configuration does not, in bytes.
+	defaultMaxBodyBytes = 8 << 20
 )
 
 // newCallers returns the callers' server with the bounds of the configuration in
@@ -37,13 +37,13 @@
 func (r *Router) newCallers(ctx context.Context) *http.Server {
 	b := r.Engine.Bounds()
 	if b.MaxHeader == 0 {
-		b.MaxHeader = headerMost
+		b.MaxHeader = defaultMaxHeaderBytes
 	}
 	if b.HeaderWithin == 0 {
-		b.HeaderWithin = headerWithin
+		b.HeaderWithin = defaultHeaderTimeout
 	}
 	if b.IdleWithin == 0 {
-		b.IdleWithin = idleWithin
+		b.IdleWithin = defaultIdleTimeout
 	}
 	return &http.Server{
 		Handler:           http.HandlerFunc(r.serveCaller),
@@ -63,12 +63,12 @@
 		r.Log.Info("router: A body could not be read.", zap.String("path", q.URL.Path), zap.Int("status", status), logs.Err(err))
 		w.Header().Set("Connection", "close")
 		if status == http.StatusServiceUnavailable {
-			w.Header().Set("Retry-After", bodiesAgain)
+			w.Header().Set("Retry-After", bodyRetryAfter)
 		}
 		w.WriteHeader(status)
 		return
 	}
-	defer r.bodies.free(len(body))
+	defer r.bodies.release(len(body))
 	request := r.wire.Request(q, body, now)
 	request.ArrivedBoot = boot
 	r.Engine.Serve(q.Context(), w, request)
@@ -80,27 +80,27 @@
 	if q.ContentLength == 0 {
 		return nil, 0, nil
 	}
-	most := int64(r.Engine.Bounds().MaxBody)
-	if most == 0 {
-		most = bodyMost
+	maxBytes := int64(r.Engine.Bounds().MaxBody)
+	if maxBytes == 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(bodyWithin.After(time.Now())); err != nil {
+	if err := control.SetReadDeadline(bodyReadTimeout.After(time.Now())); err != nil {
 		return nil, http.StatusInternalServerError, err
 	}
-	body, err := io.ReadAll(r.bodies.reader(http.MaxBytesReader(w, q.Body, most)))
+	body, err := io.ReadAll(r.bodies.reader(http.MaxBytesReader(w, q.Body, maxBytes)))
 	if err == nil {
 		err = control.SetReadDeadline(time.Time{})
 	}
 	if err == nil {
 		return body, 0, nil
 	}
-	r.bodies.free(len(body))
+	r.bodies.release(len(body))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		return nil, http.StatusRequestEntityTooLarge, err
-	case errors.Is(err, errBodiesFull):
+	case errors.Is(err, errBodyBudgetFull):
 		return nil, http.StatusServiceUnavailable, err
 	default:
 		return nil, http.StatusBadRequest, err
--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// dutyPoll is how often a router looks what is to be done of the duties.
-	dutyPoll = config.Span(100 * time.Millisecond)
-	// dutyCall bounds a call to the store about them; a slow store takes half a second.
-	dutyCall = config.Span(time.Second)
-	// reachedWithin is how old word of the store may be for it to be called.
-	reachedWithin = 2500 * time.Millisecond
+	// dutyPollInterval is how often a router looks what is to be done of the duties.
+	dutyPollInterval = config.Span(100 * time.Millisecond)
+	// dutyCallTimeout bounds a call to the store about them; a slow store takes half a second.
+	dutyCallTimeout = config.Span(time.Second)
+	// storeReachableWindow is how old word of the store may be for it to be called.
+	storeReachableWindow = 2500 * time.Millisecond
 )
 
 // DutyWire is what the platform speaks of the duties of one VM at a time, decoded.
@@ -55,32 +55,32 @@
 	fleet   *peers.Fleet
 	notes   *peers.Notes
 	windows usage.Clock
-	// late is how long after its end a window's report is due.
-	late config.Span
-	self usage.Reporter
+	// dueAfter is how long after its end a window's report is due.
+	dueAfter config.Span
+	self     usage.Reporter
 	// clock tells the true time; its own hand is that of the machine, as it counts suspensions.
 	clock *clock.MedianClock
-	// reachable reports whether the store was heard of lately.
-	reachable func() bool
+	// storeReachable reports whether the store was heard of lately.
+	storeReachable func() bool
 	// mu guards what follows.
 	mu      sync.Mutex
-	book    *usage.Counter
+	counter *usage.Counter
 	machine *duty.Machine
-	// told holds what other routers were told of windows.
-	told map[tellKey]*telling
-	// toldAt is when the window under way was told of last.
-	toldAt time.Time
-	// stops says that this router stops, and counts nothing any more once it has told so.
-	stops bool
-	// toldSettled is the newest window whose settling was logged: it is tried again while the
+	// sentEnds holds what other routers were sentEnds of windows.
+	sentEnds map[sentEndKey]*sentEnd
+	// lastSentAt is when the window under way was told of last.
+	lastSentAt time.Time
+	// stopping says that this router stopping, and counts nothing any more once it has told so.
+	stopping bool
+	// loggedSettled is the newest window whose settling was logged: it is tried again while the
 	// store does not take it.
-	toldSettled usage.Window
-	// logged is the record whose holder was logged last.
-	logged duty.Record
+	loggedSettled usage.Window
+	// loggedRecord is the record whose holder was loggedRecord last.
+	loggedRecord duty.Record
 }
 
 // newDuties returns the duties of a router; nil if the platform asks for none.
-func newDuties(r *Router, life uint64) *duties {
+func newDuties(r *Router, incarnation uint64) *duties {
 	s := &r.settings
 	if !s.reportsUsage() {
 		return nil
@@ -88,12 +88,12 @@
 	common := clock.NewMedianClock(r.Engine.Boot, time.Now())
 	d := &duties{
 		log: r.Log, scope: r.admin.Scope.SubScope("duties"), wire: r.wire.Duties, fleet: r.fleet, notes: r.notes,
-		windows: usage.Clock{Length: s.UsageWindow}, late: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: life}, clock: common,
-		reachable: func() bool { return time.Since(r.mirror.ConfirmedAt(r.wire.ConfigKind)) <= reachedWithin },
-		book:      usage.NewCounter(), machine: duty.New(s.VM, life, s.DutyLease, common.Local()), told: make(map[tellKey]*telling),
+		windows: usage.Clock{Length: s.UsageWindow}, dueAfter: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: incarnation}, clock: common,
+		storeReachable: func() bool { return time.Since(r.mirror.ConfirmedAt(r.wire.ConfigKind)) <= storeReachableWindow },
+		counter:        usage.NewCounter(), machine: duty.New(s.VM, incarnation, s.DutyLease, common.Local()), sentEnds: make(map[sentEndKey]*sentEnd),
 	}
-	r.Engine.Began = d.began
-	r.notes.OnUsage, r.notes.OnUsageAnswer = d.heard, d.answered
+	r.Engine.Began = d.countRequest
+	r.notes.OnUsage, r.notes.OnUsageAnswer = d.receiveReport, d.receiveAnswer
 	return d
 }
 
@@ -101,7 +101,7 @@
 func (d *duties) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		d.step(ctx)
-		tasks.Pause(ctx, dutyPoll.After(time.Now()))
+		tasks.Pause(ctx, dutyPollInterval.After(time.Now()))
 	}
 	return nil
 }
@@ -111,7 +111,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.machine.Stop()
-	d.stops, d.toldAt = true, time.Time{}
+	d.stopping, d.lastSentAt = true, time.Time{}
 }
 
 // step does one thing, if one is to be done.
@@ -123,28 +123,28 @@
 	if a.Kind == duty.Nothing {
 		return
 	}
-	o, r, err := d.do(ctx, a)
+	o, r, err := d.perform(ctx, a)
 	now = d.clock.Local()
 	d.mu.Lock()
 	d.machine.Done(now, a, o, r)
 	d.logHolder(now)
 	d.mu.Unlock()
-	d.logDone(a, o, err)
+	d.logAction(a, o, err)
 }
 
 // view returns what the machine needs to know; mu is held.
 func (d *duties) view(now time.Time) duty.View {
 	rec, _ := d.machine.Record()
-	v := duty.View{Rank: d.fleet.Before(time.Now(), rec.Holder), Peers: d.fleet.Len() - 1, StoreReachable: d.reachable(), Window: d.windows.At(d.clock.Now())}
+	v := duty.View{Rank: d.fleet.Before(time.Now(), rec.Holder), Peers: d.fleet.Len() - 1, StoreReachable: d.storeReachable(), Window: d.windows.At(d.clock.Now())}
 	if d.machine.Holds(now) {
 		v.Ready = d.ready(v.Window)
 	}
 	return v
 }
 
-// do carries out an action.
-func (d *duties) do(ctx context.Context, a duty.Action) (duty.Outcome, duty.Record, error) {
-	until := dutyCall.After(time.Now())
+// perform carries out an action.
+func (d *duties) perform(ctx context.Context, a duty.Action) (duty.Outcome, duty.Record, error) {
+	until := dutyCallTimeout.After(time.Now())
 	if a.Kind == duty.Send {
 		until = time.Now().Add(a.Deadline.Sub(d.clock.Local()))
 	}
@@ -160,11 +160,11 @@
 	default:
 		r, err = d.wire.Write(ctx, a.Record)
 	}
-	return outcomeOf(err), r, err
+	return callOutcome(err), r, err
 }
 
-// outcomeOf returns what an error says of a call.
-func outcomeOf(err error) duty.Outcome {
+// callOutcome returns what an error says of a call.
+func callOutcome(err error) duty.Outcome {
 	switch {
 	case err == nil:
 		return duty.Done
@@ -184,20 +184,20 @@
 // logHolder tells when the duties have another holder; mu is held.
 func (d *duties) logHolder(now time.Time) {
 	rec, known := d.machine.Record()
-	if !known || rec.Holder == d.logged.Holder && rec.Incarnation == d.logged.Incarnation {
+	if !known || rec.Holder == d.loggedRecord.Holder && rec.Incarnation == d.loggedRecord.Incarnation {
 		return
 	}
-	d.logged = rec
+	d.loggedRecord = rec
 	if d.machine.Holds(now) {
 		// The next in rank would take it for absent.
-		d.toldAt = time.Time{}
+		d.lastSentAt = time.Time{}
 	}
 	d.log.Info("router: The duties of one VM have a holder.", zap.String("holder", rec.Holder), zap.Int64("revision", rec.Revision),
 		zap.Bool("self", d.machine.Holds(now)), zap.Strings("past", rec.PastHolders), zap.Int64("settled", int64(rec.Settled)), zap.Int("unsent", len(rec.Unsent)))
 }
 
-// logDone tells what became of an action.
-func (d *duties) logDone(a duty.Action, o duty.Outcome, err error) {
+// logAction tells what became of an action.
+func (d *duties) logAction(a duty.Action, o duty.Outcome, err error) {
 	d.scope.Tagged(map[string]string{"action": string(a.Kind), "outcome": string(o)}).Counter("actions").Inc(1)
 	fields := []zap.Field{zap.String("outcome", string(o)), logs.Err(err)}
 	if a.Kind == duty.Send {
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// configWait is how long a watch of the configuration waits. Its answers
+	// configWatchTimeout is how long a watch of the configuration waits. Its answers
 	// prove that the table is current: at this wait the proof is at most 1 s
 	// old at a router that asks the store.
-	configWait = config.Span(500 * time.Millisecond)
-	// endpointWait, trialWait, verdictWait and closingWait are as long as a lost connection to the
+	configWatchTimeout = config.Span(500 * time.Millisecond)
+	// endpointWait, trialWait, verdictWait and closingWatchTimeout are as long as a lost connection to the
 	// store may go unnoticed: bounds hold again 3 s after a cut has healed, and the closing
 	// of a zone, which has 5 s, comes 4 s after its connection fell silent at the latest.
-	closingWait  = config.Span(2500 * time.Millisecond)
-	endpointWait = config.Span(2500 * time.Millisecond)
-	trialWait    = config.Span(2500 * time.Millisecond)
-	verdictWait  = config.Span(2500 * time.Millisecond)
-	// routerWait may be long, as nothing breaks for want of a peer.
-	routerWait = config.Span(8 * time.Second)
-	// changeRest gathers changes that come together, as when a fleet starts;
+	closingWatchTimeout  = config.Span(2500 * time.Millisecond)
+	endpointWatchTimeout = config.Span(2500 * time.Millisecond)
+	trialWatchTimeout    = config.Span(2500 * time.Millisecond)
+	verdictWatchTimeout  = config.Span(2500 * time.Millisecond)
+	// routerWatchTimeout may be long, as nothing breaks for want of a peer.
+	routerWatchTimeout = config.Span(8 * time.Second)
+	// changeBatchDelay gathers changes that come together, as when a fleet starts;
 	// leaving endpoints have to be left within 2 s.
-	changeRest = config.Span(150 * time.Millisecond)
+	changeBatchDelay = config.Span(150 * time.Millisecond)
 )
 
 // follow keeps the mirror in step with the store, directly or through peers.
@@ -44,18 +44,18 @@
 func (r *Router) follow(ctx context.Context) {
 	w := r.wire
 	for _, f := range []struct {
-		kind       string
-		wait, rest config.Span
-		after      []string
+		kind                     string
+		watchTimeout, batchDelay config.Span
+		after                    []string
 	}{
-		{w.ConfigKind, configWait, 0, nil},
-		{w.ClosingKind, closingWait, 0, nil},
-		{w.VerdictKind, verdictWait, 0, nil},
-		{w.TrialKind, trialWait, 0, []string{w.ClosingKind}},
-		{w.EndpointKind, endpointWait, changeRest, []string{w.TrialKind, w.VerdictKind}},
-		{w.RouterKind, routerWait, changeRest, nil},
+		{w.ConfigKind, configWatchTimeout, 0, nil},
+		{w.ClosingKind, closingWatchTimeout, 0, nil},
+		{w.VerdictKind, verdictWatchTimeout, 0, nil},
+		{w.TrialKind, trialWatchTimeout, 0, []string{w.ClosingKind}},
+		{w.EndpointKind, endpointWatchTimeout, changeBatchDelay, []string{w.TrialKind, w.VerdictKind}},
+		{w.RouterKind, routerWatchTimeout, changeBatchDelay, nil},
 	} {
-		follower := &mirror.Follower{Log: r.Log, Source: w.Source, Mirror: r.mirror, Kind: f.kind, WatchTimeout: f.wait, BatchDelay: f.rest, AwaitTurn: r.turn(f.kind, f.after...), RetrySlowly: r.asker.Patient}
+		follower := &mirror.Follower{Log: r.Log, Source: w.Source, Mirror: r.mirror, Kind: f.kind, WatchTimeout: f.watchTimeout, BatchDelay: f.batchDelay, AwaitTurn: r.awaitTurn(f.kind, f.after...), RetrySlowly: r.asker.Patient}
 		r.tasks.Go(ctx, "store "+f.kind, follower.Run)
 	}
 	r.tasks.Go(ctx, "peers", r.asker.Run)
@@ -63,34 +63,34 @@
 	r.tasks.Go(ctx, "verdicts", r.storeVerdicts)
 }
 
-// turn returns a function that waits until the store should be asked for a kind:
+// awaitTurn returns a function that waits until the store should be asked for a kind:
 // not before other kinds are known.
-func (r *Router) turn(kind string, after ...string) func(ctx context.Context) bool {
+func (r *Router) awaitTurn(kind string, after ...string) func(ctx context.Context) bool {
 	unknown := func(kind string) bool { return r.mirror.Revision(kind) < 0 }
 	return func(ctx context.Context) bool {
 		for slices.ContainsFunc(after, unknown) && ctx.Err() == nil {
-			tasks.Pause(ctx, registerPoll.After(time.Now()))
+			tasks.Pause(ctx, dependencyPollInterval.After(time.Now()))
 		}
 		return r.asker.Turn(ctx, kind)
 	}
 }
 
-// take hands a change to whom it concerns.
-func (r *Router) take(kind string, c mirror.Change) {
+// applyChange hands a change to whom it concerns.
+func (r *Router) applyChange(kind string, c mirror.Change) {
 	var err error
 	switch kind {
 	case r.wire.ConfigKind:
-		err = r.takeTable(c)
+		err = r.applyTable(c)
 	case r.wire.TrialKind:
-		err = r.takeTrial(c)
+		err = r.applyTrial(c)
 	case r.wire.EndpointKind:
-		err = r.takeEndpoint(c)
+		err = r.applyEndpoint(c)
 	case r.wire.ClosingKind:
-		r.takeClosing(c)
+		r.applyClosing(c)
 	case r.wire.VerdictKind:
-		err = r.takeVerdict(c)
+		err = r.applyVerdict(c)
 	case r.wire.RouterKind:
-		err = r.takeRouter(c)
+		err = r.applyRouter(c)
 	}
 	if err != nil {
 		// What is known of the object stays.
@@ -99,7 +99,7 @@
 	}
 }
 
-func (r *Router) takeTable(c mirror.Change) error {
+func (r *Router) applyTable(c mirror.Change) error {
 	if c.Removed {
 		return nil
 	}
@@ -108,11 +108,11 @@
 		return err
 	}
 	r.Engine.TakeTable(t)
-	r.onceConfig.Do(func() { close(r.configured) })
+	r.configOnce.Do(func() { close(r.configured) })
 	return nil
 }
 
-func (r *Router) takeTrial(c mirror.Change) error {
+func (r *Router) applyTrial(c mirror.Change) error {
 	if c.Removed {
 		r.Engine.DropTrial(c.Name, c.Revision)
 		return nil
@@ -124,7 +124,7 @@
 	return err
 }
 
-func (r *Router) takeClosing(c mirror.Change) {
+func (r *Router) applyClosing(c mirror.Change) {
 	if c.Removed {
 		r.Engine.OpenZone(c.Name, c.Revision)
 	} else {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (r *Router) takeEndpoint(c mirror.Change) error {
+func (r *Router) applyEndpoint(c mirror.Change) error {
 	if c.Removed {
 		r.Engine.DropEndpoint(c.Name, c.Revision, c.LapsesAt)
 		return nil
@@ -144,7 +144,7 @@
 	return err
 }
 
-func (r *Router) takeRouter(c mirror.Change) error {
+func (r *Router) applyRouter(c mirror.Change) error {
 	if c.Removed {
 		r.fleet.Remove(c.Name)
 		return nil
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Name == r.settings.VM && !r.standing(p) {
+	if c.Name == r.settings.VM && !r.isOwnRegistration(p) {
 		// An earlier life of this router left it behind.
 		r.fleet.Remove(c.Name)
 		return nil
@@ -163,41 +163,41 @@
 }
 
 const (
-	// registerPoll is how often a follower looks whether what it waits for is known.
-	registerPoll = config.Span(20 * time.Millisecond)
-	// registeredEvery is how often a router looks whether it is still registered, and
+	// dependencyPollInterval is how often a follower looks whether what it waits for is known.
+	dependencyPollInterval = config.Span(20 * time.Millisecond)
+	// registrationCheckInterval is how often a router looks whether it is still registered, and
 	// registerFirst and registerMost bound the pauses between tries that fail, which
 	// double.
-	registeredEvery = config.Span(2 * time.Second)
-	registerFirst   = config.Span(100 * time.Millisecond)
-	registerMost    = config.Span(800 * time.Millisecond)
+	registrationCheckInterval = config.Span(2 * time.Second)
+	minRegisterBackoff        = config.Span(100 * time.Millisecond)
+	maxRegisterBackoff        = config.Span(800 * time.Millisecond)
 )
 
 // register keeps this router registered until ctx is done, makes it known to some peers, and
 // removes peers that have been silent for long.
 func (r *Router) register(ctx context.Context) error {
-	pause := registerFirst
+	pause := minRegisterBackoff
 	for ctx.Err() == nil {
 		if r.stopping.Load() || r.fleet.Registered() {
-			r.removeGone(ctx)
-			tasks.Pause(ctx, registeredEvery.After(time.Now()))
+			r.removeSilentPeers(ctx)
+			tasks.Pause(ctx, registrationCheckInterval.After(time.Now()))
 			continue
 		}
-		if err := r.introduce(ctx); err != nil {
+		if err := r.joinFleet(ctx); err != nil {
 			r.Log.Warn("router: The registration failed.", logs.Err(err))
 			tasks.Pause(ctx, pause.After(time.Now()))
-			pause = min(2*pause, registerMost)
+			pause = min(2*pause, maxRegisterBackoff)
 		}
 	}
 	return nil
 }
 
-// firstTogether is how long a router of a fleet that starts for the first time waits for the
+// firstStartDelay is how long a router of a fleet that starts for the first time waits for the
 // others to register: VMs start within 0.3 s of each other, and callers come seconds later.
-const firstTogether = config.Span(500 * time.Millisecond)
+const firstStartDelay = config.Span(500 * time.Millisecond)
 
-// introduce registers this router and takes over the peers around it.
-func (r *Router) introduce(ctx context.Context) error {
+// joinFleet registers this router and takes over the peers around it.
+func (r *Router) joinFleet(ctx context.Context) error {
 	p, err := r.wire.Register(ctx, r.registration())
 	if err != nil {
 		return err
@@ -207,7 +207,7 @@
 	r.mu.Unlock()
 	r.secret.Set(p.Token)
 	if r.settings.FirstStart {
-		tasks.Pause(ctx, firstTogether.After(time.Now()))
+		tasks.Pause(ctx, firstStartDelay.After(time.Now()))
 	}
 	list, err := r.wire.Neighbours(ctx, p.Name)
 	if err != nil {
@@ -232,11 +232,11 @@
 	return r.self
 }
 
-// standing reports whether a registration of this VM is this router's.
-func (r *Router) standing(p peers.Peer) bool { return p.Token == r.registration().Token }
+// isOwnRegistration reports whether a registration of this VM is this router's.
+func (r *Router) isOwnRegistration(p peers.Peer) bool { return p.Token == r.registration().Token }
 
-// removeGone removes peers that have been silent for long; the first routers do that for all.
-func (r *Router) removeGone(ctx context.Context) {
+// removeSilentPeers removes peers that have been silent for long; the first routers do that for all.
+func (r *Router) removeSilentPeers(ctx context.Context) {
 	if !r.fleet.Asker(time.Now()) {
 		return
 	}
--- a/internal/router/notices.go
+++ b/internal/router/notices.go
@@ -12,40 +12,40 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// shareNotices connects what the engine knows of what endpoints said with what routers tell one
+// connectNotices connects what the engine knows of what endpoints said with what routers tell one
 // another.
-func (r *Router) shareNotices(notes *peers.Notes) {
+func (r *Router) connectNotices(notes *peers.Notes) {
 	e := r.Engine
-	notes.OnNotice = func(by netip.Addr, n peers.Notice) { e.HeardNotice(by, wordOf(n)) }
+	notes.OnNotice = func(by netip.Addr, n peers.Notice) { e.HeardNotice(by, relayNotice(n)) }
 	notes.OnQuestion = func(q peers.LimitQuestion) (peers.Notice, bool) {
 		limit := pool.Notice{Limit: pool.Limited, PerSecond: q.PerSecond}
 		w, ok := e.AnswerLimit(relay.NoticeWord{Endpoint: q.Endpoint, Life: q.Life, Notice: limit})
-		return noticeOf(w), ok
+		return peerNotice(w), ok
 	}
 	notes.Notices = func() (list []peers.Notice) {
 		for _, w := range e.Notices() {
-			list = append(list, noticeOf(w))
+			list = append(list, peerNotice(w))
 		}
 		return list
 	}
 	e.Notifier = relay.Notifier{
-		Tell: func(w relay.NoticeWord, all bool) { notes.SendNotice(noticeOf(w), all) },
+		Tell: func(w relay.NoticeWord, all bool) { notes.SendNotice(peerNotice(w), all) },
 		Ask: func(w relay.NoticeWord, holders int, draw uint64) {
 			notes.AskLimit(peers.LimitQuestion{Endpoint: w.Endpoint, Life: w.Life, PerSecond: w.PerSecond}, holders, draw)
 		},
 	}
 }
 
-// noticeOf returns what an endpoint said as it is told to other routers.
-func noticeOf(w relay.NoticeWord) peers.Notice {
+// peerNotice returns what an endpoint said as it is told to other routers.
+func peerNotice(w relay.NoticeWord) peers.Notice {
 	return peers.Notice{
 		Endpoint: w.Endpoint, Life: w.Life, Limit: uint8(w.Limit), PerSecond: w.PerSecond, Leaving: w.Leaving,
 		Answers: w.Answers, Granted: w.Granted, WaitMs: uint32(w.Wait.Milliseconds()),
 	}
 }
 
-// wordOf returns what another router told of an endpoint.
-func wordOf(n peers.Notice) relay.NoticeWord {
+// relayNotice returns what another router told of an endpoint.
+func relayNotice(n peers.Notice) relay.NoticeWord {
 	said := pool.Notice{Limit: pool.LimitWord(n.Limit), PerSecond: n.PerSecond, Leaving: n.Leaving}
 	return relay.NoticeWord{
 		Endpoint: n.Endpoint, Life: n.Life, Notice: said,
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// verdictEvery is how often a router looks whether a verdict is to be stored: the store
+	// verdictCheckInterval is how often a router looks whether a verdict is to be stored: the store
 	// keeps them for fleets that are killed at once.
-	verdictEvery = config.Span(250 * time.Millisecond)
-	// verdictStep is how long the next router in rank leaves that to the one before: a slow
+	verdictCheckInterval = config.Span(250 * time.Millisecond)
+	// verdictRankDelay is how long the next router in rank leaves that to the one before: a slow
 	// store takes half a second. A router that is cut off from it is one of few.
-	verdictStep = 800 * time.Millisecond
-	// verdictAgain is how long a router waits after a call that failed, unless the store was
+	verdictRankDelay = 800 * time.Millisecond
+	// verdictRetryDelay is how long a router waits after a call that failed, unless the store was
 	// heard of sooner: each call is priced, and all are told each second meanwhile. A router
 	// that starts just then reads the store at once.
-	verdictAgain = config.Span(2 * time.Second)
+	verdictRetryDelay = config.Span(2 * time.Second)
 )
 
-// takeVerdict takes over a quarantine that was stored or removed.
-func (r *Router) takeVerdict(c mirror.Change) error {
+// applyVerdict takes over a quarantine that was stored or removed.
+func (r *Router) applyVerdict(c mirror.Change) error {
 	if c.Removed {
 		p, err := poison.ParseFingerprint(c.Name)
 		if err == nil {
@@ -55,11 +55,11 @@
 	var failedAt time.Time
 	for ctx.Err() == nil {
 		now := time.Now()
-		heard := r.mirror.ConfirmedAt(r.wire.ConfigKind).After(failedAt)
-		if heard || now.After(verdictAgain.After(failedAt)) {
+		storeAnswered := r.mirror.ConfirmedAt(r.wire.ConfigKind).After(failedAt)
+		if storeAnswered || now.After(verdictRetryDelay.After(failedAt)) {
 			failedAt = r.storeNext(ctx)
 		}
-		tasks.Pause(ctx, verdictEvery.After(now))
+		tasks.Pause(ctx, verdictCheckInterval.After(now))
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 // storeNext stores one quarantine, if one is to be, and returns when that failed; zero if it
 // did not.
 func (r *Router) storeNext(ctx context.Context) (failedAt time.Time) {
-	v := r.Engine.Unstored(verdictStep)
+	v := r.Engine.Unstored(verdictRankDelay)
 	if v == nil {
 		return time.Time{}
 	}
@@ -87,9 +87,9 @@
 		r.Engine.Stored(v.Fingerprint, 0)
 		return nil
 	}
-	standing, err := r.wire.WriteVerdict(ctx, v, time.Now())
+	stored, err := r.wire.WriteVerdict(ctx, v, time.Now())
 	if err == nil {
-		r.Engine.TakeVerdict(standing)
+		r.Engine.TakeVerdict(stored)
 	}
 	return err
 }
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -16,9 +16,9 @@
 	"github.com/traildrift/traildrift/internal/proc"
 )
 
-// settingsEvery is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is looked at: it may change
 // without a signal.
-const settingsEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // watchSettings takes over the settings file when it changes. Listeners stay as
 // they are until the process starts again.
@@ -26,16 +26,16 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	t := time.NewTicker(settingsEvery)
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
-	seen := modified(r.file)
+	seen := modTime(r.file)
 	for {
 		select {
 		case <-hup:
-			seen = modified(r.file)
+			seen = modTime(r.file)
 			r.reload("signal")
 		case <-t.C:
-			if now := modified(r.file); !now.Equal(seen) {
+			if now := modTime(r.file); !now.Equal(seen) {
 				seen = now
 				r.reload("file")
 			}
@@ -45,8 +45,8 @@
 	}
 }
 
-// modified returns when a file was written; zero if that cannot be told.
-func modified(file string) time.Time {
+// modTime returns when a file was written; zero if that cannot be told.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -47,7 +47,7 @@
 	asker    *peers.Asker
 	notes    *peers.Notes
 	traffic  peers.Traffic
-	bodies   *bodies
+	bodies   *bodyBudget
 	// duties is nil where the platform asks for none.
 	duties *duties
 	secret peers.Secret
@@ -56,14 +56,14 @@
 	self peers.Peer
 	// stopping says that a planned stop was asked for; it never goes back.
 	stopping atomic.Bool
-	// wasReady is what the balancer was told last.
-	wasReady atomic.Bool
+	// lastReady is what the balancer was told last.
+	lastReady atomic.Bool
 	// caller, ready, peer and metrics are the listeners; metrics is nil
 	// without a setting.
 	caller, ready, peer, metrics net.Listener
 	// configured is closed once a configuration is in force.
 	configured chan struct{}
-	onceConfig sync.Once
+	configOnce sync.Once
 }
 
 // New opens the listeners of the router that a settings file describes.
@@ -76,16 +76,16 @@
 	r.Engine = relay.New(log, r.admin.Scope, s.limits())
 	r.Engine.Send, r.Engine.WriteTrial, r.Engine.Gone = w.Send, w.WriteTrial, w.Gone
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * memoryKept / 100)
+		debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * memoryLimitPercent / 100)
 	}
-	r.bodies = newBodies(s.MemoryMB)
+	r.bodies = newBodyBudget(s.MemoryMB)
 	r.mirror = mirror.New(w.ConfigKind, w.ClosingKind, w.VerdictKind, w.TrialKind, w.EndpointKind, w.RouterKind)
-	r.mirror.OnChange = r.take
+	r.mirror.OnChange = r.applyChange
 	r.fleet = peers.NewFleet(s.VM)
-	r.self = peers.Peer{Name: s.VM, Addr: s.Peers, Zone: s.AvailabilityZone, Ability: int(s.CPUShare * thousandths), Token: proc.NewID() + proc.NewID()}
+	r.self = peers.Peer{Name: s.VM, Addr: s.Peers, Zone: s.AvailabilityZone, Ability: int(s.CPUShare * millicoresPerCore), Token: proc.NewID() + proc.NewID()}
 	r.secret.Set(r.self.Token)
 	r.asker = peers.NewAsker(log, r.fleet, r.mirror, w.ConfigKind, w.ConfigKind, w.ClosingKind, w.VerdictKind, w.TrialKind, w.EndpointKind, w.RouterKind)
-	w.OnStoreCall(r.storeCalled)
+	w.OnStoreCall(r.recordStoreCall)
 	r.Engine.Proven = func() time.Time { return r.mirror.ConfirmedAt(w.ConfigKind) }
 	r.Engine.Listed = func() bool { return r.mirror.Revision(w.EndpointKind) >= 0 }
 	r.Engine.Routers = r.fleet.Sending
@@ -112,7 +112,7 @@
 		},
 		Changed: notes.SendVerdicts, Again: notes.SendAgain, AgainMost: peers.VerdictsAgain, Rank: r.fleet.Rank, Alone: r.Alone,
 	}
-	r.shareNotices(notes)
+	r.connectNotices(notes)
 	r.duties = newDuties(r, rand.Uint64())
 	notes.OnReport, r.Engine.TellReport = r.Engine.HeardReport, notes.SendReport
 	r.Engine.Tell = func(w relay.Word) {
@@ -150,19 +150,19 @@
 	return s, generation, true
 }
 
-// storeCalled tells of a call to the store: each is priced.
-func (r *Router) storeCalled(c StoreCall) {
+// recordStoreCall tells of a call to the store: each is priced.
+func (r *Router) recordStoreCall(c StoreCall) {
 	r.Log.Info("store: A call has ended.", zap.String("verb", string(c.Verb)), zap.String("kind", c.Kind), zap.Int("status", c.Status),
 		zap.Int64("tookMs", c.Ended.Sub(c.Sent).Milliseconds()))
 	r.admin.Scope.Tagged(map[string]string{"verb": string(c.Verb), "kind": c.Kind, "status": strconv.Itoa(c.Status)}).Counter("store_calls").Inc(1)
 }
 
-// thousandths of a processor core are the unit of a registered VM's ability.
-const thousandths = 1000
+// millicoresPerCore of a processor core are the unit of a registered VM's ability.
+const millicoresPerCore = 1000
 
-// memoryKept is the part of the memory, in hundredths, from which on the
+// memoryLimitPercent is the part of the memory, in hundredths, from which on the
 // collector works harder; the rest is for what the kernel holds of connections.
-const memoryKept = 70
+const memoryLimitPercent = 70
 
 // Main runs the router that a settings file describes, until a signal ends it.
 func Main(ctx context.Context, file string, wire func(s *Settings) *Wire) error {
@@ -197,20 +197,20 @@
 	r.tasks.Go(ctx, "settings", r.watchSettings)
 	if r.duties != nil {
 		r.tasks.Go(ctx, "duties", r.duties.run)
-		r.tasks.Go(ctx, "usage", r.duties.tell)
+		r.tasks.Go(ctx, "usage", r.duties.sendReports)
 	}
 	answers := peers.NewServer(r.Log, r.mirror, r.wire.ConfigKind, &r.secret)
 	answers.Traffic, answers.OnStarting, answers.Verdicts = &r.traffic, r.asker.Want, r.Engine.ForStarting
 	answers.Age = r.Engine.Age
 	r.tasks.Go(ctx, "traffic", func(ctx context.Context) error { return r.traffic.Run(ctx, r.Log) })
-	shared := &http.Server{Handler: answers, ReadHeaderTimeout: plainWithin, IdleTimeout: idleReady, ErrorLog: logs.NewStdLog(r.Log, "peers")}
+	shared := &http.Server{Handler: answers, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout, ErrorLog: logs.NewStdLog(r.Log, "peers")}
 	r.tasks.Go(ctx, "answers to peers", func(context.Context) error { return shared.Serve(r.peer) })
-	readiness := &http.Server{Handler: http.HandlerFunc(r.serveReady), ReadHeaderTimeout: plainWithin, IdleTimeout: idleReady}
+	readiness := &http.Server{Handler: http.HandlerFunc(r.serveReady), ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout}
 	r.tasks.Go(ctx, "readiness", func(context.Context) error { return readiness.Serve(r.ready) })
 	if r.metrics != nil {
 		r.tasks.Go(ctx, "metrics", func(context.Context) error { return r.admin.Serve(r.metrics) })
 	}
-	r.awaitTable(ctx)
+	r.awaitConfig(ctx)
 	r.callers = r.newCallers(ctx)
 	r.tasks.Go(ctx, "callers", func(context.Context) error { return r.callers.Serve(r.caller) })
 	<-stages.Stop.Done()
@@ -221,17 +221,17 @@
 }
 
 const (
-	// plainWithin bounds the reading of a plain head, idleReady the rest of a
+	// headerReadTimeout bounds the reading of a plain head, idleReady the rest of a
 	// balancer's connection, which asks once a second.
-	plainWithin = 3 * time.Second
-	idleReady   = 30 * time.Second
-	// tableWithin is how long callers' connections wait for the configuration,
+	headerReadTimeout = 3 * time.Second
+	idleConnTimeout   = 30 * time.Second
+	// configWaitTimeout is how long callers' connections wait for the configuration,
 	// whose bounds their server takes over, before they are answered without.
-	tableWithin = config.Span(500 * time.Millisecond)
+	configWaitTimeout = config.Span(500 * time.Millisecond)
 )
 
-func (r *Router) awaitTable(ctx context.Context) {
-	ctx, cancel := context.WithDeadline(ctx, tableWithin.After(time.Now()))
+func (r *Router) awaitConfig(ctx context.Context) {
+	ctx, cancel := context.WithDeadline(ctx, configWaitTimeout.After(time.Now()))
 	defer cancel()
 	select {
 	case <-r.configured:
@@ -246,7 +246,7 @@
 		return
 	}
 	ready, why := r.Engine.Ready()
-	if was := r.wasReady.Swap(ready); was != ready {
+	if was := r.lastReady.Swap(ready); was != ready {
 		r.Log.Info("router: The readiness has changed.", zap.Bool("ready", ready), zap.String("why", why))
 	}
 	if !ready {
@@ -257,12 +257,12 @@
 }
 
 const (
-	// listed is how long after the signal a stopping router still gets new
+	// balancerDrainDelay is how long after the signal a stopping router still gets new
 	// connections: the balancer asks each second and gives up after two
 	// answers.
-	listed = config.Span(3 * time.Second)
-	// stopPoll is how often a stopping router looks whether all are answered.
-	stopPoll = config.Span(20 * time.Millisecond)
+	balancerDrainDelay = config.Span(3 * time.Second)
+	// drainPollInterval is how often a stopping router looks whether all are answered.
+	drainPollInterval = config.Span(20 * time.Millisecond)
 )
 
 // stop ends a router as planned: not ready, every answer the last on its
@@ -278,9 +278,9 @@
 	if err := r.wire.Unregister(kill, r.unconditional()); err != nil {
 		r.Log.Warn("router: The registration could not be removed.", logs.Err(err))
 	}
-	tasks.Pause(kill, listed.After(time.Now()))
+	tasks.Pause(kill, balancerDrainDelay.After(time.Now()))
 	for kill.Err() == nil && r.Engine.Under() > 0 {
-		tasks.Pause(kill, stopPoll.After(time.Now()))
+		tasks.Pause(kill, drainPollInterval.After(time.Now()))
 	}
 	if err := r.callers.Shutdown(kill); err != nil {
 		r.Log.Warn("router: Requests were broken off.", zap.Int64("underWay", r.Engine.Under()), logs.Err(err))
