--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -147,12 +147,12 @@
 
 // advance notes up to where the copy goes; mu is held.
 func (m *Mirror) advance(c *kindCopy, revision int64, at time.Time) {
-	returned := false
+	afterGap := false
 	if at.After(c.confirmedAt) && revision >= c.revision {
-		returned = at.Sub(c.confirmedAt) > minConfirmationGap
+		afterGap = at.Sub(c.confirmedAt) > minConfirmationGap
 		c.confirmedAt = at
 	}
-	if revision > c.revision || returned {
+	if revision > c.revision || afterGap {
 		c.revision = revision
 		close(m.changed)
 		m.changed = make(chan struct{})
@@ -225,14 +225,14 @@
 
 // await returns when a condition holds, which is looked at with mu held after each change, at
 // the time until, or when ctx is done.
-func (m *Mirror) await(ctx context.Context, until time.Time, holds func() bool) {
+func (m *Mirror) await(ctx context.Context, until time.Time, cond func() bool) {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	for {
 		m.mu.Lock()
-		changed, over := m.changed, holds()
+		changed, done := m.changed, cond()
 		m.mu.Unlock()
-		if over {
+		if done {
 			return
 		}
 		select {
