--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -17,85 +17,90 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// ErrHistoryGone says that the store no longer has the changes that were asked for.
+// ErrHistoryGone means that the store no longer has the changes after the requested revision, so
+// that the kind must be listed again.
 const ErrHistoryGone fault.Const = "mirror: the history is gone"
 
-// Source is where objects are read. Its functions are seams.
+// Source makes the calls to the store. Tests replace its functions.
 type Source struct {
-	// Page returns the objects of a kind that come after a name, or the first ones, with
-	// the store's revision, and whether there are more.
+	// Page returns a page of the objects of a kind in the order of their names: those after the
+	// given name, or the first ones for the empty name.
 	Page func(ctx context.Context, kind, after string) (Page, error)
-	// Watch returns the changes after a revision and the revision they lead
-	// to, as soon as there are any, or none at the time until. The error is
-	// ErrHistoryGone if they are not known any more.
+	// Watch waits for changes of a kind after the revision since, and returns them with the revision
+	// that includes them. It returns no changes at the time until. The error is ErrHistoryGone if
+	// the store no longer has the changes after since.
 	Watch func(ctx context.Context, kind string, since int64, until time.Time) ([]Change, int64, error)
 }
 
-// Page is a part of a list.
+// Page is a page of a list.
 type Page struct {
-	Objects  []Object
+	Objects []Object
+	// Revision is the store's revision at which the page was read.
 	Revision int64
-	More     bool
+	// More is set if there are objects after the last one of the page.
+	More bool
 }
 
-// Follower keeps the copy of one kind in step with the store. Its fields are set
-// before Run.
+// Follower keeps the copy of one kind current from the store. Its exported fields must be set before
+// Run.
 type Follower struct {
 	Log    *zap.Logger
 	Source Source
 	Mirror *Mirror
 	Kind   string
-	// WatchTimeout is how long one watch waits.
+	// WatchTimeout is how long the store holds a watch without changes before it answers.
 	WatchTimeout config.Span
-	// BatchDelay is how long it rests after a change, so that changes that come
-	// together cost one call.
+	// BatchDelay is the pause after a watch that returned changes, so that one call returns all the
+	// changes that follow within it.
 	BatchDelay config.Span
-	// AwaitTurn returns when the store should be asked, and false if ctx was done
-	// first; nil for always.
+	// AwaitTurn blocks until this process should call the store for the kind. It returns false if
+	// ctx was done first. nil means that the store may be called at any time.
 	AwaitTurn func(ctx context.Context) bool
-	// RetrySlowly reports whether others try a store that is lost more often than this
-	// router and will tell it of its return; nil for no.
+	// RetrySlowly reports whether other routers retry an unreachable store more often than this one
+	// and will notify it once the store is back. Retries then use the longer backoff. nil means no.
 	RetrySlowly func() bool
 
-	// pages holds the pages of a list that were pages so far, and at when the first was
-	// asked for: a page that fails is asked for again, not the whole list.
+	// pages holds the pages of an unfinished list, and listedAt is when the first one was requested.
+	// After a failed call only the next page is requested again, not the whole list.
 	pages    []Page
 	listedAt time.Time
-	// relist says that the history was lost, so that all is read relist.
+	// relist is set if the store no longer has the history, so that the kind must be listed again.
 	relist bool
-	// resumed says that others asked the store until now.
+	// resumed is set if other routers called the store until now.
 	resumed bool
-	// lostSince is when the store was heard of last before it was lost; zero while
-	// it answers.
+	// lostSince is the time of the last answer before the store was lost; zero while it answers.
 	lostSince time.Time
-	// lapsesAt is when entries that lapsed in the last outage count as gone.
+	// lapsesAt is when removals of entries that lapsed during the last outage take effect.
 	lapsesAt time.Time
+	// failures counts the failed calls since the last successful one.
 	failures int
 }
 
 const (
-	// callTimeout bounds a call beyond the time that it waits on purpose. The
-	// users' slow store takes up to 0.4 s an answer.
+	// callTimeout bounds a call, beyond the time that a watch may wait. A slow store takes up to
+	// 0.4 s to answer.
 	callTimeout = 1500 * time.Millisecond
-	// minOutage is how long the store must be away for entries to lapse;
-	// they are removed after three missed heartbeats of about a second.
+	// minOutage is the shortest outage in which entries may lapse. The store removes an entry after
+	// three missed heartbeats, which are sent about once a second.
 	minOutage = time.Second
-	// lapseGrace is how long after an outage lapsed entries are waited for.
+	// lapseGrace is how long after an outage the entries that lapsed in it are kept, as their owners
+	// may register them again.
 	lapseGrace = config.Span(2 * time.Second)
-	// minBackoff and pauseMost bound the pauses between failed calls, which
-	// double.
+	// minBackoff and maxBackoff bound the pause after a failed call, which doubles with each failure.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
-	// minSlowBackoff and patientMost do so where others try more often: each call is priced
-	// also while the store is down, and the others' word takes less than half a second.
+	// minSlowBackoff and maxSlowBackoff replace them if RetrySlowly reports true: each call costs
+	// money, also while the store is down, and the notification by the other routers takes less
+	// than half a second.
 	minSlowBackoff = 400 * time.Millisecond
 	maxSlowBackoff = 4 * time.Second
-	// pageTTL is how long pages that were read are kept: the history that brings them up
-	// to date goes back 20 s on the users' stores, and may be shorter.
+	// pageTTL is how long the pages of an unfinished list are kept. The changes since the first page
+	// have to be in the store's history once the list is complete. Stores keep the history for 20 s,
+	// some possibly for less.
 	pageTTL = 10 * time.Second
 )
 
-// Run follows until ctx is done.
+// Run updates the copy until ctx is done. It always returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	lastSuccess := time.Now()
 	for ctx.Err() == nil {
@@ -117,7 +122,7 @@
 			f.recordSuccess(sent)
 			lastSuccess = time.Now()
 		case errors.Is(err, ErrHistoryGone):
-			f.Log.Info("mirror: The history is gone; all is read again.", zap.String("kind", f.Kind), zap.Int64("revision", f.Mirror.Revision(f.Kind)))
+			f.Log.Info("mirror: The store no longer has the changes since this revision; listing all objects again.", zap.String("kind", f.Kind), zap.Int64("revision", f.Mirror.Revision(f.Kind)))
 			f.relist = true
 		default:
 			f.recordFailure(lastSuccess, err)
@@ -127,7 +132,7 @@
 	return nil
 }
 
-// step makes one call.
+// step lists the kind, or makes one watch call if the copy has a revision. sent is the present time.
 func (f *Follower) step(ctx context.Context, sent time.Time) error {
 	since := f.Mirror.Revision(f.Kind)
 	if since < 0 || f.relist {
@@ -135,8 +140,9 @@
 	}
 	until := f.WatchTimeout.After(sent)
 	if !f.lostSince.IsZero() || f.resumed {
-		// Word that the store is back should not wait for a change, nor the proof that others
-		// wait for where the one that asked the store before is gone.
+		// The store answers this watch at once, without waiting for a change. So the end of an outage
+		// is detected early, and so is a copy confirmed early if the router that called the store
+		// before is gone and other routers wait for a confirmation.
 		until = sent
 	}
 	ctx, cancel := context.WithDeadline(ctx, until.Add(callTimeout))
@@ -157,8 +163,8 @@
 	return nil
 }
 
-// list reads the pages of a kind that are left. What changes meanwhile comes again with the
-// first watch, as the revision is the first page's.
+// list reads the remaining pages of the kind and replaces the copy. The copy gets the revision of
+// the first page, so that the first watch returns all changes made while the pages were read.
 func (f *Follower) list(ctx context.Context, sent time.Time) error {
 	if f.pages == nil || sent.Sub(f.listedAt) > pageTTL {
 		f.pages, f.listedAt = nil, sent
@@ -173,7 +179,7 @@
 			break
 		}
 		if !f.relist && f.Mirror.Revision(f.Kind) >= 0 {
-			// A peer was quicker.
+			// A peer has supplied the list in the meantime.
 			f.pages = nil
 			return nil
 		}
@@ -190,7 +196,7 @@
 	return nil
 }
 
-// nextPage reads the next nextPage.
+// nextPage reads the page after those in pages.
 func (f *Follower) nextPage(ctx context.Context) (Page, error) {
 	after := ""
 	if n := len(f.pages); n > 0 {
@@ -202,15 +208,14 @@
 	return f.Source.Page(ctx, f.Kind, after)
 }
 
-// updateLapse sets when lapsed entries count as gone, on the first answer after an
-// outage.
+// updateLapse sets lapsesAt on the first answer after an outage of at least minOutage.
 func (f *Follower) updateLapse(now time.Time) {
 	if !f.lostSince.IsZero() && now.Sub(f.lostSince) >= minOutage {
 		f.lapsesAt = lapseGrace.After(now)
 	}
 }
 
-// recordFailure notes a failed call.
+// recordFailure counts a failed call. lastSuccess is the time of the last answer.
 func (f *Follower) recordFailure(lastSuccess time.Time, err error) {
 	f.failures++
 	if f.lostSince.IsZero() {
@@ -219,7 +224,7 @@
 	}
 }
 
-// recordSuccess notes an answer.
+// recordSuccess ends an outage, if there is one, with a call that was sent at now and answered.
 func (f *Follower) recordSuccess(now time.Time) {
 	if !f.lostSince.IsZero() {
 		f.Log.Info("mirror: The store is back.", zap.String("kind", f.Kind), zap.Int64("revision", f.Mirror.Revision(f.Kind)),
@@ -228,7 +233,8 @@
 	f.lostSince, f.failures = time.Time{}, 0
 }
 
-// backoff returns the backoff after a failed call.
+// backoff returns the pause after a failed call. It is a random time between half the current backoff
+// and the whole, so that routers do not retry at the same time.
 func (f *Follower) backoff() time.Duration {
 	d := min(maxBackoff, minBackoff<<min(f.failures, 8))
 	if f.RetrySlowly != nil && f.RetrySlowly() {
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -10,54 +10,59 @@
 	"time"
 )
 
-// Object is one stored object.
+// Object is a stored object.
 type Object struct {
-	Name     string `json:"name"`
-	Revision int64  `json:"revision"`
-	// Spec is what its writer wants, Status what came of it.
+	Name string `json:"name"`
+	// Revision is the store's revision at the last change of the object.
+	Revision int64 `json:"revision"`
+	// Spec is the desired state as its writer set it, and Status the observed state.
 	Spec   json.RawMessage `json:"spec,omitempty"`
 	Status json.RawMessage `json:"status,omitempty"`
 }
 
-// Change is a change of an object.
+// Change is the creation, update or removal of an object.
 type Change struct {
 	Object
-	// Removed says that the object was removed; only name and revision count.
+	// Removed is set if the object was removed. Only its Name and Revision are then valid.
 	Removed bool
-	// LapsesAt is when a removed object counts as gone: later than now where
-	// it may have been removed for want of contact with the store.
+	// LapsesAt is when the removal takes effect; the zero time for at once. It lies ahead if the
+	// object may have been removed only because its owner could not reach the store.
 	LapsesAt time.Time
 }
 
-// Mirror is a copy of some kinds. Use New.
+// Mirror holds copies of several kinds of objects. It must be created with New and is safe for
+// concurrent use.
 type Mirror struct {
-	// OnChange is called for each change, in order of its kind; it must be
-	// short and not call the mirror. It is set before the first change.
+	// OnChange is called for each change of a copy, in the order in which the changes of a kind are
+	// applied. The mirror is locked meanwhile: the function must be short and must not call the
+	// mirror. It must be set before the first change.
 	OnChange func(kind string, c Change)
 	mu       sync.Mutex
 	kinds    map[string]*kindCopy
-	// changed is closed and made anew at each change.
+	// changed is closed and replaced whenever a revision increases, or a copy is confirmed again
+	// after minConfirmationGap.
 	changed chan struct{}
 }
 
 // kindCopy is the copy of one kind.
 type kindCopy struct {
-	// revision is up to which the copy goes; -1 before the first list. It
-	// never goes back.
+	// revision is the revision up to which the copy includes all changes; -1 before the first
+	// list. It never decreases.
 	revision int64
-	// confirmedAt is when the copy was the newest, for sure.
+	// confirmedAt is a time at which the copy is known to have been current. It never decreases.
 	confirmedAt time.Time
 	objects     map[string]Object
-	// tombstones holds the removed objects since floor; a copy that is older than
-	// floor needs the whole list.
+	// tombstones holds the removals from the revision deltaFloor on, by object name. A copy with a
+	// lower revision than deltaFloor needs the full list.
 	tombstones map[string]Change
 	deltaFloor int64
 }
 
-// maxTombstones bounds how many removed objects of a kind are remembered.
+// maxTombstones is the maximum number of tombstones of a kind. Once it is reached, the next removal
+// drops all of them and raises deltaFloor.
 const maxTombstones = 1024
 
-// New returns an empty mirror of the named kinds.
+// New returns a mirror with empty copies of the named kinds.
 func New(kinds ...string) *Mirror {
 	m := &Mirror{OnChange: func(string, Change) {}, kinds: make(map[string]*kindCopy), changed: make(chan struct{})}
 	for _, k := range kinds {
@@ -66,23 +71,25 @@
 	return m
 }
 
-// Revision returns up to which the copy of a kind goes; -1 before the first list.
+// Revision returns the revision up to which the copy of a kind includes all changes; -1 before the
+// first list.
 func (m *Mirror) Revision(kind string) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.kinds[kind].revision
 }
 
-// ConfirmedAt returns when the copy of a kind was the newest, for sure.
+// ConfirmedAt returns the last time at which the copy of a kind is known to have been current; the
+// zero time before the first list.
 func (m *Mirror) ConfirmedAt(kind string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.kinds[kind].confirmedAt
 }
 
-// Replace takes over all objects of a kind as they were at a revision, read after
-// the time at. Those that are missing were removed; they count as gone at
-// lapsesAt. A list that is older than the copy changes nothing.
+// Replace replaces the copy of a kind by the full list of its objects as of a revision, which was
+// requested at the time at. Objects that are not in the list are removed with the given lapsesAt.
+// A list with a lower revision than the copy is ignored.
 func (m *Mirror) Replace(kind string, objects []Object, revision int64, at, lapsesAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,8 +113,8 @@
 	m.advance(c, revision, at)
 }
 
-// Apply takes over the changes of a kind up to a revision, asked for after the
-// time at.
+// Apply applies the changes of a kind up to a revision, which were requested at the time at. Changes
+// that are older than the copy are ignored.
 func (m *Mirror) Apply(kind string, changes []Change, revision int64, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,7 +125,8 @@
 	m.advance(c, revision, at)
 }
 
-// apply takes over one change, unless the copy has a newer one; mu is held.
+// apply applies a change unless the copy has that change or a later one of the object. The caller
+// holds mu.
 func (m *Mirror) apply(kind string, c *kindCopy, ch Change) {
 	if o, ok := c.objects[ch.Name]; ok && ch.Revision <= o.Revision {
 		return
@@ -136,8 +144,8 @@
 		clear(c.tombstones)
 		c.deltaFloor = ch.Revision
 	}
-	// Also of an object that was never known here: a late word of it must not
-	// bring it in.
+	// The tombstone is also kept for an object that the copy does not have: an older change of the
+	// object that arrives later must not add it.
 	c.tombstones[ch.Name] = ch
 	if _, ok := c.objects[ch.Name]; ok {
 		delete(c.objects, ch.Name)
@@ -145,7 +153,8 @@
 	}
 }
 
-// advance notes up to where the copy goes; mu is held.
+// advance raises the revision of a copy and the time of its confirmation, if the given ones are
+// higher. The caller holds mu.
 func (m *Mirror) advance(c *kindCopy, revision int64, at time.Time) {
 	afterGap := false
 	if at.After(c.confirmedAt) && revision >= c.revision {
@@ -159,21 +168,23 @@
 	}
 }
 
-// minConfirmationGap is how much newer a proof is that is told at once to those who wait for one: it
-// follows a time without word of the store.
+// minConfirmationGap is the time between two confirmations of a copy above which the second wakes the
+// goroutines that wait for a confirmation. Such a gap means that the store did not answer for a while.
 const minConfirmationGap = time.Second
 
-// Delta is what a copy of one kind lacks.
+// Delta is the difference between an older copy of a kind and a newer one.
 type Delta struct {
+	// Revision and ConfirmedAt are those of the newer copy.
 	Revision    int64
 	ConfirmedAt time.Time
-	// Full says that Changes holds every object, and others are gone.
+	// Full is set if Changes holds all objects of the newer copy. Objects that are not among them
+	// were removed, and no removals are listed.
 	Full    bool
 	Changes []Change
 }
 
-// Since returns what a copy that goes up to a revision lacks; ok is false if
-// this mirror has no copy itself.
+// Since returns the difference between a copy of a kind at a revision and the copy of this mirror.
+// ok is false if the mirror has not listed the kind yet.
 func (m *Mirror) Since(kind string, revision int64) (d Delta, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -195,19 +206,20 @@
 	return d, true
 }
 
-// AwaitChange returns when the copy of a kind goes further than have says, at the time
-// until, or when ctx is done.
+// AwaitChange blocks until a copy has changes after the revision that have holds for its kind, but
+// no later than the time until or until ctx is done.
 func (m *Mirror) AwaitChange(ctx context.Context, have map[string]int64, until time.Time) {
 	m.await(ctx, until, func() bool { return m.changedSince(have) })
 }
 
-// AwaitChangeOrConfirmation is Await, but that it returns too when the copy of a kind was proven to be the newest
-// after a time.
+// AwaitChangeOrConfirmation is like AwaitChange, but also returns once the copy of the given kind
+// was confirmed to be current later than after.
 func (m *Mirror) AwaitChangeOrConfirmation(ctx context.Context, have map[string]int64, kind string, after, until time.Time) {
 	m.await(ctx, until, func() bool { return m.changedSince(have) || m.kinds[kind].confirmedAt.After(after) })
 }
 
-// changedSince reports whether the copy of a kind goes further than have says; mu is held.
+// changedSince reports whether a copy has changes after the revision that have holds for its kind.
+// The caller holds mu.
 func (m *Mirror) changedSince(have map[string]int64) bool {
 	for kind, revision := range have {
 		if c := m.kinds[kind]; c != nil && c.changedSince(revision) {
@@ -217,14 +229,14 @@
 	return false
 }
 
-// AwaitConfirmation returns when the copy of a kind was proven to be the newest after a time, at the
-// time until, or when ctx is done.
+// AwaitConfirmation blocks until the copy of a kind was confirmed to be current later than after,
+// but no later than the time until or until ctx is done.
 func (m *Mirror) AwaitConfirmation(ctx context.Context, kind string, after, until time.Time) {
 	m.await(ctx, until, func() bool { return m.kinds[kind].confirmedAt.After(after) })
 }
 
-// await returns when a condition holds, which is looked at with mu held after each change, at
-// the time until, or when ctx is done.
+// await blocks until cond returns true, but no later than the time until or until ctx is done. It
+// evaluates cond with mu held, at once and each time changed is closed.
 func (m *Mirror) await(ctx context.Context, until time.Time, cond func() bool) {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -243,8 +255,8 @@
 	}
 }
 
-// changedSince reports whether a copy up to a revision lacks a change, not only a
-// newer revision of other kinds.
+// changedSince reports whether the copy has changes after a revision. A higher revision alone is no
+// change, as it may stem from other kinds.
 func (c *kindCopy) changedSince(revision int64) bool {
 	if c.revision <= revision {
 		return false
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -24,11 +24,11 @@
 	return Object{Name: name, Revision: revision, Spec: json.RawMessage(fmt.Sprint(revision))}
 }
 
-// observed is what a listener of a mirror knows.
+// observed holds the last revision of each object that OnChange was called with, by name; negative
+// for a removal.
 type observed map[string]int64
 
-// observe makes a state that follows a mirror, and fails on a change that goes
-// back.
+// observe records the changes of a mirror. The test fails if a revision of an object decreases.
 func observe(t *testing.T, m *Mirror) observed {
 	s := make(observed)
 	m.OnChange = func(_ string, c Change) {
@@ -63,14 +63,15 @@
 	m.Replace("k", nil, 5, t0, time.Time{})
 	m.Apply("k", nil, 5, t0.Add(time.Second))
 	m.Apply("k", nil, 5, t0)
-	// An answer about an older revision proves nothing about a newer copy.
+	// An answer about an older revision does not confirm a newer copy.
 	m.Apply("k", nil, 4, t0.Add(time.Hour))
 	if got, want := m.ConfirmedAt("k"), t0.Add(time.Second); !got.Equal(want) {
-		t.Errorf("proven at: got %v, want %v", got, want)
+		t.Errorf("confirmed at: got %v, want %v", got, want)
 	}
 }
 
-// Copies that are fed from one another in any order, late and twice, end equal.
+// Copies that are updated from one another end equal, though deltas arrive in any order, late and
+// more than once.
 func TestReplicasConverge(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 7))
@@ -147,7 +148,8 @@
 
 var errUnavailable = errors.New("down")
 
-// A store that is away for long lets entries lapse; they are waited for after it.
+// During an outage of the store, entries may lapse only because their owners cannot renew them.
+// Removals that are read after the outage must therefore not take effect at once.
 func TestRemovalsAfterOutageLapseLater(t *testing.T) {
 	m := New("k")
 	var got []Change
@@ -170,10 +172,11 @@
 		t.Fatal(err)
 	}
 	if len(got) != 2 || !got[1].Removed || got[1].LapsesAt.Before(now.Add(time.Second)) {
-		t.Errorf("changes: got %+v, want a removal that lapses about 2 s later", got)
+		t.Errorf("changes: got %+v, want a removal that takes effect about 2 s later", got)
 	}
 }
 
+// A watch that waited for a change would detect the end of an outage late.
 func TestLostStoreIsWatchedWithoutWaiting(t *testing.T) {
 	const wait = 700 * time.Millisecond
 	var waits []time.Duration
@@ -201,6 +204,7 @@
 	}
 }
 
+// No entry lapses in an outage shorter than minOutage, so that removals take effect at once.
 func TestShortOutageDelaysNoRemoval(t *testing.T) {
 	f := Follower{Log: zap.NewNop(), Mirror: New("k"), Kind: "k"}
 	now := time.Now()
@@ -231,8 +235,8 @@
 	}
 }
 
-// A list of many pages under a store that answers two calls in three: each page is asked for
-// until it is there, and none twice.
+// Guards against a list of many pages that starts again after each failed call and never completes.
+// The store answers two calls in three; no page may be read twice.
 func TestListResumesAfterFailedPage(t *testing.T) {
 	m := New("k")
 	var pagesAfter []string
@@ -253,7 +257,7 @@
 		_ = f.step(context.Background(), time.Now())
 	}
 	if got, want := fmt.Sprint(pagesAfter), "[ o1 o2 o3 o4]"; got != want || steps != 3 {
-		t.Errorf("pages: got those after %s in %d steps, want %s in 3", got, steps, want)
+		t.Errorf("pages: read those after %s in %d steps, want %s in 3", got, steps, want)
 	}
 	d, _ := m.Since("k", -1)
 	if len(d.Changes) != 5 || d.Revision != 10 {
@@ -261,7 +265,7 @@
 	}
 }
 
-// While others try a lost store, this router tries seldom.
+// While other routers retry an unreachable store, this one uses the longer backoff.
 func TestRetrySlowlyLengthensBackoff(t *testing.T) {
 	slowly := true
 	f := Follower{RetrySlowly: func() bool { return slowly }, failures: 9}
@@ -272,11 +276,12 @@
 	}
 	slowly = false
 	if got := f.backoff(); got > maxBackoff {
-		t.Errorf("pause where nobody else tries: got %v, want at most %v", got, maxBackoff)
+		t.Errorf("pause where no other router retries: got %v, want at most %v", got, maxBackoff)
 	}
 }
 
-// Who waits for word of the store is told when it is back, though nothing has changed.
+// A goroutine that waits for a confirmation is woken once the store is back, also if no object has
+// changed. The copy is confirmed again after more than minConfirmationGap.
 func TestAwaitConfirmation(*testing.T) {
 	m := New("k")
 	m.Replace("k", nil, 1, t0, time.Time{})
--- a/internal/spread/holder_test.go
+++ b/internal/spread/holder_test.go
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// TestRevisionNeverGoesBack offers revisions in any order from several goroutines: the one
-// in force only grows, and the newest offered ends in force.
+// Several goroutines call Advance with revisions in any order. The revision in force must never
+// decrease, and must be the highest in the end.
 func TestRevisionNeverGoesBack(t *testing.T) {
 	assert.SetFatal()
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/spread/watch.go
+++ b/internal/spread/watch.go
@@ -16,26 +16,30 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Kinds and names of the settings' objects.
+// Kinds and names of the objects in which the platform stores the settings.
 const (
+	// KindHead is the kind and NameHead the name of the object that holds the head.
 	KindHead = "settings"
 	NameHead = "head"
+	// KindNode is the kind of the nodes; they are named by their hashes.
 	KindNode = "settingsNode"
 )
 
-// watchTimeout is how long one watch waits; a waiting watch counts as a call. A
-// watch that ends without a change is not believed: the head is read once more,
-// so that a watch that missed a change costs this long and no longer.
+// watchTimeout bounds one watch of the head. The platform counts a watch as a call while it waits.
+// The head is read after each watch that ended without a change, so that a change that a watch
+// missed is delayed by this time at most.
 const watchTimeout = 4 * time.Second
 
-// retryDelay is how long the watcher waits after the platform failed.
+// retryDelay is the pause after a failed call, and the interval at which Watch checks whether this
+// process should watch.
 const retryDelay = config.Span(500 * time.Millisecond)
 
-// staleHeadDelay is how long the watcher waits after news that was not new.
+// staleHeadDelay is the pause after a watch that returned a head whose revision is not higher than
+// the one in force.
 const staleHeadDelay = config.Span(100 * time.Millisecond)
 
-// ReadHead returns the head as the platform has it, with its object version;
-// the zero head with version 0 if there is none yet.
+// ReadHead returns the head stored at the platform and its object version. If there is none yet, it
+// returns the zero head and version 0. Other errors are those of store.Client.Get and of decoding.
 func ReadHead(ctx context.Context, c *store.Client) (config.Head, int64, error) {
 	var head config.Head
 	o, err := c.Get(ctx, KindHead, NameHead)
@@ -48,7 +52,8 @@
 	return head, o.Version, json.Unmarshal(o.Value, &head)
 }
 
-// ReadNodes returns the named nodes from the platform, by hash.
+// ReadNodes reads nodes from the platform, one call for each, and returns their bodies by hash. It
+// returns the first error of store.Client.Get.
 func ReadNodes(ctx context.Context, c *store.Client, hashes []string) (map[string][]byte, error) {
 	bodies := make(map[string][]byte, len(hashes))
 	for _, hash := range hashes {
@@ -61,9 +66,9 @@
 	return bodies, nil
 }
 
-// Watch follows the head at the platform until ctx is done. watching says
-// whether this process is one of the few that watch; it is asked before each
-// wait.
+// Watch watches the head at the platform and puts each new revision in force, until ctx is done. It
+// always returns nil. watching reports whether this process is currently one of the few that watch;
+// it is called before each watch.
 func (h *Holder) Watch(ctx context.Context, c *store.Client, watching func() bool) error {
 	version := int64(0)
 	for ctx.Err() == nil {
@@ -73,7 +78,7 @@
 		}
 		next, err := h.watchOnce(ctx, c, version)
 		if err != nil && ctx.Err() == nil {
-			h.log.Warn("settings: The platform does not answer.", logs.Err(err))
+			h.log.Warn("settings: The head could not be watched at the platform.", logs.Err(err))
 			tasks.Pause(ctx, retryDelay.After(time.Now()))
 			continue
 		}
@@ -82,6 +87,8 @@
 	return nil
 }
 
+// watchOnce waits for a version of the head object other than the given one and puts its revision in
+// force if it is higher. It returns the version to watch from next.
 func (h *Holder) watchOnce(ctx context.Context, c *store.Client, version int64) (int64, error) {
 	wait, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
@@ -102,8 +109,8 @@
 	}
 	cur := h.Current()
 	if head.Revision <= cur.Head.Revision {
-		// Our own revision, heard of elsewhere before, or a watch that goes
-		// back in time: not to be taken, and not to be spun on.
+		// The revision was already fetched from a peer, or the watch returned an old version of the
+		// head. It must not be put in force; the pause avoids a busy loop.
 		tasks.Pause(ctx, staleHeadDelay.After(time.Now()))
 		return o.Version, nil
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,9 +1,13 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package store speaks to the platform's object API: versioned objects with
-// conditional updates and watches. The protocol is written down in
-// docs/PLATFORM.md.
+// Package store is a client of the platform's object API, which holds versioned objects with
+// conditional updates and watches, and of the platform's list of VMs. docs/PLATFORM.md specifies the
+// protocol.
+//
+// A read without a valid answer returns an error marked as ErrUnavailable. A write without one
+// returns ErrOutcomeUnknown, as it may have taken effect, and ErrUnavailable only if nothing was
+// written.
 package store
 
 import (
@@ -21,57 +25,58 @@
 
 // Errors of this package.
 const (
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound fault.Const = "store: no such object"
-	// ErrConflict says that the object has another version than was named;
-	// nothing was written.
+	// ErrConflict means that the object does not have the version that the write requires. Nothing
+	// was written.
 	ErrConflict fault.Const = "store: the object has another version"
-	// ErrUnchanged says that a watch ended without a change.
+	// ErrUnchanged means that a watch ended without a change.
 	ErrUnchanged fault.Const = "store: no change"
-	// ErrTooLarge says that the value is over the platform's limit.
+	// ErrTooLarge means that the value exceeds the platform's limit. Nothing was written.
 	ErrTooLarge fault.Const = "store: the value is too large"
-	// ErrOutcomeUnknown says that a write may or may not have taken effect.
+	// ErrOutcomeUnknown means that a write may have taken effect or not.
 	ErrOutcomeUnknown fault.Const = "store: the outcome of the write is not known"
-	// ErrUnavailable says that the platform did not answer, or answered an error,
-	// and nothing was written.
+	// ErrUnavailable means that the platform could not be reached, did not answer a read, or answered
+	// with an error. Nothing was written.
 	ErrUnavailable fault.Const = "store: the platform does not answer"
 )
 
-// MaxValueBytes is the greatest size of a value, in bytes.
+// MaxValueBytes is the maximum size of a value.
 const MaxValueBytes = 1 << 20
 
-// VersionHeader carries an object's version.
+// VersionHeader is the HTTP header that holds the version of an object in responses.
 const VersionHeader = "X-Object-Version"
 
 // Object is a stored value with its version.
 type Object struct {
 	Name string `json:"name"`
-	// Version grows at every write of the object.
+	// Version increases with every write of the object.
 	Version int64  `json:"version"`
 	Value   []byte `json:"value"`
 }
 
-// Listing is a list of objects as the platform sends it.
+// Listing is a list of objects as the platform encodes it in JSON.
 type Listing struct {
 	Items []Object `json:"items"`
 }
 
-// Client reaches an object API. Its fields are seams: tests replace them.
+// Client is a client of an object API. It must be created with New and is safe for concurrent use.
+// Tests replace its functions.
 type Client struct {
-	// Get returns an object or ErrNotFound or ErrUnavailable.
+	// Get returns an object, or ErrNotFound or ErrUnavailable.
 	Get func(ctx context.Context, kind, name string) (Object, error)
-	// Put writes an object if it still has version ifVersion; 0 means that
-	// it must not exist. It returns the new version, or ErrConflict,
-	// ErrTooLarge, ErrUnavailable (nothing written) or ErrOutcomeUnknown.
+	// Put writes an object if its version is ifVersion; 0 means that the object must not exist. It
+	// returns the new version, or ErrConflict, ErrTooLarge, ErrUnavailable (nothing was written) or
+	// ErrOutcomeUnknown.
 	Put func(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error)
-	// List returns the objects of a kind whose names begin with prefix, in
-	// the order of names.
+	// List returns the objects of a kind whose names begin with prefix, in the order of their names,
+	// or ErrUnavailable.
 	List func(ctx context.Context, kind, prefix string) ([]Object, error)
-	// Watch waits until the object has a version other than since and
-	// returns it; ErrUnchanged if the wait ended first, at the deadline of
-	// ctx or earlier.
+	// Watch waits until the object has a version other than since and returns the object. It returns
+	// ErrUnchanged if the platform ends the wait first, at the deadline of ctx or earlier, and
+	// otherwise the errors of Get.
 	Watch func(ctx context.Context, kind, name string, since int64) (Object, error)
-	// Close ends every waiting call.
+	// Close closes all connections, which ends the waiting calls with an error. Later calls fail.
 	Close func()
 }
 
@@ -91,13 +96,17 @@
 	return &Client{Get: h.get, Put: h.put, List: h.list, Watch: h.watch, Close: h.conns.closeAll}
 }
 
-// httpClient is the HTTP form of a Client.
+// httpClient implements the functions of Client and VMs over HTTP.
 type httpClient struct {
+	// base is the scheme and authority of URLs, without a slash at the end.
 	base  string
 	http  *fasthttp.HostClient
 	conns *connSet
 }
 
+// do sends the request that prepare sets up and passes the response to read. Without a response, the
+// error is marked as ErrUnavailable if ctx was done before or no connection could be opened, and as
+// ErrOutcomeUnknown otherwise.
 func (h *httpClient) do(ctx context.Context, prepare func(*fasthttp.Request), read func(*fasthttp.Response) error) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -119,8 +128,8 @@
 	return read(resp)
 }
 
-// retryReads repeats a read once, as a kept connection may have been closed
-// by the platform; a write is never repeated here.
+// retryReads allows one retry of a read, as the platform may have closed an idle connection. A write
+// is never retried, as it may have taken effect.
 func retryReads(req *fasthttp.Request, attempts int, _ error) (resetTimeout, retry bool) {
 	return false, req.Header.IsGet() && attempts < 2
 }
@@ -139,6 +148,8 @@
 	return o, readOnly(err)
 }
 
+// readObject decodes the response to a request for one object. It returns ErrUnavailable if the
+// version is missing or malformed.
 func readObject(resp *fasthttp.Response, name string, o *Object) error {
 	if err := statusError(resp.StatusCode()); err != nil {
 		return err
@@ -151,7 +162,7 @@
 	return nil
 }
 
-// readOnly turns an unknown outcome into ErrUnavailable, as reading changes nothing.
+// readOnly also marks an error that is ErrOutcomeUnknown as ErrUnavailable, as a read has no effect.
 func readOnly(err error) error {
 	if errors.Is(err, ErrOutcomeUnknown) {
 		return errors.Mark(err, ErrUnavailable)
@@ -212,10 +223,11 @@
 	return o, readOnly(err)
 }
 
-// watchMargin is how much earlier than the caller's deadline the platform is
-// asked to end a watch.
+// watchMargin is how long before the deadline of the context the platform is requested to end a
+// watch.
 const watchMargin = 200 * time.Millisecond
 
+// statusError returns the error for the status of a response; nil for success.
 func statusError(status int) error {
 	switch status {
 	case fasthttp.StatusOK, fasthttp.StatusCreated:
--- a/internal/store/conns.go
+++ b/internal/store/conns.go
@@ -14,10 +14,12 @@
 // dialTimeout bounds the opening of a connection.
 const dialTimeout = 2 * time.Second
 
-// connSet knows every open connection, so that waiting calls can be ended.
+// connSet holds all open connections of a client, so that Close can end waiting calls.
 type connSet struct {
-	mu     sync.Mutex
-	open   map[net.Conn]struct{}
+	mu sync.Mutex
+	// open holds connections of type *trackedConn.
+	open map[net.Conn]struct{}
+	// closed is set by closeAll and never reset. Connections dialed afterwards are closed at once.
 	closed bool
 }
 
@@ -49,13 +51,13 @@
 	clear(c.open)
 }
 
-// trackedConn takes itself off its owner's list when it is closed.
+// trackedConn is a connection that removes itself from its set when it is closed.
 type trackedConn struct {
 	net.Conn
 	set *connSet
 }
 
-// Close closes the connection.
+// Close closes the connection and removes it from its set.
 func (k *trackedConn) Close() error {
 	k.set.mu.Lock()
 	delete(k.set.open, k)
--- a/internal/store/vms.go
+++ b/internal/store/vms.go
@@ -23,21 +23,21 @@
 	VMLeaving = "leaving"
 )
 
-// VM is one row of the platform's VM list, which lags.
+// VM is an entry of the platform's VM list. The list may be out of date.
 type VM struct {
 	Name             string `json:"name" yaml:"name"`
 	Role             string `json:"role" yaml:"role"`
 	AvailabilityZone string `json:"availabilityZone" yaml:"availabilityZone"`
 	// Pool names the pool of an endpoint VM.
 	Pool string `json:"pool,omitempty" yaml:"pool,omitempty"`
-	// Link is where the system's process on the VM listens for its peers.
+	// Link is the address at which the traildrift process on the VM listens for its peers.
 	Link  netip.AddrPort `json:"link" yaml:"link"`
 	State string         `json:"state" yaml:"state"`
 }
 
-// VMs reaches the platform's VM list. Its field is a seam.
+// VMs is a client of the platform's VM list. Tests replace its function.
 type VMs struct {
-	// List returns the VMs, or ErrUnavailable.
+	// List returns all VMs, or ErrUnavailable.
 	List func(ctx context.Context) ([]VM, error)
 }
 
@@ -58,6 +58,7 @@
 	return out, readOnly(err)
 }
 
+// readJSON decodes the body of a response. It returns ErrUnavailable if the body is malformed.
 func readJSON(resp *fasthttp.Response, dst any) error {
 	if err := statusError(resp.StatusCode()); err != nil {
 		return err
