--- a/internal/router/bodies.go
+++ b/internal/router/bodies.go
@@ -9,30 +9,31 @@
 	"sync/atomic"
 )
 
-// errBodyBudgetFull says that the bodies under way take all the memory that they may.
-var errBodyBudgetFull = errors.New("router: the bodies of other requests take the memory")
+// errBodyBudgetFull means that the bodies of the current requests exceed the body budget.
+var errBodyBudgetFull = errors.New("router: the memory for request bodies is used up by other requests")
 
-// bodyBudget bounds the memory that the bodyBudget of requests under way take together.
+// bodyBudget bounds the memory that the bodies of all current requests use together.
 type bodyBudget struct {
-	// maxBytes is the bound in bytes; 0 for none.
+	// maxBytes is the bound; 0 for none.
 	maxBytes int64
-	// usedBytes is what is taken; it is never negative.
+	// usedBytes is the sum of the bytes read and not released. It is never negative.
 	usedBytes atomic.Int64
 }
 
-// bodyMemoryPercent is the part of the process's memory, in hundredths, that bodies may
-// take: a body grows by doubling while it is read, and is sent from a copy.
+// bodyMemoryPercent is the percentage of the memory of the process that bodies may use. The buffer of
+// a body doubles as it grows while the body is read, and the body is sent from a copy.
 const bodyMemoryPercent = 20
 
 func newBodyBudget(memoryMB int) *bodyBudget {
 	return &bodyBudget{maxBytes: int64(memoryMB) << 20 * bodyMemoryPercent / 100}
 }
 
-// release gives back what a body of n bytes took.
+// release returns the n bytes of a body to the budget.
 func (b *bodyBudget) release(n int) { b.usedBytes.Add(-int64(n)) }
 
-// reader returns a reader that takes room for what it reads, and fails with
-// errBodiesFull where there is none. What it returned must be freed.
+// reader returns a reader that charges the bytes it reads to the budget, and fails with
+// errBodyBudgetFull once the budget is exceeded. The caller must release all bytes that were read,
+// also after an error.
 func (b *bodyBudget) reader(r io.Reader) io.Reader { return &budgetReader{b, r} }
 
 type budgetReader struct {
@@ -40,7 +41,7 @@
 	r io.Reader
 }
 
-// Read reads and takes room.
+// Read reads from r and charges the bytes to the budget.
 func (h *budgetReader) Read(p []byte) (int, error) {
 	n, err := h.r.Read(p)
 	if held := h.b.usedBytes.Add(int64(n)); h.b.maxBytes > 0 && held > h.b.maxBytes {
--- a/internal/router/bodies_test.go
+++ b/internal/router/bodies_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestBodiesAreBounded(t *testing.T) {
-	b := newBodyBudget(5) // a fifth of 5 MB
+	b := newBodyBudget(5) // the budget is a fifth of 5 MB
 	read := func(mb float64) (int, error) {
 		text, err := io.ReadAll(b.reader(strings.NewReader(strings.Repeat("x", int(mb*(1<<20))))))
 		return len(text), err
@@ -27,10 +27,10 @@
 	b.release(m)
 	b.release(n)
 	if n, err = read(0.75); err != nil {
-		t.Errorf("body after the others were freed: got %v, want none", err)
+		t.Errorf("body after the others were released: got %v, want none", err)
 	}
 	b.release(n)
 	if got := b.usedBytes.Load(); got != 0 {
-		t.Errorf("held at the end: got %d, want 0", got)
+		t.Errorf("bytes used at the end: got %d, want 0", got)
 	}
 }
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// defaultMaxHeaderBytes, headerWithin and idleWithin hold until the configuration
-	// says otherwise.
+	// defaultMaxHeaderBytes, defaultHeaderTimeout and defaultIdleTimeout apply if the configuration
+	// sets no value.
 	defaultMaxHeaderBytes = 64 << 10
 	defaultHeaderTimeout  = config.Span(5 * time.Second)
 	defaultIdleTimeout    = config.Span(60 * time.Second)
-	// bodyReadTimeout bounds the reading of a body.
+	// bodyReadTimeout bounds the time in which a body is read.
 	bodyReadTimeout = config.Span(10 * time.Second)
-	// bodyRetryAfter is when a caller comes back whose body found no room, in
-	// seconds.
+	// bodyRetryAfter is the Retry-After value, in seconds, of the response to a request whose body
+	// exceeds the body budget.
 	bodyRetryAfter = "0.5"
-	// defaultMaxBodyBytes bounds a body where the configuration does not, in bytes.
+	// defaultMaxBodyBytes bounds a body if the configuration does not.
 	defaultMaxBodyBytes = 8 << 20
 )
 
-// newCallers returns the callers' server with the bounds of the configuration in
-// force; they stay until the process ends.
+// newCallers returns the HTTP server for callers, with the bounds of the configuration in force. The
+// bounds do not change until the process ends.
 func (r *Router) newCallers(ctx context.Context) *http.Server {
 	b := r.Engine.Bounds()
 	if b.MaxHeader == 0 {
@@ -55,12 +55,12 @@
 	}
 }
 
-// serveCaller reads a request and hands it to the core.
+// serveCaller reads the body of a request and passes the request to the engine.
 func (r *Router) serveCaller(w http.ResponseWriter, q *http.Request) {
 	now, boot := r.Engine.Now(), r.Engine.Boot()
 	body, status, err := r.readBody(w, q)
 	if err != nil {
-		r.Log.Info("router: A body could not be read.", zap.String("path", q.URL.Path), zap.Int("status", status), logs.Err(err))
+		r.Log.Info("router: The body of a request could not be read.", zap.String("path", q.URL.Path), zap.Int("status", status), logs.Err(err))
 		w.Header().Set("Connection", "close")
 		if status == http.StatusServiceUnavailable {
 			w.Header().Set("Retry-After", bodyRetryAfter)
@@ -74,8 +74,8 @@
 	r.Engine.Serve(q.Context(), w, request)
 }
 
-// readBody reads the body of a request, or returns the status that tells what is
-// wrong with it.
+// readBody reads the body of a request and charges it to the body budget; serveCaller releases it.
+// If it fails, it returns the HTTP status for the response.
 func (r *Router) readBody(w http.ResponseWriter, q *http.Request) ([]byte, int, error) {
 	if q.ContentLength == 0 {
 		return nil, 0, nil
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// configWatchTimeout is how long a watch of the configuration waits. Its answers
-	// prove that the table is current: at this wait the proof is at most 1 s
-	// old at a router that asks the store.
+	// configWatchTimeout bounds a watch of the configuration. Each answer confirms that the table is
+	// current. With this timeout the confirmation is at most 1 s old at a router that calls the store.
 	configWatchTimeout = config.Span(500 * time.Millisecond)
-	// endpointWait, trialWait, verdictWait and closingWatchTimeout are as long as a lost connection to the
-	// store may go unnoticed: bounds hold again 3 s after a cut has healed, and the closing
-	// of a zone, which has 5 s, comes 4 s after its connection fell silent at the latest.
+	// closingWatchTimeout, endpointWatchTimeout, trialWatchTimeout and verdictWatchTimeout limit how
+	// long the loss of a connection to the store may stay undetected. Bounds hold again 3 s after a
+	// network partition has healed. The closing of an availability zone, which must take effect
+	// within 5 s, is received at most 4 s after the connection stopped working.
 	closingWatchTimeout  = config.Span(2500 * time.Millisecond)
 	endpointWatchTimeout = config.Span(2500 * time.Millisecond)
 	trialWatchTimeout    = config.Span(2500 * time.Millisecond)
 	verdictWatchTimeout  = config.Span(2500 * time.Millisecond)
-	// routerWatchTimeout may be long, as nothing breaks for want of a peer.
+	// routerWatchTimeout may be long, as no bound depends on peers becoming known early.
 	routerWatchTimeout = config.Span(8 * time.Second)
-	// changeBatchDelay gathers changes that come together, as when a fleet starts;
-	// leaving endpoints have to be left within 2 s.
+	// changeBatchDelay lets one call return many changes that come together, as at the start of a
+	// fleet. It must stay short, as endpoints that leave must get no requests after 2 s.
 	changeBatchDelay = config.Span(150 * time.Millisecond)
 )
 
-// follow keeps the mirror in step with the store, directly or through peers.
-// Endpoints come after roll-outs, closed availability zones and quarantined requests, so that
-// none gets requests before it is known that it may.
+// follow starts the tasks that keep the mirror current, from the store and from peers, and those that
+// write to the store. Endpoints are read after roll-outs, closed availability zones and quarantined
+// requests, so that no endpoint gets a request before it is known that it may.
 func (r *Router) follow(ctx context.Context) {
 	w := r.wire
 	for _, f := range []struct {
@@ -63,8 +63,8 @@
 	r.tasks.Go(ctx, "verdicts", r.storeVerdicts)
 }
 
-// awaitTurn returns a function that waits until the store should be asked for a kind:
-// not before other kinds are known.
+// awaitTurn returns a function for Follower.AwaitTurn that waits until this router should call the
+// store for a kind, and not before the kinds in after have been listed.
 func (r *Router) awaitTurn(kind string, after ...string) func(ctx context.Context) bool {
 	unknown := func(kind string) bool { return r.mirror.Revision(kind) < 0 }
 	return func(ctx context.Context) bool {
@@ -75,7 +75,8 @@
 	}
 }
 
-// applyChange hands a change to whom it concerns.
+// applyChange decodes a change of a stored object and passes it to the engine or the fleet. An object
+// that cannot be decoded is logged and ignored.
 func (r *Router) applyChange(kind string, c mirror.Change) {
 	var err error
 	switch kind {
@@ -93,12 +94,13 @@
 		err = r.applyRouter(c)
 	}
 	if err != nil {
-		// What is known of the object stays.
+		// The previous state of the object stays in force.
 		r.Log.Error("router: A stored object could not be decoded.", zap.String("kind", kind), zap.String("name", c.Name),
 			zap.Int64("revision", c.Revision), logs.Err(err))
 	}
 }
 
+// applyTable puts a configuration in force. The removal of the object changes nothing.
 func (r *Router) applyTable(c mirror.Change) error {
 	if c.Removed {
 		return nil
@@ -112,6 +114,7 @@
 	return nil
 }
 
+// applyTrial passes a roll-out to the engine.
 func (r *Router) applyTrial(c mirror.Change) error {
 	if c.Removed {
 		r.Engine.DropTrial(c.Name, c.Revision)
@@ -124,6 +127,7 @@
 	return err
 }
 
+// applyClosing closes or reopens the availability zone that the object is named after.
 func (r *Router) applyClosing(c mirror.Change) {
 	if c.Removed {
 		r.Engine.OpenZone(c.Name, c.Revision)
@@ -132,6 +136,7 @@
 	}
 }
 
+// applyEndpoint passes an endpoint to the engine. A removed one is kept until LapsesAt.
 func (r *Router) applyEndpoint(c mirror.Change) error {
 	if c.Removed {
 		r.Engine.DropEndpoint(c.Name, c.Revision, c.LapsesAt)
@@ -144,6 +149,7 @@
 	return err
 }
 
+// applyRouter passes the registration of a router to the fleet.
 func (r *Router) applyRouter(c mirror.Change) error {
 	if c.Removed {
 		r.fleet.Remove(c.Name)
@@ -154,7 +160,7 @@
 		return err
 	}
 	if c.Name == r.settings.VM && !r.isOwnRegistration(p) {
-		// An earlier life of this router left it behind.
+		// An earlier process of this VM left the registration behind.
 		r.fleet.Remove(c.Name)
 		return nil
 	}
@@ -163,18 +169,19 @@
 }
 
 const (
-	// dependencyPollInterval is how often a follower looks whether what it waits for is known.
+	// dependencyPollInterval is the interval at which a follower checks whether the kinds that it
+	// waits for have been listed.
 	dependencyPollInterval = config.Span(20 * time.Millisecond)
-	// registrationCheckInterval is how often a router looks whether it is still registered, and
-	// registerFirst and registerMost bound the pauses between tries that fail, which
-	// double.
+	// registrationCheckInterval is the interval at which a router checks whether it is still
+	// registered. minRegisterBackoff and maxRegisterBackoff bound the pause after a failed
+	// registration, which doubles with each failure.
 	registrationCheckInterval = config.Span(2 * time.Second)
 	minRegisterBackoff        = config.Span(100 * time.Millisecond)
 	maxRegisterBackoff        = config.Span(800 * time.Millisecond)
 )
 
-// register keeps this router registered until ctx is done, makes it known to some peers, and
-// removes peers that have been silent for long.
+// register registers this router whenever it is not registered, until ctx is done, and removes the
+// registrations of peers that have been silent for long.
 func (r *Router) register(ctx context.Context) error {
 	pause := minRegisterBackoff
 	for ctx.Err() == nil {
@@ -184,7 +191,7 @@
 			continue
 		}
 		if err := r.joinFleet(ctx); err != nil {
-			r.Log.Warn("router: The registration failed.", logs.Err(err))
+			r.Log.Warn("router: The registration in the store failed; retrying.", logs.Err(err))
 			tasks.Pause(ctx, pause.After(time.Now()))
 			pause = min(2*pause, maxRegisterBackoff)
 		}
@@ -192,11 +199,13 @@
 	return nil
 }
 
-// firstStartDelay is how long a router of a fleet that starts for the first time waits for the
-// others to register: VMs start within 0.3 s of each other, and callers come seconds later.
+// firstStartDelay is how long a router of a fleet that starts for the first time waits for the other
+// routers to register. VMs start within 0.3 s of each other, and the first requests arrive seconds
+// later.
 const firstStartDelay = config.Span(500 * time.Millisecond)
 
-// joinFleet registers this router and takes over the peers around it.
+// joinFleet registers this router, adds its neighbours to the fleet and requests from peers what a
+// starting router needs.
 func (r *Router) joinFleet(ctx context.Context) error {
 	p, err := r.wire.Register(ctx, r.registration())
 	if err != nil {
@@ -225,17 +234,18 @@
 	return nil
 }
 
-// registration returns this router's registration.
+// registration returns the registration of this router.
 func (r *Router) registration() peers.Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.self
 }
 
-// isOwnRegistration reports whether a registration of this VM is this router's.
+// isOwnRegistration reports whether a registration of this VM is that of this process.
 func (r *Router) isOwnRegistration(p peers.Peer) bool { return p.Token == r.registration().Token }
 
-// removeSilentPeers removes peers that have been silent for long; the first routers do that for all.
+// removeSilentPeers removes the registrations of peers that have been silent for long. Only the routers
+// that call the store for the fleet do so.
 func (r *Router) removeSilentPeers(ctx context.Context) {
 	if !r.fleet.Asker(time.Now()) {
 		return
@@ -244,8 +254,8 @@
 		err := r.wire.Unregister(ctx, p)
 		r.Log.Info("router: A silent peer's registration was removed.", zap.String("peer", p.Name), zap.Int64("revision", p.Revision), logs.Err(err))
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
-			// A router that is cut off from all hears nobody: the others stay in its list, or
-			// it would take the shares of all for its own.
+			// A router that is cut off from all others receives nothing from them. It must keep them
+			// in its list, or it would use their shares of the bounds as its own.
 			continue
 		}
 		r.fleet.Remove(p.Name)
--- a/internal/router/notices.go
+++ b/internal/router/notices.go
@@ -12,8 +12,8 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// connectNotices connects what the engine knows of what endpoints said with what routers tell one
-// another.
+// connectNotices connects the engine's notices of endpoints (their limits, and that they are leaving)
+// with the exchange of notices between routers.
 func (r *Router) connectNotices(notes *peers.Notes) {
 	e := r.Engine
 	notes.OnNotice = func(by netip.Addr, n peers.Notice) { e.HeardNotice(by, relayNotice(n)) }
@@ -36,7 +36,7 @@
 	}
 }
 
-// peerNotice returns what an endpoint said as it is told to other routers.
+// peerNotice returns the notice of an endpoint as it is sent to other routers.
 func peerNotice(w relay.NoticeWord) peers.Notice {
 	return peers.Notice{
 		Endpoint: w.Endpoint, Life: w.Life, Limit: uint8(w.Limit), PerSecond: w.PerSecond, Leaving: w.Leaving,
@@ -44,7 +44,7 @@
 	}
 }
 
-// relayNotice returns what another router told of an endpoint.
+// relayNotice returns the notice of an endpoint that was received from another router.
 func relayNotice(n peers.Notice) relay.NoticeWord {
 	said := pool.Notice{Limit: pool.LimitWord(n.Limit), PerSecond: n.PerSecond, Leaving: n.Leaving}
 	return relay.NoticeWord{
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -19,19 +19,20 @@
 )
 
 const (
-	// verdictCheckInterval is how often a router looks whether a verdict is to be stored: the store
-	// keeps them for fleets that are killed at once.
+	// verdictCheckInterval is the interval at which a router checks whether a verdict has to be
+	// stored. Stored verdicts survive if all routers of a fleet are killed at once.
 	verdictCheckInterval = config.Span(250 * time.Millisecond)
-	// verdictRankDelay is how long the next router in rank leaves that to the one before: a slow
-	// store takes half a second. A router that is cut off from it is one of few.
+	// verdictRankDelay is how long a router waits for each router that precedes it in rank to store
+	// a verdict. A slow store takes half a second to answer. Only few routers are cut off from the
+	// store at a time.
 	verdictRankDelay = 800 * time.Millisecond
-	// verdictRetryDelay is how long a router waits after a call that failed, unless the store was
-	// heard of sooner: each call is priced, and all are told each second meanwhile. A router
-	// that starts just then reads the store at once.
+	// verdictRetryDelay is the pause after a failed call, unless the store answers any router sooner.
+	// Each call costs money, and all routers receive the verdict from other routers every second in
+	// the meantime. A router that starts in that time reads the store at once.
 	verdictRetryDelay = config.Span(2 * time.Second)
 )
 
-// applyVerdict takes over a quarantine that was stored or removed.
+// applyVerdict passes a quarantine that was stored or removed to the engine.
 func (r *Router) applyVerdict(c mirror.Change) error {
 	if c.Removed {
 		p, err := poison.ParseFingerprint(c.Name)
@@ -47,10 +48,10 @@
 	return err
 }
 
-// Alone reports whether no other router hears of what this one learns but from the store.
+// Alone reports whether other routers receive the state of this one only through the store.
 func (r *Router) Alone() bool { return r.asker.Alone(time.Now()) }
 
-// storeVerdicts stores what the store lacks of quarantined requests until ctx is done.
+// storeVerdicts writes verdicts on quarantined requests that the store lacks, until ctx is done.
 func (r *Router) storeVerdicts(ctx context.Context) error {
 	var failedAt time.Time
 	for ctx.Err() == nil {
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// storeNext stores one quarantine, if one is to be, and returns when that failed; zero if it
-// did not.
+// storeNext stores one quarantine, if one is due. It returns the time of a failure; the zero time if
+// there was none.
 func (r *Router) storeNext(ctx context.Context) (failedAt time.Time) {
 	v := r.Engine.Unstored(verdictRankDelay)
 	if v == nil {
@@ -78,7 +79,7 @@
 	return time.Time{}
 }
 
-// storeVerdict stores a quarantine, or removes one that was lifted or is forgotten.
+// storeVerdict stores a quarantine, or removes it from the store if it was lifted or has expired.
 func (r *Router) storeVerdict(ctx context.Context, v poison.Verdict) error {
 	if !v.InForce() {
 		if err := r.wire.RemoveVerdict(ctx, v.Fingerprint); err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -16,12 +16,12 @@
 	"github.com/traildrift/traildrift/internal/proc"
 )
 
-// settingsPollInterval is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPollInterval is the interval at which the modification time of the settings file is
+// checked, as the file may change without a signal.
 const settingsPollInterval = 2 * time.Second
 
-// watchSettings takes over the settings file when it changes. Listeners stay as
-// they are until the process starts again.
+// watchSettings reloads the settings file when it changes and on SIGHUP, until ctx is done. Changes
+// of the listeners take effect only when the process restarts.
 func (r *Router) watchSettings(ctx context.Context) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -45,7 +45,7 @@
 	}
 }
 
-// modTime returns when a file was written; zero if that cannot be told.
+// modTime returns the modification time of a file; the zero time if it cannot be read.
 func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -54,11 +54,12 @@
 	return info.ModTime()
 }
 
-// reload reads the settings again; wrong ones change nothing.
+// reload reads the settings file and puts its limits in force. It ignores an invalid file. why is the
+// cause of the reload, for the log.
 func (r *Router) reload(why string) {
 	var s Settings
 	if err := proc.Load(r.file, &s); err != nil {
-		r.Log.Error("router: The settings are wrong; the old ones stay.", zap.String("why", why), logs.Err(err))
+		r.Log.Error("router: The settings file is invalid; the previous settings stay in force.", zap.String("why", why), logs.Err(err))
 		return
 	}
 	s.fill()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -31,7 +31,7 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// Router is one router process. Use New.
+// Router is one router process. It must be created with New.
 type Router struct {
 	Engine   *relay.Engine
 	Log      *zap.Logger
@@ -48,25 +48,27 @@
 	notes    *peers.Notes
 	traffic  peers.Traffic
 	bodies   *bodyBudget
-	// duties is nil where the platform asks for none.
+	// duties is nil if the settings name no duty that a router performs.
 	duties *duties
+	// secret is shared with peers through the registration.
 	secret peers.Secret
-	// mu guards self, this router's registration.
+	// mu guards self, the registration of this router.
 	mu   sync.Mutex
 	self peers.Peer
-	// stopping says that a planned stop was asked for; it never goes back.
+	// stopping is set when a planned stop begins, and never reset.
 	stopping atomic.Bool
-	// lastReady is what the balancer was told last.
+	// lastReady is the result of the last readiness check by the balancer.
 	lastReady atomic.Bool
-	// caller, ready, peer and metrics are the listeners; metrics is nil
-	// without a setting.
+	// caller, ready, peer and metrics are the listeners. metrics is nil if the settings name no
+	// address for it.
 	caller, ready, peer, metrics net.Listener
-	// configured is closed once a configuration is in force.
+	// configured is closed, by configOnce, once a configuration is in force.
 	configured chan struct{}
 	configOnce sync.Once
 }
 
-// New opens the listeners of the router that a settings file describes.
+// New returns a router with the settings s, which were read from file, and opens its listeners. The
+// error is that of a listener or of the socket for messages between routers.
 func New(file string, s Settings, w *Wire) (*Router, error) {
 	s.fill()
 	log, lines := logs.NewAsync(os.Stdout, s.LogLevel)
@@ -121,7 +123,7 @@
 	return r, nil
 }
 
-// listen opens the listeners.
+// listen opens the listeners for which the settings name an address.
 func (r *Router) listen() error {
 	s := &r.settings
 	for _, l := range []struct {
@@ -140,8 +142,8 @@
 	return nil
 }
 
-// senders returns the routers that share endpoints which warm up; changed is false if they
-// are the same as in generation have, or not known yet.
+// senders returns the routers that share the load limit of endpoints that warm up. changed is false
+// if they are the same as in the generation have, or are not known yet.
 func (r *Router) senders(have uint64) (s pool.Senders, generation uint64, changed bool) {
 	if r.mirror.Revision(r.wire.RouterKind) < 0 || r.fleet.Generation() == have {
 		return s, have, false
@@ -150,21 +152,22 @@
 	return s, generation, true
 }
 
-// recordStoreCall tells of a call to the store: each is priced.
+// recordStoreCall logs and counts a call to the store, as each call costs money.
 func (r *Router) recordStoreCall(c StoreCall) {
 	r.Log.Info("store: A call has ended.", zap.String("verb", string(c.Verb)), zap.String("kind", c.Kind), zap.Int("status", c.Status),
 		zap.Int64("tookMs", c.Ended.Sub(c.Sent).Milliseconds()))
 	r.admin.Scope.Tagged(map[string]string{"verb": string(c.Verb), "kind": c.Kind, "status": strconv.Itoa(c.Status)}).Counter("store_calls").Inc(1)
 }
 
-// millicoresPerCore of a processor core are the unit of a registered VM's ability.
+// millicoresPerCore converts processor cores to thousandths, the unit of peers.Peer.Ability.
 const millicoresPerCore = 1000
 
-// memoryLimitPercent is the part of the memory, in hundredths, from which on the
-// collector works harder; the rest is for what the kernel holds of connections.
+// memoryLimitPercent is the percentage of Settings.MemoryMB above which the garbage collector runs
+// more often. The rest is for the memory that the kernel uses for connections.
 const memoryLimitPercent = 70
 
-// Main runs the router that a settings file describes, until a signal ends it.
+// Main runs a router with the settings in a file until a signal ends it. wire returns the protocols of
+// the platform for the settings. Main returns errors of the settings file and of New.
 func Main(ctx context.Context, file string, wire func(s *Settings) *Wire) error {
 	var s Settings
 	if err := proc.Load(file, &s); err != nil {
@@ -179,11 +182,12 @@
 	return r.Run(stages)
 }
 
-// stopMargin is how long before it is killed a stopping router breaks off what
-// is left.
+// stopMargin is how long before Settings.StopWithin has passed a stopping router aborts the requests
+// that are left.
 const stopMargin = config.Span(300 * time.Millisecond)
 
-// Run serves until the stages end it.
+// Run serves requests until stages.Stop is done, and then stops as planned; once stages.Kill is done, it
+// aborts the requests that are left. It always returns nil.
 func (r *Router) Run(stages proc.Stages) error {
 	ctx, end := context.WithCancel(stages.Kill)
 	defer end()
@@ -221,15 +225,17 @@
 }
 
 const (
-	// headerReadTimeout bounds the reading of a plain head, idleReady the rest of a
-	// balancer's connection, which asks once a second.
+	// headerReadTimeout bounds the time in which the header of a request to the readiness or peer
+	// listener is read. idleConnTimeout is how long an idle connection to these is kept; the balancer
+	// sends a request once a second.
 	headerReadTimeout = 3 * time.Second
 	idleConnTimeout   = 30 * time.Second
-	// configWaitTimeout is how long callers' connections wait for the configuration,
-	// whose bounds their server takes over, before they are answered without.
+	// configWaitTimeout is how long connections of callers wait for the configuration before they are
+	// served without one. The server for callers takes its bounds from the configuration.
 	configWaitTimeout = config.Span(500 * time.Millisecond)
 )
 
+// awaitConfig blocks until a configuration is in force, configWaitTimeout has passed or ctx is done.
 func (r *Router) awaitConfig(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(ctx, configWaitTimeout.After(time.Now()))
 	defer cancel()
@@ -239,7 +245,8 @@
 	}
 }
 
-// serveReady tells the balancer whether new connections are welcome.
+// serveReady answers the readiness check of the balancer: 200 if the router accepts new connections,
+// otherwise 503 with the reason as text.
 func (r *Router) serveReady(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path != r.wire.ReadyPath {
 		http.NotFound(w, q)
@@ -257,16 +264,18 @@
 }
 
 const (
-	// balancerDrainDelay is how long after the signal a stopping router still gets new
-	// connections: the balancer asks each second and gives up after two
+	// balancerDrainDelay is how long after the signal a stopping router still gets new connections.
+	// The balancer checks the readiness every second and removes the router after two negative
 	// answers.
 	balancerDrainDelay = config.Span(3 * time.Second)
-	// drainPollInterval is how often a stopping router looks whether all are answered.
+	// drainPollInterval is the interval at which a stopping router checks whether all requests have
+	// been answered.
 	drainPollInterval = config.Span(20 * time.Millisecond)
 )
 
-// stop ends a router as planned: not ready, every answer the last on its
-// connection, all answered; what is left at the end is broken off.
+// stop performs a planned stop. The router reports that it is not ready, closes each connection after
+// the current response, and waits until all requests are answered or kill is done. Requests that are
+// left then are aborted.
 func (r *Router) stop(kill context.Context) {
 	r.stopping.Store(true)
 	r.fleet.Leave()
@@ -276,25 +285,26 @@
 	r.Engine.Stop((r.settings.StopWithin - stopMargin).After(time.Now()))
 	r.Log.Info("router: Stopping.", zap.Int64("underWay", r.Engine.Under()))
 	if err := r.wire.Unregister(kill, r.unconditional()); err != nil {
-		r.Log.Warn("router: The registration could not be removed.", logs.Err(err))
+		r.Log.Warn("router: The registration could not be removed from the store.", logs.Err(err))
 	}
 	tasks.Pause(kill, balancerDrainDelay.After(time.Now()))
 	for kill.Err() == nil && r.Engine.Under() > 0 {
 		tasks.Pause(kill, drainPollInterval.After(time.Now()))
 	}
 	if err := r.callers.Shutdown(kill); err != nil {
-		r.Log.Warn("router: Requests were broken off.", zap.Int64("underWay", r.Engine.Under()), logs.Err(err))
+		r.Log.Warn("router: Requests were aborted, as the time for the stop has passed.", zap.Int64("underWay", r.Engine.Under()), logs.Err(err))
 	}
 }
 
-// unconditional is this router's registration, whatever its revision.
+// unconditional returns the registration of this router without its revision, so that Wire.Unregister
+// removes it in any case.
 func (r *Router) unconditional() peers.Peer {
 	p := r.registration()
 	p.Revision = 0
 	return p
 }
 
-// close ends the listeners and waits for every goroutine.
+// close closes the listeners and waits until all tasks have ended.
 func (r *Router) close(servers ...*http.Server) {
 	_ = r.callers.Close()
 	for _, s := range servers {
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -14,7 +14,7 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// Settings are the process settings of a router.
+// Settings are the process settings of a router, as read from its settings file.
 type Settings struct {
 	VM               string            `yaml:"vm" doc:"Name of the VM."`
 	AvailabilityZone string            `yaml:"availabilityZone" doc:"Availability zone of the VM."`
@@ -51,30 +51,30 @@
 }
 
 const (
-	// defaultStraight and defaultStep gave the best mean worth of eight pairs: see
-	// docs/design/platform.md. How far they hold depends on the time that a larger
-	// model takes, which the cascade weighs in.
+	// defaultStraight and defaultStep have the best mean worth of eight pairs of values; see
+	// docs/design/platform.md. The result depends on the time that a larger model takes, which the
+	// cascade takes into account.
 	defaultStraight = 40
 	defaultStep     = 60
-	// defaultExposeShare and defaultExposeSlack are the users'.
+	// defaultExposeShare and defaultExposeSlack are the bounds required by operators.
 	defaultExposeShare = 0.15
 	defaultExposeSlack = 30
-	// defaultTokenWorth is the geometric mean over the streams of two of the users; by all
-	// sheets 1,000 tokens earn 0.13 to 0.48. Half or twice as much changed the worth of 24
-	// plays by less than their noise of 0.006.
+	// defaultTokenWorth is the geometric mean over the streams of two operators. By the price lists
+	// of all operators 1,000 tokens earn 0.13 to 0.48. Half or twice the value changes the worth of
+	// 24 simulated workloads by less than their noise of 0.006.
 	defaultTokenWorth = 0.35
-	// defaultWarmOverage and defaultWarmSlack are the users'.
+	// defaultWarmOverage and defaultWarmSlack are the bounds required by operators.
 	defaultWarmOverage = 1.5
 	defaultWarmSlack   = 5
-	// defaultConfigWithin is the users'.
+	// defaultConfigWithin is the time required by operators.
 	defaultConfigWithin = config.Span(2 * time.Second)
-	// defaultDutyLease is the users'.
+	// defaultDutyLease is the time required by operators.
 	defaultDutyLease = config.Span(3 * time.Second)
-	// defaultRetryWindow is the users'.
+	// defaultRetryWindow is the time required by operators.
 	defaultRetryWindow = config.Span(10 * time.Second)
 )
 
-// Check reports each key that is wrong, with what is allowed.
+// Check calls report for each key with an invalid value, with a message that states the valid ones.
 func (s *Settings) Check(report func(key, message string)) {
 	for _, c := range []struct{ key, name string }{{"vm", s.VM}, {"availabilityZone", s.AvailabilityZone}} {
 		if c.name == "" {
@@ -99,7 +99,7 @@
 	}
 }
 
-// checkMechanisms checks the ways of deciding.
+// checkMechanisms checks the keys that select and disable mechanisms.
 func (s *Settings) checkMechanisms(report func(key, message string)) {
 	switch s.Cascade {
 	case "", relay.CascadeFixed, relay.CascadeWorth:
@@ -113,13 +113,13 @@
 	}
 }
 
-// dutyUsage names the duty of reporting usage.
+// dutyUsage is the value of Settings.Duties for reports of usage.
 const dutyUsage = "usage"
 
-// reportsUsage reports whether usage is to be reported.
+// reportsUsage reports whether the duties include reports of usage.
 func (s *Settings) reportsUsage() bool { return slices.Contains(s.Duties, dutyUsage) }
 
-// checkDuties checks what the duties of one VM need.
+// checkDuties checks the keys that the duties require.
 func (s *Settings) checkDuties(report func(key, message string)) {
 	if !s.reportsUsage() {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// checkLimits checks times and numbers.
+// checkLimits checks the ranges of times and numbers.
 func (s *Settings) checkLimits(report func(key, message string)) {
 	if s.StopWithin <= 0 {
 		report("stopWithin", "a time over 0s is required")
@@ -161,7 +161,7 @@
 	}
 }
 
-// fill sets what was left out.
+// fill sets the defaults of keys that were left out.
 func (s *Settings) fill() {
 	if s.Straight == 0 && s.Step == 0 {
 		s.Straight, s.Step = defaultStraight, defaultStep
@@ -195,7 +195,7 @@
 	}
 }
 
-// limits are the settings that may change while the process runs.
+// limits returns the settings that may change while the process runs.
 func (s *Settings) limits() relay.Limits {
 	return relay.Limits{
 		Zone:         s.AvailabilityZone,
--- a/internal/router/wire.go
+++ b/internal/router/wire.go
@@ -16,64 +16,67 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// Wire is what is spoken on a platform, decoded. Its functions are seams.
+// Wire implements the protocols of a platform: it encodes and decodes objects and requests, and makes
+// the calls. The platform package sets its fields; tests replace its functions.
 type Wire struct {
-	// Source reads the store, WriteTrial stores a step of a roll-out.
+	// Source reads the store, and WriteTrial stores a step of a roll-out.
 	Source     mirror.Source
 	WriteTrial func(ctx context.Context, t roll.Trial) error
-	// ConfigKind, EndpointKind, TrialKind, ClosingKind, VerdictKind and RouterKind are the
-	// kinds to follow. An object of ClosingKind closes the availability zone of its name;
-	// one of VerdictKind quarantines the request whose print is its name.
+	// ConfigKind, EndpointKind, TrialKind, ClosingKind, VerdictKind and RouterKind are the kinds of
+	// stored objects to follow. An object of ClosingKind closes the availability zone that it is
+	// named after. An object of VerdictKind quarantines the request whose fingerprint is its name.
 	ConfigKind, EndpointKind, TrialKind, ClosingKind, VerdictKind, RouterKind string
-	// Register stores the registration of a router and returns the one that stands, which
-	// may be of an earlier life of its VM.
+	// Register stores the registration of a router and returns the stored one, which may be that of
+	// an earlier process of the VM.
 	Register func(ctx context.Context, p peers.Peer) (peers.Peer, error)
-	// Unregister removes a registration unless it was renewed since.
+	// Unregister removes a registration unless it was renewed since its Revision; revision 0 removes
+	// it in any case. The error is store.ErrNotFound if there is none.
 	Unregister func(ctx context.Context, p peers.Peer) error
-	// Neighbours returns some registered routers, those around a name.
+	// Neighbours returns some of the registered routers, those whose names are next to name.
 	Neighbours func(ctx context.Context, name string) ([]peers.Peer, error)
 	// Peer decodes a registration.
 	Peer func(o mirror.Object) (peers.Peer, error)
-	// Table decodes the configuration; it returns nil for an object that is
-	// not one.
+	// Table decodes the configuration. It returns nil for an object that is not a configuration.
 	Table func(o mirror.Object) (*relay.Table, error)
-	// Endpoint decodes an endpoint, word of which came at now.
+	// Endpoint decodes an endpoint whose object was received at now.
 	Endpoint func(o mirror.Object, now time.Time) (pool.Entry, error)
-	// Trial decodes a roll-out; its times lie around now.
+	// Trial decodes a roll-out, whose stored times are converted to times relative to now.
 	Trial func(o mirror.Object, now time.Time) (roll.Trial, error)
-	// Verdict decodes a quarantine; its times lie around now. WriteVerdict stores one and
-	// returns the one that stands, which may be of a later round; RemoveVerdict removes it.
+	// Verdict decodes a quarantine, whose stored times are converted to times relative to now.
+	// WriteVerdict stores one and returns the stored one, which may be of a later round.
+	// RemoveVerdict removes one; the error is store.ErrNotFound if there is none.
 	Verdict       func(o mirror.Object, now time.Time) (poison.Verdict, error)
 	WriteVerdict  func(ctx context.Context, v poison.Verdict, now time.Time) (poison.Verdict, error)
 	RemoveVerdict func(ctx context.Context, p poison.Fingerprint) error
-	// Request decodes a caller's request, whose body was read.
+	// Request decodes a caller's request, whose body has been read.
 	Request func(r *http.Request, body []byte, now time.Time) *relay.Request
-	// Send makes an attempt.
+	// Send makes an attempt at an endpoint.
 	Send relay.Send
-	// Gone reports whether an endpoint has ended.
+	// Gone reports whether the process of an endpoint has ended.
 	Gone relay.Gone
-	// Duties is what is spoken of the duties of one VM at a time.
+	// Duties makes the calls for the duties that one VM at a time performs.
 	Duties DutyWire
-	// ReadyPath is where the balancer asks.
+	// ReadyPath is the URL path of the balancer's readiness check.
 	ReadyPath string
-	// OnStoreCall sets what is called for each call to the store that has ended.
+	// OnStoreCall sets the function that is called after each call to the store. It must be called
+	// before the first call to the store.
 	OnStoreCall func(fn func(StoreCall))
 }
 
-// StoreCall is a call to the store that has ended.
+// StoreCall describes a call to the store that has ended.
 type StoreCall struct {
 	Verb StoreVerb
-	// Kind is the kind of the objects.
+	// Kind is the kind of the requested objects.
 	Kind string
-	// Status is that of the answer; 0 for none.
+	// Status is the HTTP status of the response; 0 if there was none.
 	Status      int
 	Sent, Ended time.Time
 }
 
-// StoreVerb is what a call to the store does.
+// StoreVerb is the operation of a call to the store.
 type StoreVerb string
 
-// The calls. A list takes one call for each page.
+// The operations. A list takes one call for each page.
 const (
 	StoreList    StoreVerb = "list"
 	StoreRead    StoreVerb = "read"
@@ -81,6 +84,6 @@
 	StoreCreate  StoreVerb = "create"
 	StoreReplace StoreVerb = "replace"
 	StoreRemove  StoreVerb = "remove"
-	// DutyReport is no call to the store, but priced and told of like one.
+	// DutyReport is not a call to the store, but costs money and is logged like one.
 	DutyReport StoreVerb = "report"
 )
