--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -23,31 +23,37 @@
 )
 
 const (
-	// dutyPollInterval is how often a router looks what is to be done of the duties.
+	// dutyPollInterval is the interval at which a router checks whether an action for the duties or a
+	// report to another router is due.
 	dutyPollInterval = config.Span(100 * time.Millisecond)
-	// dutyCallTimeout bounds a call to the store about them; a slow store takes half a second.
+	// dutyCallTimeout bounds a call to the store for the duties. A slow store takes half a second to
+	// answer.
 	dutyCallTimeout = config.Span(time.Second)
-	// storeReachableWindow is how old word of the store may be for it to be called.
+	// storeReachableWindow is the maximum time since the last confirmation of the configuration for
+	// the store to count as reachable.
 	storeReachableWindow = 2500 * time.Millisecond
 )
 
-// DutyWire is what the platform speaks of the duties of one VM at a time, decoded.
+// DutyWire makes the calls to the platform for the duties that one VM at a time performs. The platform
+// package sets its fields; tests replace its functions.
 type DutyWire struct {
-	// Read returns the stored record, or store.ErrNotFound.
+	// Read returns the stored record, or store.ErrNotFound if there is none.
 	Read func(ctx context.Context) (duty.Record, error)
-	// Write stores a record on the revision that it names, or where there is none on revision
-	// 0, and returns it; with store.ErrConflict the one that stands. After a creation the
-	// revision is not known.
+	// Write replaces the stored record of the revision r.Revision, or creates the record if the
+	// revision is 0, and returns the new one. With store.ErrConflict it returns the stored record
+	// instead. After a creation the revision of the returned record is not known.
 	Write func(ctx context.Context, r duty.Record) (duty.Record, error)
-	// Report sends the usage of a window under a holder's name and fence.
+	// Report sends the usage of a window to the platform, with the name of the holder's VM and its
+	// fencing token. The error is ErrRefused if the platform does not accept it from this holder.
 	Report func(ctx context.Context, vm string, fence int64, r duty.Report) error
 }
 
-// ErrRefused says that the platform does not take a call from this holder.
+// ErrRefused means that the platform does not accept a call from this holder of the duties.
 var ErrRefused = errors.New("router: the platform refuses the holder of the duties")
 
-// duties is what a router does of the duties of one VM at a time: it counts the usage of
-// workspaces, tells it to the holder, and reports it where it is the holder itself.
+// duties performs the part of a router in the duties of one VM at a time. It counts the requests of
+// workspaces by windows, sends the counts to the holder of the duties and its standbys, and reports
+// the sums to the platform while this router is the holder. It is safe for concurrent use.
 type duties struct {
 	log     *zap.Logger
 	scope   tally.Scope
@@ -55,31 +61,35 @@
 	fleet   *peers.Fleet
 	notes   *peers.Notes
 	windows usage.Clock
-	// dueAfter is how long after its end a window's report is due.
+	// dueAfter is how long after the end of a window its report is due at the platform.
 	dueAfter config.Span
 	self     usage.Reporter
-	// clock tells the true time; its own hand is that of the machine, as it counts suspensions.
+	// clock estimates the true time. Its local time is used for the machine, as it advances during
+	// suspensions of the VM.
 	clock *clock.MedianClock
-	// storeReachable reports whether the store was heard of lately.
+	// storeReachable reports whether the store has answered this router or a peer lately.
 	storeReachable func() bool
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	counter *usage.Counter
 	machine *duty.Machine
-	// sentEnds holds what other routers were sentEnds of windows.
+	// sentEnds holds the final reports that were sent, by receiver and window.
 	sentEnds map[sentEndKey]*sentEnd
-	// lastSentAt is when the window under way was told of last.
+	// lastSentAt is when the counts of the current window were last sent; the zero time to send them
+	// at once.
 	lastSentAt time.Time
-	// stopping says that this router stopping, and counts nothing any more once it has told so.
+	// stopping is set when this router stops, and never reset. Reports of the current window are then
+	// final, as this router counts no more requests.
 	stopping bool
-	// loggedSettled is the newest window whose settling was logged: it is tried again while the
-	// store does not take it.
+	// loggedSettled is the newest window whose settlement was logged. A window is settled again as
+	// long as the store does not accept the record, but logged once.
 	loggedSettled usage.Window
-	// loggedRecord is the record whose holder was loggedRecord last.
+	// loggedRecord is the record whose holder was last logged.
 	loggedRecord duty.Record
 }
 
-// newDuties returns the duties of a router; nil if the platform asks for none.
+// newDuties returns the duties of a router and connects them with its engine and notes; nil if the
+// settings name no duty that a router performs.
 func newDuties(r *Router, incarnation uint64) *duties {
 	s := &r.settings
 	if !s.reportsUsage() {
@@ -97,7 +107,7 @@
 	return d
 }
 
-// run does what is to be done of the duties until ctx is done.
+// run performs the actions that the machine requests, until ctx is done.
 func (d *duties) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		d.step(ctx)
@@ -106,7 +116,7 @@
 	return nil
 }
 
-// stop leaves the duties to others, and tells them.
+// stop resigns from the duties. The counts of the current window are sent at once, as final.
 func (d *duties) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +124,7 @@
 	d.stopping, d.lastSentAt = true, time.Time{}
 }
 
-// step does one thing, if one is to be done.
+// step performs the next action of the machine, if one is due.
 func (d *duties) step(ctx context.Context) {
 	now := d.clock.Local()
 	d.mu.Lock()
@@ -132,7 +142,7 @@
 	d.logAction(a, o, err)
 }
 
-// view returns what the machine needs to know; mu is held.
+// view returns the state that the machine depends on. The caller holds mu.
 func (d *duties) view(now time.Time) duty.View {
 	rec, _ := d.machine.Record()
 	v := duty.View{Rank: d.fleet.Before(time.Now(), rec.Holder), Peers: d.fleet.Len() - 1, StoreReachable: d.storeReachable(), Window: d.windows.At(d.clock.Now())}
@@ -142,7 +152,8 @@
 	return v
 }
 
-// perform carries out an action.
+// perform makes the call of an action. It returns its outcome, the record that the store returned, and
+// the error, for the log. The deadline of Send is that of the action.
 func (d *duties) perform(ctx context.Context, a duty.Action) (duty.Outcome, duty.Record, error) {
 	until := dutyCallTimeout.After(time.Now())
 	if a.Kind == duty.Send {
@@ -163,7 +174,7 @@
 	return callOutcome(err), r, err
 }
 
-// callOutcome returns what an error says of a call.
+// callOutcome returns the outcome of a call that returned err.
 func callOutcome(err error) duty.Outcome {
 	switch {
 	case err == nil:
@@ -181,7 +192,8 @@
 	}
 }
 
-// logHolder tells when the duties have another holder; mu is held.
+// logHolder logs the holder of the duties whenever it changes. A new holder sends its counts, and with
+// them its gossip, at once. The caller holds mu.
 func (d *duties) logHolder(now time.Time) {
 	rec, known := d.machine.Record()
 	if !known || rec.Holder == d.loggedRecord.Holder && rec.Incarnation == d.loggedRecord.Incarnation {
@@ -189,14 +201,14 @@
 	}
 	d.loggedRecord = rec
 	if d.machine.Holds(now) {
-		// The next in rank would take it for absent.
+		// The next router in rank would otherwise regard the holder as absent.
 		d.lastSentAt = time.Time{}
 	}
 	d.log.Info("router: The duties of one VM have a holder.", zap.String("holder", rec.Holder), zap.Int64("revision", rec.Revision),
 		zap.Bool("self", d.machine.Holds(now)), zap.Strings("past", rec.PastHolders), zap.Int64("settled", int64(rec.Settled)), zap.Int("unsent", len(rec.Unsent)))
 }
 
-// logAction tells what became of an action.
+// logAction logs and counts an action that was performed.
 func (d *duties) logAction(a duty.Action, o duty.Outcome, err error) {
 	d.scope.Tagged(map[string]string{"action": string(a.Kind), "outcome": string(o)}).Counter("actions").Inc(1)
 	fields := []zap.Field{zap.String("outcome", string(o)), logs.Err(err)}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -50,7 +50,7 @@
 	bodies   *bodyBudget
 	// duties is nil if the settings name no duty that a router performs.
 	duties *duties
-	// secret is shared with peers through the registration.
+	// secret is the token of this router, which is part of its registration and authenticates peers.
 	secret peers.Secret
 	// mu guards self, the registration of this router.
 	mu   sync.Mutex
@@ -159,7 +159,8 @@
 	r.admin.Scope.Tagged(map[string]string{"verb": string(c.Verb), "kind": c.Kind, "status": strconv.Itoa(c.Status)}).Counter("store_calls").Inc(1)
 }
 
-// millicoresPerCore converts processor cores to thousandths, the unit of peers.Peer.Ability.
+// millicoresPerCore converts processor cores to thousandths of a core, the unit in which a
+// registration states what the VM can bear.
 const millicoresPerCore = 1000
 
 // memoryLimitPercent is the percentage of Settings.MemoryMB above which the garbage collector runs
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -59,9 +59,9 @@
 	// defaultExposeShare and defaultExposeSlack are the bounds required by operators.
 	defaultExposeShare = 0.15
 	defaultExposeSlack = 30
-	// defaultTokenWorth is the geometric mean over the streams of two operators. By the price lists
-	// of all operators 1,000 tokens earn 0.13 to 0.48. Half or twice the value changes the worth of
-	// 24 simulated workloads by less than their noise of 0.006.
+	// defaultTokenWorth is the geometric mean over the traffic of two operators. Over the data of all
+	// operators, 1,000 tokens earn 0.13 to 0.48. Half or twice the value changes the worth of 24
+	// simulated workloads by less than their noise of 0.006.
 	defaultTokenWorth = 0.35
 	// defaultWarmOverage and defaultWarmSlack are the bounds required by operators.
 	defaultWarmOverage = 1.5
--- a/internal/router/usage.go
+++ b/internal/router/usage.go
@@ -19,55 +19,60 @@
 )
 
 const (
-	// finalizeDelay is how long after a window's end what was sent in it may still be counted in
-	// it: answers of what is not a stream come within that.
+	// finalizeDelay is how long after the end of a window requests that were sent in it may still be
+	// counted in it. Requests are counted once an endpoint has answered, which takes less than this
+	// time for all but streams; streams count in the window of their first event.
 	finalizeDelay = config.Span(300 * time.Millisecond)
-	// finalizeStagger is how much later each router of a fleet tells the end of a window than the one
-	// before, so that the hearers' links bear it.
+	// finalizeStagger is the delay between the final reports of two routers of a fleet, so that the
+	// links of the receivers are not overloaded.
 	finalizeStagger = 4 * time.Millisecond
-	// resendInterval is how long a router waits for the answer to the end of a window.
+	// resendInterval is how long a router waits for the answer to a final report before it sends the
+	// report again.
 	resendInterval = config.Span(500 * time.Millisecond)
-	// minSendInterval is how often a router tells of the window under way, and toldPerSecond how many
-	// such reports each hearer gets at most: larger fleets tell more seldom.
+	// minSendInterval is the minimum interval at which a router sends its counts of the current window.
+	// maxReportsPerSecond is the maximum number of such reports that a receiver gets from the fleet;
+	// in larger fleets each router therefore sends less often.
 	minSendInterval     = time.Second
 	maxReportsPerSecond = 32
-	// standbys is how many routers hear what the holder hears, to take its place.
+	// standbys is the number of routers that receive the same reports as the holder, so that they can
+	// replace it.
 	standbys = 2
-	// settleFraction is the part of the time for a report after which it does without routers that
-	// have not told, and settleLast where most have not.
+	// settleFraction is the part of duties.dueAfter after which a window is settled without the
+	// routers whose final reports are missing. lateSettleFraction applies if most of them are missing.
 	settleFraction     = 0.4
 	lateSettleFraction = 0.7
-	// maxWindowsBack is how many windows back a new holder reports.
+	// maxWindowsBack is the number of past windows that a new holder reports.
 	maxWindowsBack = 16
 )
 
-// sentEndKey names what a router is told of.
+// sentEndKey identifies a final report by its receiver and window.
 type sentEndKey struct {
 	router string
 	window usage.Window
 }
 
-// sentEnd is how far a router was told of a window that has ended.
+// sentEnd is the state of a final report.
 type sentEnd struct {
-	// lastSentAt is when it was told last; complete says that it has answered that it knows all.
+	// lastSentAt is when the report was last sent, by the local clock. acknowledged is set once the
+	// receiver has answered that it has all counts.
 	lastSentAt   time.Time
 	acknowledged bool
 }
 
-// countRequest counts a request that countRequest to run at a time.
+// countRequest counts a request of a workspace that began to run at the time at.
 func (d *duties) countRequest(workspace string, at time.Time) {
 	now := d.clock.Now()
 	w := d.windows.At(now.Add(-max(time.Since(at), 0)))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !now.Before(finalizeDelay.After(d.windows.End(w))) {
-		// The end of its window was told.
+		// The final report of the window may have been sent; the request counts in the current one.
 		w = d.windows.At(now)
 	}
 	d.counter.Add(d.self, w, workspace)
 }
 
-// sendReports tells other routers of usage until ctx is done.
+// sendReports sends usage reports to other routers until ctx is done.
 func (d *duties) sendReports(ctx context.Context) error {
 	for ctx.Err() == nil {
 		d.sendDue()
@@ -76,7 +81,8 @@
 	return nil
 }
 
-// sendDue tells what is due.
+// sendDue sends the reports that are due: those of the current window at sendInterval, and the final
+// reports of past windows until they are acknowledged or dueAfter has passed.
 func (d *duties) sendDue() {
 	d.mu.Lock()
 	type sending struct {
@@ -89,13 +95,13 @@
 	d.counter.Expire(current)
 	d.logHolder(own)
 	targets := d.targets()
-	running := !own.Before(d.lastSentAt.Add(d.sendInterval()))
-	if running {
+	sendCurrent := !own.Before(d.lastSentAt.Add(d.sendInterval()))
+	if sendCurrent {
 		d.lastSentAt = own
 	}
 	for w := current; w > current-maxWindowsBack && now.Before(d.dueAfter.After(d.windows.End(w))); w-- {
 		for _, p := range targets {
-			if w < current && d.claimEndSend(sentEndKey{p.Name, w}, now, own) || w == current && running {
+			if w < current && d.claimEndSend(sentEndKey{p.Name, w}, now, own) || w == current && sendCurrent {
 				report := peers.UsageReport{Report: d.counter.Report(d.self, w, w < current || d.stopping), Word: d.machine.Gossip(own), Clock: own}
 				due = append(due, sending{report, p})
 			}
@@ -108,8 +114,8 @@
 	}
 }
 
-// targets returns the routers that hear of usage: the holder and those that would follow it; mu
-// is held.
+// targets returns the routers that receive usage reports: the holder and the standbys. The caller holds
+// mu.
 func (d *duties) targets() []peers.Peer {
 	list := d.fleet.Firsts(time.Now(), standbys)
 	rec, known := d.machine.Record()
@@ -123,7 +129,8 @@
 	return list
 }
 
-// sendInterval returns how long after telling of the window under way a router does so again.
+// sendInterval returns the interval at which this router sends its counts of the current window. It is
+// minSendInterval for the first routers in rank, whatever the size of the fleet.
 func (d *duties) sendInterval() time.Duration {
 	if d.fleet.Before(time.Now(), "") <= standbys {
 		return minSendInterval
@@ -131,8 +138,8 @@
 	return max(minSendInterval, time.Duration(d.fleet.Len())*time.Second/maxReportsPerSecond)
 }
 
-// claimEndSend reports whether a router is to be told the end of a window now, and notes that it is;
-// mu is held.
+// claimEndSend reports whether a final report is to be sent now, and if so records that it is sent. The
+// caller holds mu.
 func (d *duties) claimEndSend(k sentEndKey, now, own time.Time) bool {
 	stagger := time.Duration(pool.HashOf(d.self.Router)%uint64(max(d.fleet.Len(), 1))) * finalizeStagger
 	if now.Before(finalizeDelay.After(d.windows.End(k.window)).Add(stagger)) {
@@ -150,7 +157,8 @@
 	return true
 }
 
-// expireSentEnds forgets what was told of windows that are over; mu is held.
+// expireSentEnds removes the state of the final reports of windows that are no longer reported. The
+// caller holds mu.
 func (d *duties) expireSentEnds(current usage.Window) {
 	for k := range d.sentEnds {
 		if k.window <= current-maxWindowsBack {
@@ -159,7 +167,8 @@
 	}
 }
 
-// receiveReport takes over the report of another router.
+// receiveReport merges the usage report of another router, and returns the answer to it. It always
+// returns true.
 func (d *duties) receiveReport(r peers.UsageReport) (peers.UsageAnswer, bool) {
 	d.clock.Observe(r.Reporter.Router, r.Clock)
 	now, own := d.clock.Now(), d.clock.Local()
@@ -172,7 +181,7 @@
 	}, true
 }
 
-// receiveAnswer takes over the answer of another router.
+// receiveAnswer processes the answer of another router to a usage report.
 func (d *duties) receiveAnswer(a peers.UsageAnswer) {
 	d.clock.Observe(a.Router, a.Clock)
 	d.mu.Lock()
@@ -183,7 +192,8 @@
 	}
 }
 
-// ready returns the reports of the windows before current that may be settled; mu is held.
+// ready returns the reports of the windows before current that may be settled, in the order of windows.
+// The caller holds mu.
 func (d *duties) ready(current usage.Window) (list []duty.Report) {
 	now, first := d.clock.Now(), max(d.machine.Settled()+1, current-maxWindowsBack+1)
 	ended := func(w usage.Window) bool { return w < current && !now.Before(finalizeDelay.After(d.windows.End(w))) }
@@ -215,5 +225,5 @@
 	return list
 }
 
-// maxLoggedRouters bounds the routers that a log line names.
+// maxLoggedRouters is the maximum number of routers named in a log line.
 const maxLoggedRouters = 8
