--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -95,12 +95,12 @@
 	if !s.reportsUsage() {
 		return nil
 	}
-	common := clock.NewMedianClock(r.Engine.Boot, time.Now())
+	trueClock := clock.NewMedianClock(r.Engine.Boot, time.Now())
 	d := &duties{
 		log: r.Log, scope: r.admin.Scope.SubScope("duties"), wire: r.wire.Duties, fleet: r.fleet, notes: r.notes,
-		windows: usage.Clock{Length: s.UsageWindow}, dueAfter: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: incarnation}, clock: common,
+		windows: usage.Clock{Length: s.UsageWindow}, dueAfter: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: incarnation}, clock: trueClock,
 		storeReachable: func() bool { return time.Since(r.mirror.ConfirmedAt(r.wire.ConfigKind)) <= storeReachableWindow },
-		counter:        usage.NewCounter(), machine: duty.New(s.VM, incarnation, s.DutyLease, common.Local()), sentEnds: make(map[sentEndKey]*sentEnd),
+		counter:        usage.NewCounter(), machine: duty.New(s.VM, incarnation, s.DutyLease, trueClock.Local()), sentEnds: make(map[sentEndKey]*sentEnd),
 	}
 	r.Engine.Began = d.countRequest
 	r.notes.OnUsage, r.notes.OnUsageAnswer = d.receiveReport, d.receiveAnswer
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -62,7 +62,7 @@
 		r.Log.Error("router: The settings file is invalid; the previous settings stay in force.", zap.String("why", why), logs.Err(err))
 		return
 	}
-	s.fill()
+	s.setDefaults()
 	r.Engine.SetLimits(s.limits())
 	r.Log.Info("router: The settings were read again.", zap.String("why", why), zap.Any("limits", s.limits()))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -70,7 +70,7 @@
 // New returns a router with the settings s, which were read from file, and opens its listeners. The
 // error is that of a listener or of the socket for messages between routers.
 func New(file string, s Settings, w *Wire) (*Router, error) {
-	s.fill()
+	s.setDefaults()
 	log, lines := logs.NewAsync(os.Stdout, s.LogLevel)
 	assert.SetLogger(log)
 	r := &Router{Log: log, file: file, settings: s, wire: w, lines: lines, configured: make(chan struct{})}
@@ -204,14 +204,14 @@
 		r.tasks.Go(ctx, "duties", r.duties.run)
 		r.tasks.Go(ctx, "usage", r.duties.sendReports)
 	}
-	answers := peers.NewServer(r.Log, r.mirror, r.wire.ConfigKind, &r.secret)
-	answers.Traffic, answers.OnStarting, answers.Verdicts = &r.traffic, r.asker.Want, r.Engine.ForStarting
-	answers.Age = r.Engine.Age
+	peerHandler := peers.NewServer(r.Log, r.mirror, r.wire.ConfigKind, &r.secret)
+	peerHandler.Traffic, peerHandler.OnStarting, peerHandler.Verdicts = &r.traffic, r.asker.Want, r.Engine.ForStarting
+	peerHandler.Age = r.Engine.Age
 	r.tasks.Go(ctx, "traffic", func(ctx context.Context) error { return r.traffic.Run(ctx, r.Log) })
-	shared := &http.Server{Handler: answers, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout, ErrorLog: logs.NewStdLog(r.Log, "peers")}
-	r.tasks.Go(ctx, "answers to peers", func(context.Context) error { return shared.Serve(r.peer) })
-	readiness := &http.Server{Handler: http.HandlerFunc(r.serveReady), ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout}
-	r.tasks.Go(ctx, "readiness", func(context.Context) error { return readiness.Serve(r.ready) })
+	peerServer := &http.Server{Handler: peerHandler, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout, ErrorLog: logs.NewStdLog(r.Log, "peers")}
+	r.tasks.Go(ctx, "answers to peers", func(context.Context) error { return peerServer.Serve(r.peer) })
+	readinessServer := &http.Server{Handler: http.HandlerFunc(r.serveReady), ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout}
+	r.tasks.Go(ctx, "readiness", func(context.Context) error { return readinessServer.Serve(r.ready) })
 	if r.metrics != nil {
 		r.tasks.Go(ctx, "metrics", func(context.Context) error { return r.admin.Serve(r.metrics) })
 	}
@@ -221,7 +221,7 @@
 	<-stages.Stop.Done()
 	r.stop(stages.Kill)
 	end()
-	r.close(readiness, shared)
+	r.close(readinessServer, peerServer)
 	return nil
 }
 
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// fill sets the defaults of keys that were left out.
-func (s *Settings) fill() {
+// setDefaults sets the defaults of keys that were left out.
+func (s *Settings) setDefaults() {
 	if s.Straight == 0 && s.Step == 0 {
 		s.Straight, s.Step = defaultStraight, defaultStep
 	}
--- a/internal/router/usage.go
+++ b/internal/router/usage.go
@@ -90,19 +90,19 @@
 		to     peers.Peer
 	}
 	var due []sending
-	now, own := d.clock.Now(), d.clock.Local()
+	now, local := d.clock.Now(), d.clock.Local()
 	current := d.windows.At(now)
 	d.counter.Expire(current)
-	d.logHolder(own)
+	d.logHolder(local)
 	targets := d.targets()
-	sendCurrent := !own.Before(d.lastSentAt.Add(d.sendInterval()))
+	sendCurrent := !local.Before(d.lastSentAt.Add(d.sendInterval()))
 	if sendCurrent {
-		d.lastSentAt = own
+		d.lastSentAt = local
 	}
 	for w := current; w > current-maxWindowsBack && now.Before(d.dueAfter.After(d.windows.End(w))); w-- {
 		for _, p := range targets {
-			if w < current && d.claimEndSend(sentEndKey{p.Name, w}, now, own) || w == current && sendCurrent {
-				report := peers.UsageReport{Report: d.counter.Report(d.self, w, w < current || d.stopping), Word: d.machine.Gossip(own), Clock: own}
+			if w < current && d.claimEndSend(sentEndKey{p.Name, w}, now, local) || w == current && sendCurrent {
+				report := peers.UsageReport{Report: d.counter.Report(d.self, w, w < current || d.stopping), Word: d.machine.Gossip(local), Clock: local}
 				due = append(due, sending{report, p})
 			}
 		}
@@ -140,7 +140,7 @@
 
 // claimEndSend reports whether a final report is to be sent now, and if so records that it is sent. The
 // caller holds mu.
-func (d *duties) claimEndSend(k sentEndKey, now, own time.Time) bool {
+func (d *duties) claimEndSend(k sentEndKey, now, local time.Time) bool {
 	stagger := time.Duration(pool.HashOf(d.self.Router)%uint64(max(d.fleet.Len(), 1))) * finalizeStagger
 	if now.Before(finalizeDelay.After(d.windows.End(k.window)).Add(stagger)) {
 		return false
@@ -150,10 +150,10 @@
 		t = new(sentEnd)
 		d.sentEnds[k] = t
 	}
-	if t.acknowledged || own.Before(resendInterval.After(t.lastSentAt)) {
+	if t.acknowledged || local.Before(resendInterval.After(t.lastSentAt)) {
 		return false
 	}
-	t.lastSentAt = own
+	t.lastSentAt = local
 	return true
 }
 
@@ -171,13 +171,13 @@
 // returns true.
 func (d *duties) receiveReport(r peers.UsageReport) (peers.UsageAnswer, bool) {
 	d.clock.Observe(r.Reporter.Router, r.Clock)
-	now, own := d.clock.Now(), d.clock.Local()
+	now, local := d.clock.Now(), d.clock.Local()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counter.Merge(r.Report, d.windows.At(now))
-	d.machine.ReceiveGossip(own, r.Reporter.Router, r.Word)
+	d.machine.ReceiveGossip(local, r.Reporter.Router, r.Word)
 	return peers.UsageAnswer{
-		Router: d.self.Router, Life: r.Reporter.Incarnation, Window: r.Window, Complete: d.counter.Complete(r.Reporter, r.Window), Word: d.machine.Gossip(own), Clock: now,
+		Router: d.self.Router, Life: r.Reporter.Incarnation, Window: r.Window, Complete: d.counter.Complete(r.Reporter, r.Window), Word: d.machine.Gossip(local), Clock: now,
 	}, true
 }
 
