--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -86,7 +86,7 @@
 	resp := pullResponse{Kinds: make(map[string]kindChanges), HeldMs: now.Sub(receivedAt).Milliseconds()}
 	for kind, revision := range req.Have {
 		if d, ok := s.Mirror.Since(kind, revision); ok {
-			resp.Kinds[kind] = encodeDelta(kind, d, s.Age(d.ProvenAt, now), now, &s.cache, req.AcceptsCompressed)
+			resp.Kinds[kind] = encodeDelta(kind, d, s.Age(d.ConfirmedAt, now), now, &s.cache, req.AcceptsCompressed)
 		}
 	}
 	if req.hasNothing() {
@@ -115,10 +115,10 @@
 func (s *Server) hold(ctx context.Context, req *pullRequest, receivedAt time.Time) {
 	until := receivedAt.Add(min(time.Duration(req.WaitMs)*time.Millisecond, maxHold))
 	if req.AwaitFresh {
-		s.Mirror.AwaitProof(ctx, s.FreshnessKind, receivedAt.Add(-time.Duration(staleAfter)), until)
+		s.Mirror.AwaitConfirmation(ctx, s.FreshnessKind, receivedAt.Add(-time.Duration(staleAfter)), until)
 		return
 	}
-	proven, maxAge := s.Mirror.Proven(s.FreshnessKind), staleAfter
+	proven, maxAge := s.Mirror.ConfirmedAt(s.FreshnessKind), staleAfter
 	if req.FromRelay {
 		maxAge = relayStaleAfter
 	}
@@ -126,8 +126,8 @@
 		until = aged
 	}
 	if req.FromRelay {
-		s.Mirror.AwaitNews(ctx, req.Have, s.FreshnessKind, proven, until)
+		s.Mirror.AwaitChangeOrConfirmation(ctx, req.Have, s.FreshnessKind, proven, until)
 		return
 	}
-	s.Mirror.Await(ctx, req.Have, until)
+	s.Mirror.AwaitChange(ctx, req.Have, until)
 }
--- a/internal/peers/storeread.go
+++ b/internal/peers/storeread.go
@@ -49,7 +49,7 @@
 // storeReachable reports whether this router or its sources reached the store within
 // storeLostAfter.
 func (pl *Puller) storeReachable(now time.Time) bool {
-	return now.Sub(pl.Mirror.Proven(pl.FreshnessKind)) <= storeLostAfter
+	return now.Sub(pl.Mirror.ConfirmedAt(pl.FreshnessKind)) <= storeLostAfter
 }
 
 // Isolated reports whether this router has found no fresh peer for otherKindsDelay although the
--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -23,31 +23,37 @@
 )
 
 const (
-	// dutyPoll is how often a router looks what is to be done of the duties.
-	dutyPoll = config.Span(100 * time.Millisecond)
-	// dutyCall bounds a call to the store about them; a slow store takes half a second.
-	dutyCall = config.Span(time.Second)
-	// reachedWithin is how old word of the store may be for it to be called.
-	reachedWithin = 2500 * time.Millisecond
+	// dutyPollInterval is the interval at which a router checks whether an action for the duties or a
+	// report to another router is due.
+	dutyPollInterval = config.Span(100 * time.Millisecond)
+	// dutyCallTimeout bounds a call to the store for the duties. A slow store takes half a second to
+	// answer.
+	dutyCallTimeout = config.Span(time.Second)
+	// storeReachableWindow is the maximum time since the last confirmation of the configuration for
+	// the store to count as reachable.
+	storeReachableWindow = 2500 * time.Millisecond
 )
 
-// DutyWire is what the platform speaks of the duties of one VM at a time, decoded.
+// DutyWire makes the calls to the platform for the duties that one VM at a time performs. The platform
+// package sets its fields; tests replace its functions.
 type DutyWire struct {
-	// Read returns the stored record, or store.ErrNotFound.
+	// Read returns the stored record, or store.ErrNotFound if there is none.
 	Read func(ctx context.Context) (duty.Record, error)
-	// Write stores a record on the revision that it names, or where there is none on revision
-	// 0, and returns it; with store.ErrConflict the one that stands. After a creation the
-	// revision is not known.
+	// Write replaces the stored record of the revision r.Revision, or creates the record if the
+	// revision is 0, and returns the new one. With store.ErrConflict it returns the stored record
+	// instead. After a creation the revision of the returned record is not known.
 	Write func(ctx context.Context, r duty.Record) (duty.Record, error)
-	// Report sends the usage of a window under a holder's name and fence.
+	// Report sends the usage of a window to the platform, with the name of the holder's VM and its
+	// fencing token. The error is ErrRefused if the platform does not accept it from this holder.
 	Report func(ctx context.Context, vm string, fence int64, r duty.Report) error
 }
 
-// ErrRefused says that the platform does not take a call from this holder.
+// ErrRefused means that the platform does not accept a call from this holder of the duties.
 var ErrRefused = errors.New("router: the platform refuses the holder of the duties")
 
-// duties is what a router does of the duties of one VM at a time: it counts the usage of
-// workspaces, tells it to the holder, and reports it where it is the holder itself.
+// duties performs the part of a router in the duties of one VM at a time. It counts the requests of
+// workspaces by windows, sends the counts to the holder of the duties and its standbys, and reports
+// the sums to the platform while this router is the holder. It is safe for concurrent use.
 type duties struct {
 	log     *zap.Logger
 	scope   tally.Scope
@@ -55,66 +61,70 @@
 	fleet   *peers.Fleet
 	notes   *peers.Transport
 	windows usage.Clock
-	// late is how long after its end a window's report is due.
-	late config.Span
-	self usage.Reporter
-	// clock tells the true time; its own hand is that of the machine, as it counts suspensions.
+	// dueAfter is how long after the end of a window its report is due at the platform.
+	dueAfter config.Span
+	self     usage.Reporter
+	// clock estimates the true time. Its local time is used for the machine, as it advances during
+	// suspensions of the VM.
 	clock *clock.MedianClock
-	// reachable reports whether the store was heard of lately.
-	reachable func() bool
-	// mu guards what follows.
+	// storeReachable reports whether the store has answered this router or a peer lately.
+	storeReachable func() bool
+	// mu guards the fields below.
 	mu      sync.Mutex
-	book    *usage.Counter
+	counter *usage.Counter
 	machine *duty.Machine
-	// told holds what other routers were told of windows.
-	told map[tellKey]*telling
-	// toldAt is when the window under way was told of last.
-	toldAt time.Time
-	// stops says that this router stops, and counts nothing any more once it has told so.
-	stops bool
-	// toldSettled is the newest window whose settling was logged: it is tried again while the
-	// store does not take it.
-	toldSettled usage.Window
-	// logged is the record whose holder was logged last.
-	logged duty.Record
+	// sentEnds holds the final reports that were sent, by receiver and window.
+	sentEnds map[sentEndKey]*sentEnd
+	// lastSentAt is when the counts of the current window were last sent; the zero time to send them
+	// at once.
+	lastSentAt time.Time
+	// stopping is set when this router stops, and never reset. Reports of the current window are then
+	// final, as this router counts no more requests.
+	stopping bool
+	// loggedSettled is the newest window whose settlement was logged. A window is settled again as
+	// long as the store does not accept the record, but logged once.
+	loggedSettled usage.Window
+	// loggedRecord is the record whose holder was last logged.
+	loggedRecord duty.Record
 }
 
-// newDuties returns the duties of a router; nil if the platform asks for none.
-func newDuties(r *Router, life uint64) *duties {
+// newDuties returns the duties of a router and connects them with its engine and notes; nil if the
+// settings name no duty that a router performs.
+func newDuties(r *Router, incarnation uint64) *duties {
 	s := &r.settings
 	if !s.reportsUsage() {
 		return nil
 	}
-	common := clock.NewMedianClock(r.Engine.Boot, time.Now())
+	trueClock := clock.NewMedianClock(r.Engine.Boot, time.Now())
 	d := &duties{
 		log: r.Log, scope: r.admin.Scope.SubScope("duties"), wire: r.wire.Duties, fleet: r.fleet, notes: r.notes,
-		windows: usage.Clock{Length: s.UsageWindow}, late: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: life}, clock: common,
-		reachable: func() bool { return time.Since(r.mirror.Proven(r.wire.ConfigKind)) <= reachedWithin },
-		book:      usage.NewCounter(), machine: duty.New(s.VM, life, s.DutyLease, common.Local()), told: make(map[tellKey]*telling),
+		windows: usage.Clock{Length: s.UsageWindow}, dueAfter: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: incarnation}, clock: trueClock,
+		storeReachable: func() bool { return time.Since(r.mirror.ConfirmedAt(r.wire.ConfigKind)) <= storeReachableWindow },
+		counter:        usage.NewCounter(), machine: duty.New(s.VM, incarnation, s.DutyLease, trueClock.Local()), sentEnds: make(map[sentEndKey]*sentEnd),
 	}
-	r.Engine.OnRequestStarted = d.began
-	r.notes.OnUsageReport, r.notes.OnUsageAck = d.heard, d.answered
+	r.Engine.OnRequestStarted = d.countRequest
+	r.notes.OnUsageReport, r.notes.OnUsageAck = d.receiveReport, d.receiveAnswer
 	return d
 }
 
-// run does what is to be done of the duties until ctx is done.
+// run performs the actions that the machine requests, until ctx is done.
 func (d *duties) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		d.step(ctx)
-		tasks.Pause(ctx, dutyPoll.After(time.Now()))
+		tasks.Pause(ctx, dutyPollInterval.After(time.Now()))
 	}
 	return nil
 }
 
-// stop leaves the duties to others, and tells them.
+// stop resigns from the duties. The counts of the current window are sent at once, as final.
 func (d *duties) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.machine.Stop()
-	d.stops, d.toldAt = true, time.Time{}
+	d.stopping, d.lastSentAt = true, time.Time{}
 }
 
-// step does one thing, if one is to be done.
+// step performs the next action of the machine, if one is due.
 func (d *duties) step(ctx context.Context) {
 	now := d.clock.Local()
 	d.mu.Lock()
@@ -123,28 +133,29 @@
 	if a.Kind == duty.Nothing {
 		return
 	}
-	o, r, err := d.do(ctx, a)
+	o, r, err := d.perform(ctx, a)
 	now = d.clock.Local()
 	d.mu.Lock()
 	d.machine.Done(now, a, o, r)
 	d.logHolder(now)
 	d.mu.Unlock()
-	d.logDone(a, o, err)
+	d.logAction(a, o, err)
 }
 
-// view returns what the machine needs to know; mu is held.
+// view returns the state that the machine depends on. The caller holds mu.
 func (d *duties) view(now time.Time) duty.View {
 	rec, _ := d.machine.Record()
-	v := duty.View{Rank: d.fleet.RankExcept(time.Now(), rec.Holder), Peers: d.fleet.Len() - 1, StoreReachable: d.reachable(), Window: d.windows.At(d.clock.Now())}
+	v := duty.View{Rank: d.fleet.RankExcept(time.Now(), rec.Holder), Peers: d.fleet.Len() - 1, StoreReachable: d.storeReachable(), Window: d.windows.At(d.clock.Now())}
 	if d.machine.Holds(now) {
 		v.Ready = d.ready(v.Window)
 	}
 	return v
 }
 
-// do carries out an action.
-func (d *duties) do(ctx context.Context, a duty.Action) (duty.Outcome, duty.Record, error) {
-	until := dutyCall.After(time.Now())
+// perform makes the call of an action. It returns its outcome, the record that the store returned, and
+// the error, for the log. The deadline of Send is that of the action.
+func (d *duties) perform(ctx context.Context, a duty.Action) (duty.Outcome, duty.Record, error) {
+	until := dutyCallTimeout.After(time.Now())
 	if a.Kind == duty.Send {
 		until = time.Now().Add(a.Deadline.Sub(d.clock.Local()))
 	}
@@ -160,11 +171,11 @@
 	default:
 		r, err = d.wire.Write(ctx, a.Record)
 	}
-	return outcomeOf(err), r, err
+	return callOutcome(err), r, err
 }
 
-// outcomeOf returns what an error says of a call.
-func outcomeOf(err error) duty.Outcome {
+// callOutcome returns the outcome of a call that returned err.
+func callOutcome(err error) duty.Outcome {
 	switch {
 	case err == nil:
 		return duty.Done
@@ -174,30 +185,31 @@
 		return duty.Missing
 	case errors.Is(err, ErrRefused):
 		return duty.Refused
-	case errors.Is(err, store.ErrDown):
+	case errors.Is(err, store.ErrUnavailable):
 		return duty.Failed
 	default:
 		return duty.Unknown
 	}
 }
 
-// logHolder tells when the duties have another holder; mu is held.
+// logHolder logs the holder of the duties whenever it changes. A new holder sends its counts, and with
+// them its gossip, at once. The caller holds mu.
 func (d *duties) logHolder(now time.Time) {
 	rec, known := d.machine.Record()
-	if !known || rec.Holder == d.logged.Holder && rec.Incarnation == d.logged.Incarnation {
+	if !known || rec.Holder == d.loggedRecord.Holder && rec.Incarnation == d.loggedRecord.Incarnation {
 		return
 	}
-	d.logged = rec
+	d.loggedRecord = rec
 	if d.machine.Holds(now) {
-		// The next in rank would take it for absent.
-		d.toldAt = time.Time{}
+		// The next router in rank would otherwise regard the holder as absent.
+		d.lastSentAt = time.Time{}
 	}
 	d.log.Info("router: The duties of one VM have a holder.", zap.String("holder", rec.Holder), zap.Int64("revision", rec.Revision),
 		zap.Bool("self", d.machine.Holds(now)), zap.Strings("past", rec.PastHolders), zap.Int64("settled", int64(rec.Settled)), zap.Int("unsent", len(rec.Unsent)))
 }
 
-// logDone tells what became of an action.
-func (d *duties) logDone(a duty.Action, o duty.Outcome, err error) {
+// logAction logs and counts an action that was performed.
+func (d *duties) logAction(a duty.Action, o duty.Outcome, err error) {
 	d.scope.Tagged(map[string]string{"action": string(a.Kind), "outcome": string(o)}).Counter("actions").Inc(1)
 	fields := []zap.Field{zap.String("outcome", string(o)), logs.Err(err)}
 	if a.Kind == duty.Send {
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -19,21 +19,22 @@
 )
 
 const (
-	// verdictEvery is how often a router looks whether a verdict is to be stored: the store
-	// keeps them for fleets that are killed at once.
-	verdictEvery = config.Span(250 * time.Millisecond)
-	// verdictStep is how long the next router in rank leaves that to the one before: a slow
-	// store takes half a second. A router that is cut off from it is one of few.
-	verdictStep = 800 * time.Millisecond
-	// verdictAgain is how long a router waits after a call that failed, unless the store was
-	// heard of sooner: each call is priced, and all are told each second meanwhile. A router
-	// that starts just then reads the store at once.
-	verdictAgain = config.Span(2 * time.Second)
+	// verdictCheckInterval is the interval at which a router checks whether a verdict has to be
+	// stored. Stored verdicts survive if all routers of a fleet are killed at once.
+	verdictCheckInterval = config.Span(250 * time.Millisecond)
+	// verdictRankDelay is how long a router waits for each router that precedes it in rank to store
+	// a verdict. A slow store takes half a second to answer. Only few routers are cut off from the
+	// store at a time.
+	verdictRankDelay = 800 * time.Millisecond
+	// verdictRetryDelay is the pause after a failed call, unless the store answers any router sooner.
+	// Each call costs money, and all routers receive the verdict from other routers every second in
+	// the meantime. A router that starts in that time reads the store at once.
+	verdictRetryDelay = config.Span(2 * time.Second)
 )
 
-// takeVerdict takes over a quarantine that was stored or removed.
-func (r *Router) takeVerdict(c mirror.Change) error {
-	if c.Gone {
+// applyVerdict passes a quarantine that was stored or removed to the engine.
+func (r *Router) applyVerdict(c mirror.Change) error {
+	if c.Removed {
 		p, err := poison.ParseFingerprint(c.Name)
 		if err == nil {
 			r.Engine.RecordVerdictRemoval(p)
@@ -47,27 +48,27 @@
 	return err
 }
 
-// Alone reports whether no other router hears of what this one learns but from the store.
+// Alone reports whether other routers receive the state of this one only through the store.
 func (r *Router) Alone() bool { return r.asker.Isolated(time.Now()) }
 
-// storeVerdicts stores what the store lacks of quarantined requests until ctx is done.
+// storeVerdicts writes verdicts on quarantined requests that the store lacks, until ctx is done.
 func (r *Router) storeVerdicts(ctx context.Context) error {
 	var failedAt time.Time
 	for ctx.Err() == nil {
 		now := time.Now()
-		heard := r.mirror.Proven(r.wire.ConfigKind).After(failedAt)
-		if heard || now.After(verdictAgain.After(failedAt)) {
+		storeAnswered := r.mirror.ConfirmedAt(r.wire.ConfigKind).After(failedAt)
+		if storeAnswered || now.After(verdictRetryDelay.After(failedAt)) {
 			failedAt = r.storeNext(ctx)
 		}
-		tasks.Pause(ctx, verdictEvery.After(now))
+		tasks.Pause(ctx, verdictCheckInterval.After(now))
 	}
 	return nil
 }
 
-// storeNext stores one quarantine, if one is to be, and returns when that failed; zero if it
-// did not.
+// storeNext stores one quarantine, if one is due. It returns the time of a failure; the zero time if
+// there was none.
 func (r *Router) storeNext(ctx context.Context) (failedAt time.Time) {
-	v := r.Engine.Unstored(verdictStep)
+	v := r.Engine.Unstored(verdictRankDelay)
 	if v == nil {
 		return time.Time{}
 	}
@@ -78,7 +79,7 @@
 	return time.Time{}
 }
 
-// storeVerdict stores a quarantine, or removes one that was lifted or is forgotten.
+// storeVerdict stores a quarantine, or removes it from the store if it was lifted or has expired.
 func (r *Router) storeVerdict(ctx context.Context, v poison.Verdict) error {
 	if !v.InForce() {
 		if err := r.wire.RemoveVerdict(ctx, v.Fingerprint); err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -87,9 +88,9 @@
 		r.Engine.SetStoredRound(v.Fingerprint, 0)
 		return nil
 	}
-	standing, err := r.wire.WriteVerdict(ctx, v, time.Now())
+	stored, err := r.wire.WriteVerdict(ctx, v, time.Now())
 	if err == nil {
-		r.Engine.MergeStoredVerdict(standing)
+		r.Engine.MergeStoredVerdict(stored)
 	}
 	return err
 }
--- a/internal/spread/holder_test.go
+++ b/internal/spread/holder_test.go
@@ -22,9 +22,9 @@
 	os.Exit(m.Run())
 }
 
-// TestNeverBack offers revisions in any order from several goroutines: the one
-// in force only grows, and the newest offered ends in force.
-func TestNeverBack(t *testing.T) {
+// Several goroutines call Advance with revisions in any order. The revision in force must never
+// decrease, and must be the highest in the end.
+func TestRevisionNeverGoesBack(t *testing.T) {
 	assert.SetFatal()
 	rapid.Check(t, func(t *rapid.T) {
 		moved := make([]int64, 0, 16)
@@ -43,7 +43,7 @@
 			go func() {
 				defer wg.Done()
 				before := h.Revision()
-				err := h.TakeOver(config.Head{Revision: r}, nil)
+				err := h.Advance(config.Head{Revision: r}, nil)
 				if after := h.Revision(); after < before || (err == nil && after < r) {
 					t.Errorf("offered %d: got %d after %d", r, after, before)
 				}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,9 +1,13 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package store speaks to the platform's object API: versioned objects with
-// conditional updates and watches. The protocol is written down in
-// docs/PLATFORM.md.
+// Package store is a client of the platform's object API, which holds versioned objects with
+// conditional updates and watches, and of the platform's list of VMs. docs/PLATFORM.md specifies the
+// protocol.
+//
+// A read without a valid answer returns an error marked as ErrUnavailable. A write without one
+// returns ErrOutcomeUnknown, as it may have taken effect, and ErrUnavailable only if nothing was
+// written.
 package store
 
 import (
@@ -21,66 +25,67 @@
 
 // Errors of this package.
 const (
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound fault.Const = "store: no such object"
-	// ErrConflict says that the object has another version than was named;
-	// nothing was written.
+	// ErrConflict means that the object does not have the version that the write requires. Nothing
+	// was written.
 	ErrConflict fault.Const = "store: the object has another version"
-	// ErrUnchanged says that a watch ended without a change.
+	// ErrUnchanged means that a watch ended without a change.
 	ErrUnchanged fault.Const = "store: no change"
-	// ErrTooLarge says that the value is over the platform's limit.
+	// ErrTooLarge means that the value exceeds the platform's limit. Nothing was written.
 	ErrTooLarge fault.Const = "store: the value is too large"
-	// ErrUnknown says that a write may or may not have taken effect.
-	ErrUnknown fault.Const = "store: the outcome of the write is not known"
-	// ErrDown says that the platform did not answer, or answered an error,
-	// and nothing was written.
-	ErrDown fault.Const = "store: the platform does not answer"
+	// ErrOutcomeUnknown means that a write may have taken effect or not.
+	ErrOutcomeUnknown fault.Const = "store: the outcome of the write is not known"
+	// ErrUnavailable means that the platform could not be reached, did not answer a read, or answered
+	// with an error. Nothing was written.
+	ErrUnavailable fault.Const = "store: the platform does not answer"
 )
 
-// MaxValue is the greatest size of a value, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the maximum size of a value.
+const MaxValueBytes = 1 << 20
 
-// VersionHeader carries an object's version.
+// VersionHeader is the HTTP header that holds the version of an object in responses.
 const VersionHeader = "X-Object-Version"
 
 // Object is a stored value with its version.
 type Object struct {
 	Name string `json:"name"`
-	// Version grows at every write of the object.
+	// Version increases with every write of the object.
 	Version int64  `json:"version"`
 	Value   []byte `json:"value"`
 }
 
-// Listing is a list of objects as the platform sends it.
+// Listing is a list of objects as the platform encodes it in JSON.
 type Listing struct {
 	Items []Object `json:"items"`
 }
 
-// Client reaches an object API. Its fields are seams: tests replace them.
+// Client is a client of an object API. It must be created with New and is safe for concurrent use.
+// Tests replace its functions.
 type Client struct {
-	// Get returns an object or ErrNotFound or ErrDown.
+	// Get returns an object, or ErrNotFound or ErrUnavailable.
 	Get func(ctx context.Context, kind, name string) (Object, error)
-	// Put writes an object if it still has version ifVersion; 0 means that
-	// it must not exist. It returns the new version, or ErrConflict,
-	// ErrTooLarge, ErrDown (nothing written) or ErrUnknown.
+	// Put writes an object if its version is ifVersion; 0 means that the object must not exist. It
+	// returns the new version, or ErrConflict, ErrTooLarge, ErrUnavailable (nothing was written) or
+	// ErrOutcomeUnknown.
 	Put func(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error)
-	// List returns the objects of a kind whose names begin with prefix, in
-	// the order of names.
+	// List returns the objects of a kind whose names begin with prefix, in the order of their names,
+	// or ErrUnavailable.
 	List func(ctx context.Context, kind, prefix string) ([]Object, error)
-	// Watch waits until the object has a version other than since and
-	// returns it; ErrUnchanged if the wait ended first, at the deadline of
-	// ctx or earlier.
+	// Watch waits until the object has a version other than since and returns the object. It returns
+	// ErrUnchanged if the platform ends the wait first, at the deadline of ctx or earlier, and
+	// otherwise the errors of Get.
 	Watch func(ctx context.Context, kind, name string, since int64) (Object, error)
-	// Close ends every waiting call.
+	// Close closes all connections, which ends the waiting calls with an error. Later calls fail.
 	Close func()
 }
 
-// callWithin bounds a call whose context has no deadline.
-const callWithin = 5 * time.Second
+// defaultCallTimeout bounds a call whose context has no deadline.
+const defaultCallTimeout = 5 * time.Second
 
 // New returns a client of the object API at addr.
 func New(addr netip.AddrPort) *Client {
-	h := &wire{base: "http://" + addr.String(), conns: newConns()}
+	h := &httpClient{base: "http://" + addr.String(), conns: newConnSet()}
 	h.http = &fasthttp.HostClient{
 		Addr:                addr.String(),
 		Dial:                h.conns.dial,
@@ -91,36 +96,40 @@
 	return &Client{Get: h.get, Put: h.put, List: h.list, Watch: h.watch, Close: h.conns.closeAll}
 }
 
-// wire is the HTTP form of a Client.
-type wire struct {
+// httpClient implements the functions of Client and VMs over HTTP.
+type httpClient struct {
+	// base is the scheme and authority of URLs, without a slash at the end.
 	base  string
 	http  *fasthttp.HostClient
-	conns *conns
+	conns *connSet
 }
 
-func (h *wire) do(ctx context.Context, prepare func(*fasthttp.Request), read func(*fasthttp.Response) error) error {
+// do sends the request that prepare sets up and passes the response to read. Without a response, the
+// error is marked as ErrUnavailable if ctx was done before or no connection could be opened, and as
+// ErrOutcomeUnknown otherwise.
+func (h *httpClient) do(ctx context.Context, prepare func(*fasthttp.Request), read func(*fasthttp.Response) error) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	prepare(req)
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(callWithin)
+		deadline = time.Now().Add(defaultCallTimeout)
 	}
 	if err := ctx.Err(); err != nil {
-		return errors.Mark(err, ErrDown)
+		return errors.Mark(err, ErrUnavailable)
 	}
 	if err := h.http.DoDeadline(req, resp, deadline); err != nil {
-		if errors.Is(err, ErrDown) {
+		if errors.Is(err, ErrUnavailable) {
 			return err
 		}
-		return errors.Mark(errors.Wrap(err, "store"), ErrUnknown)
+		return errors.Mark(errors.Wrap(err, "store"), ErrOutcomeUnknown)
 	}
 	return read(resp)
 }
 
-// retryReads repeats a read once, as a kept connection may have been closed
-// by the platform; a write is never repeated here.
+// retryReads allows one retry of a read, as the platform may have closed an idle connection. A write
+// is never retried, as it may have taken effect.
 func retryReads(req *fasthttp.Request, attempts int, _ error) (resetTimeout, retry bool) {
 	return false, req.Header.IsGet() && attempts < 2
 }
@@ -129,7 +138,7 @@
 	return base + "/v1/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-func (h *wire) get(ctx context.Context, kind, name string) (Object, error) {
+func (h *httpClient) get(ctx context.Context, kind, name string) (Object, error) {
 	var o Object
 	err := h.do(ctx, func(req *fasthttp.Request) {
 		req.SetRequestURI(objectURL(h.base, kind, name))
@@ -139,28 +148,30 @@
 	return o, readOnly(err)
 }
 
+// readObject decodes the response to a request for one object. It returns ErrUnavailable if the
+// version is missing or malformed.
 func readObject(resp *fasthttp.Response, name string, o *Object) error {
 	if err := statusError(resp.StatusCode()); err != nil {
 		return err
 	}
 	version, err := strconv.ParseInt(string(resp.Header.Peek(VersionHeader)), 10, 64)
 	if err != nil {
-		return ErrDown
+		return ErrUnavailable
 	}
 	*o = Object{Name: name, Version: version, Value: append([]byte(nil), resp.Body()...)}
 	return nil
 }
 
-// readOnly turns an unknown outcome into ErrDown, as reading changes nothing.
+// readOnly also marks an error that is ErrOutcomeUnknown as ErrUnavailable, as a read has no effect.
 func readOnly(err error) error {
-	if errors.Is(err, ErrUnknown) {
-		return errors.Mark(err, ErrDown)
+	if errors.Is(err, ErrOutcomeUnknown) {
+		return errors.Mark(err, ErrUnavailable)
 	}
 	return err
 }
 
-func (h *wire) put(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
-	if len(value) > MaxValue {
+func (h *httpClient) put(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
+	if len(value) > MaxValueBytes {
 		return 0, ErrTooLarge
 	}
 	var version int64
@@ -180,14 +191,14 @@
 		var err error
 		version, err = strconv.ParseInt(string(resp.Header.Peek(VersionHeader)), 10, 64)
 		if err != nil {
-			return ErrUnknown
+			return ErrOutcomeUnknown
 		}
 		return nil
 	})
 	return version, err
 }
 
-func (h *wire) list(ctx context.Context, kind, prefix string) ([]Object, error) {
+func (h *httpClient) list(ctx context.Context, kind, prefix string) ([]Object, error) {
 	var l Listing
 	err := h.do(ctx, func(req *fasthttp.Request) {
 		req.SetRequestURI(h.base + "/v1/objects/" + url.PathEscape(kind) + "?prefix=" + url.QueryEscape(prefix))
@@ -197,7 +208,7 @@
 	return l.Items, readOnly(err)
 }
 
-func (h *wire) watch(ctx context.Context, kind, name string, since int64) (Object, error) {
+func (h *httpClient) watch(ctx context.Context, kind, name string, since int64) (Object, error) {
 	var o Object
 	err := h.do(ctx, func(req *fasthttp.Request) {
 		req.SetRequestURI(h.base + "/v1/watch/" + url.PathEscape(kind) + "/" + url.PathEscape(name))
@@ -212,10 +223,11 @@
 	return o, readOnly(err)
 }
 
-// watchMargin is how much earlier than the caller's deadline the platform is
-// asked to end a watch.
+// watchMargin is how long before the deadline of the context the platform is requested to end a
+// watch.
 const watchMargin = 200 * time.Millisecond
 
+// statusError returns the error for the status of a response; nil for success.
 func statusError(status int) error {
 	switch status {
 	case fasthttp.StatusOK, fasthttp.StatusCreated:
@@ -229,8 +241,8 @@
 	case fasthttp.StatusRequestEntityTooLarge:
 		return ErrTooLarge
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
-		return ErrDown
+		return ErrUnavailable
 	default:
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 }
