--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -32,8 +32,8 @@
 const (
 	// ErrNotWritten says that the claim is not in the log and will not be.
 	ErrNotWritten fault.Const = "claims: the platform did not take the claim"
-	// ErrDoubt says that the claim may be in the log, now or later.
-	ErrDoubt fault.Const = "claims: the claim may have been taken"
+	// ErrOutcomeUnknown says that the claim may be in the log, now or later.
+	ErrOutcomeUnknown fault.Const = "claims: the claim may have been taken"
 )
 
 const (
@@ -109,7 +109,7 @@
 }
 
 // Claim enters a claim and returns the one that stands for its key: the
-// caller's own if it won. The error is ErrNotWritten or ErrDoubt.
+// caller's own if it won. The error is ErrNotWritten or ErrOutcomeUnknown.
 func (l *Log) Claim(ctx context.Context, r claim.Record) (claim.Record, error) {
 	o := &op{ctx: ctx, record: r, done: make(chan result, 1)}
 	select {
@@ -121,7 +121,7 @@
 	case res := <-o.done:
 		return res.held, res.err
 	case <-ctx.Done():
-		return claim.Record{}, ErrDoubt
+		return claim.Record{}, ErrOutcomeUnknown
 	}
 }
 
@@ -183,7 +183,7 @@
 	var left []*op
 	for _, o := range ops {
 		if o.ctx.Err() != nil {
-			o.done <- result{err: ErrDoubt}
+			o.done <- result{err: ErrOutcomeUnknown}
 			continue
 		}
 		left = append(left, o)
@@ -197,7 +197,7 @@
 	l.log.Warn("claims: The platform does not answer.", zap.Int("claims", len(ops)), logs.Err(err))
 	for _, o := range ops {
 		if o.tried {
-			o.done <- result{err: ErrDoubt}
+			o.done <- result{err: ErrOutcomeUnknown}
 		} else {
 			o.done <- result{err: ErrNotWritten}
 		}
--- a/internal/claims/log_test.go
+++ b/internal/claims/log_test.go
@@ -228,7 +228,7 @@
 		want error
 	}{
 		{"the platform refuses the write", down, ErrNotWritten},
-		{"the write's outcome is not known, then the platform is down", errors.Mark(errors.New("x"), store.ErrUnknown), ErrDoubt},
+		{"the write's outcome is not known, then the platform is down", errors.Mark(errors.New("x"), store.ErrUnknown), ErrOutcomeUnknown},
 	}
 	for _, tt := range tests {
 		written := false
--- a/internal/entry/bucket.go
+++ b/internal/entry/bucket.go
@@ -32,13 +32,13 @@
 		return e.claims.Claim(ctx, r)
 	}
 	held, err := e.forwardClaim(ctx, vm, r)
-	if err == nil || errors.Is(err, claims.ErrNotWritten) || errors.Is(err, claims.ErrDoubt) {
+	if err == nil || errors.Is(err, claims.ErrNotWritten) || errors.Is(err, claims.ErrOutcomeUnknown) {
 		return held, err
 	}
 	held, err = e.claims.Claim(ctx, r)
 	if errors.Is(err, claims.ErrNotWritten) {
 		// The other entry may still write it.
-		err = claims.ErrDoubt
+		err = claims.ErrOutcomeUnknown
 	}
 	return held, err
 }
@@ -58,7 +58,7 @@
 	case reply.NotWritten:
 		return claim.Record{}, claims.ErrNotWritten
 	case reply.OutcomeUnknown:
-		return claim.Record{}, claims.ErrDoubt
+		return claim.Record{}, claims.ErrOutcomeUnknown
 	default:
 		return reply.Record, nil
 	}
@@ -73,7 +73,7 @@
 		Stamp:          e.Stamp(),
 		Record:         held,
 		NotWritten:     errors.Is(err, claims.ErrNotWritten),
-		OutcomeUnknown: errors.Is(err, claims.ErrDoubt),
+		OutcomeUnknown: errors.Is(err, claims.ErrOutcomeUnknown),
 	}, nil
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -96,12 +96,12 @@
 	e.quarantine.book = poison.NewDetector()
 	e.peers = &peers{e: e, byVM: make(map[string]*peer)}
 	p, err := proc.New(s.Common, proc.Options{
-		Role:     store.RoleEntry,
-		Handlers: handlersMost,
-		OnMove:   func(*config.Snapshot) { e.peers.pokeAll() },
-		OnProven: func(*link.Conn) {},
-		State:    e.state,
-		Explain:  e.explain,
+		Role:             store.RoleEntry,
+		Handlers:         handlersMost,
+		OnSettingsChange: func(*config.Snapshot) { e.peers.pokeAll() },
+		OnProven:         func(*link.Conn) {},
+		State:            e.state,
+		Explain:          e.explain,
 	})
 	if err != nil {
 		return nil, err
@@ -114,10 +114,10 @@
 		return nil, err
 	}
 	e.bills = ledger.New(p.Log, p.Store, ledger.Options[bill.Line]{
-		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: s.RecordsHeld, Every: p.Common.WriteEvery, OnWritten: e.settle,
+		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, MaxRecords: s.RecordsHeld, FlushInterval: p.Common.WriteEvery, OnWritten: e.settle,
 	})
 	e.trail = ledger.New(p.Log, p.Store, ledger.Options[trail.Record]{
-		Kind: ledger.KindTrail, Prefix: p.Identity.Incarnation, Most: s.RecordsHeld, Every: p.Common.WriteEvery, Encode: trail.Encode,
+		Kind: ledger.KindTrail, Prefix: p.Identity.Incarnation, MaxRecords: s.RecordsHeld, FlushInterval: p.Common.WriteEvery, Encode: trail.Encode,
 	})
 	e.claims = claims.New(p.Log, p.Store)
 	sc := p.Scope.SubScope("entry")
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	ln := lingering{plain}
-	if !s.TLS.Set() {
+	if !s.TLS.IsSet() {
 		return ln, nil
 	}
 	source, err := secure.NewSource(s.TLS)
@@ -199,7 +199,7 @@
 		}
 		tasks.Pause(kill, stopPoll.After(time.Now()))
 	}
-	if err := e.Quiet(kill); err != nil {
+	if err := e.Drain(kill); err != nil {
 		return err
 	}
 	return errors.CombineErrors(e.bills.Flush(kill), e.trail.Flush(kill))
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -28,13 +28,13 @@
 // that watch the platform.
 func (e *Entry) newDriver() *rolls.Driver {
 	return &rolls.Driver{
-		Log:    e.Log,
-		Store:  e.Store,
-		Now:    e.Now,
-		Active: e.peers.watching,
-		VMs:    e.peers.pools,
-		Has:    e.hasVersion,
-		Order:  e.order,
+		Log:        e.Log,
+		Store:      e.Store,
+		Now:        e.Now,
+		Active:     e.peers.watching,
+		VMs:        e.peers.pools,
+		HasVersion: e.hasVersion,
+		SendOrder:  e.order,
 	}
 }
 
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -68,7 +68,7 @@
 	if !s.Listen.IsValid() {
 		report("listen", "an IP number and port such as 10.0.0.1:8080 is required")
 	}
-	if t := s.TLS; t.Set() && (t.Cert == "" || t.Key == "" || t.CA != "") {
+	if t := s.TLS; t.IsSet() && (t.Cert == "" || t.Key == "" || t.CA != "") {
 		report("tls", "cert and key are required, ca is not allowed")
 	}
 	for key, n := range map[string]int{"maxBody": s.MaxBody, "maxHeader": s.MaxHeader, "linksPerPool": s.LinksPerPool, "recordsHeld": s.RecordsHeld} {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -135,18 +135,18 @@
 	}
 	g.queue = admit.New(limits)
 	p, err := proc.New(s.Common, proc.Options{
-		Role:     store.RoleEndpoint,
-		Handlers: s.Slots + s.Waiting + spareHandlers,
-		OnMove:   g.onSettingsChange,
-		OnProven: g.onProven,
-		State:    g.state,
+		Role:             store.RoleEndpoint,
+		Handlers:         s.Slots + s.Waiting + spareHandlers,
+		OnSettingsChange: g.onSettingsChange,
+		OnProven:         g.onProven,
+		State:            g.state,
 	})
 	if err != nil {
 		return nil, err
 	}
 	g.Proc = p
 	g.bills = ledger.New(p.Log, p.Store, ledger.Options[bill.Line]{
-		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: maxHeldBills, Every: p.Common.WriteEvery,
+		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, MaxRecords: maxHeldBills, FlushInterval: p.Common.WriteEvery,
 	})
 	g.initMetrics()
 	link.Handle(p.Local.Mux, wire.MethodHeartbeat, g.handleHeartbeat)
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -45,10 +45,10 @@
 	Kind string
 	// Prefix names the process's objects; it holds the incarnation.
 	Prefix string
-	// Most bounds the records that are held.
-	Most int
-	// Every is how long records are gathered before they are written.
-	Every config.Span
+	// MaxRecords bounds the records that are held.
+	MaxRecords int
+	// FlushInterval is how long records are gathered before they are written.
+	FlushInterval config.Span
 	// Encode returns a batch as a JSON array; json.Marshal if it is nil.
 	Encode func([]T) ([]byte, error)
 	// OnWritten hears of every batch that the platform has confirmed; it may
@@ -86,7 +86,7 @@
 func (w *Writer[T]) Add(r T) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.held) >= w.opts.Most {
+	if len(w.held) >= w.opts.MaxRecords {
 		w.lost++
 		return false
 	}
@@ -127,7 +127,7 @@
 // Run writes batches until ctx is done.
 func (w *Writer[T]) Run(ctx context.Context) error {
 	for {
-		tick := time.NewTimer(time.Until(w.opts.Every.After(time.Now())))
+		tick := time.NewTimer(time.Until(w.opts.FlushInterval.After(time.Now())))
 		select {
 		case <-ctx.Done():
 			tick.Stop()
--- a/internal/ledger/writer_test.go
+++ b/internal/ledger/writer_test.go
@@ -57,7 +57,7 @@
 func TestLostAnswers(t *testing.T) {
 	m := &memory{objects: make(map[string][]byte), answers: []string{"down", "lost", "down", "ok", "lost", "lost"}}
 	var confirmed []string
-	w := New(zap.NewNop(), m.client(), Options[string]{Kind: "k", Prefix: "p", Most: 5, OnWritten: func(b []string) { confirmed = append(confirmed, b...) }})
+	w := New(zap.NewNop(), m.client(), Options[string]{Kind: "k", Prefix: "p", MaxRecords: 5, OnWritten: func(b []string) { confirmed = append(confirmed, b...) }})
 	want := []string{}
 	for i := range 8 {
 		r := fmt.Sprint(i)
@@ -87,7 +87,7 @@
 
 // TestBound counts what does not fit as lost.
 func TestBound(t *testing.T) {
-	w := New(zap.NewNop(), (&memory{objects: map[string][]byte{}}).client(), Options[int]{Kind: "k", Prefix: "p", Most: 2})
+	w := New(zap.NewNop(), (&memory{objects: map[string][]byte{}}).client(), Options[int]{Kind: "k", Prefix: "p", MaxRecords: 2})
 	for i := range 5 {
 		w.Add(i)
 	}
@@ -99,7 +99,7 @@
 // TestLargeBatch cuts a batch that would outgrow an object.
 func TestLargeBatch(t *testing.T) {
 	m := &memory{objects: make(map[string][]byte)}
-	w := New(zap.NewNop(), m.client(), Options[string]{Kind: "k", Prefix: "p", Most: 100})
+	w := New(zap.NewNop(), m.client(), Options[string]{Kind: "k", Prefix: "p", MaxRecords: 100})
 	big := string(make([]byte, 100<<10))
 	for range 12 {
 		w.Add(big)
--- a/internal/proc/life.go
+++ b/internal/proc/life.go
@@ -68,7 +68,7 @@
 
 // Main reads the process settings of a file into s, whose shared part is
 // common, builds the process and runs it until a signal ends it.
-func Main(ctx context.Context, file string, s Checked, common *Common, build func() (Runner, error)) error {
+func Main(ctx context.Context, file string, s Checker, common *Common, build func() (Runner, error)) error {
 	if err := Load(file, s); err != nil {
 		return err
 	}
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -57,8 +57,8 @@
 	Role string
 	// Handlers bounds the handlers of the links that run at a time.
 	Handlers int
-	// OnMove hears of every settings revision that is taken over.
-	OnMove func(*config.Snapshot)
+	// OnSettingsChange hears of every settings revision that is taken over.
+	OnSettingsChange func(*config.Snapshot)
 	// OnProven hears of every link that a peer opened and proved.
 	OnProven func(*link.Conn)
 	// State returns what the dump shows of the role.
@@ -90,12 +90,12 @@
 	p.Identity = wire.Identity{VM: c.VM, Role: o.Role, Incarnation: NewID(), AvailabilityZone: c.AvailabilityZone, Link: c.Link}
 	p.Store = store.New(c.Platform)
 	p.VMs = store.NewVMs(c.Platform)
-	p.Holder = spread.New(p.Log, p.Now, o.OnMove)
+	p.Holder = spread.New(p.Log, p.Now, o.OnSettingsChange)
 	if p.Pool, err = ants.NewPool(o.Handlers, ants.WithNonblocking(true)); err != nil {
 		return nil, err
 	}
 	p.Local = &link.Local{Identity: p.Identity, Keys: linkKeys, Revision: p.Holder.Revision}
-	if c.LinkTLS.Set() {
+	if c.LinkTLS.IsSet() {
 		source, err := secure.NewSource(c.LinkTLS)
 		if err != nil {
 			return nil, err
@@ -148,8 +148,8 @@
 // quietPoll is how often a stopping process looks for open messages.
 const quietPoll = time.Millisecond
 
-// Quiet waits until every message that peers sent is answered, or ctx is done.
-func (p *Proc) Quiet(ctx context.Context) error {
+// Drain waits until every message that peers sent is answered, or ctx is done.
+func (p *Proc) Drain(ctx context.Context) error {
 	t := time.NewTicker(quietPoll)
 	defer t.Stop()
 	for p.Local.Handling.Load() > 0 {
--- a/internal/proc/settings.go
+++ b/internal/proc/settings.go
@@ -62,13 +62,13 @@
 	if c.Operators.IsValid() && !c.Operators.Addr().IsLoopback() && c.OperatorsToken == "" {
 		report("operators", "off loopback only with operatorsToken")
 	}
-	if t := c.LinkTLS; t.Set() && (t.Cert == "" || t.Key == "" || t.CA == "") {
+	if t := c.LinkTLS; t.IsSet() && (t.Cert == "" || t.Key == "" || t.CA == "") {
 		report("linkTLS", "cert, key and ca are required")
 	}
 }
 
-// Checked is a settings struct that can check itself.
-type Checked interface {
+// Checker is a settings struct that can check itself.
+type Checker interface {
 	// Check reports each key that is wrong, with what is allowed.
 	Check(report func(key, message string))
 }
@@ -76,7 +76,7 @@
 // Load reads a process settings file strictly into dst, which must be a
 // pointer. The error is config.Problems, all at once: file, line, key and what is
 // allowed.
-func Load(file string, dst Checked) error {
+func Load(file string, dst Checker) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return config.Problems{{File: file, Line: 1, Key: "(file)", Message: err.Error()}}
--- a/internal/rolls/driver.go
+++ b/internal/rolls/driver.go
@@ -102,10 +102,10 @@
 	Active func() bool
 	// VMs lists the live VMs of each pool.
 	VMs func() map[string][]string
-	// Has reports whether a VM has a version, and whether that is known.
-	Has func(vm, version string) (has, known bool)
-	// Order gives an order to the guard of a VM; it returns at once.
-	Order func(vm string, o wire.Order)
+	// HasVersion reports whether a VM has a version, and whether that is known.
+	HasVersion func(vm, version string) (has, known bool)
+	// SendOrder gives an order to the guard of a VM; it returns at once.
+	SendOrder func(vm string, o wire.Order)
 }
 
 // Run takes steps until ctx is done.
@@ -130,7 +130,7 @@
 	if err != nil || len(b.Rollouts) == 0 {
 		return err
 	}
-	plan := b.Step(&roll.StepInput{Now: d.Now(), VMs: d.VMs(), HasVersion: d.Has, GiveUpAt: loadWithin.After})
+	plan := b.Step(&roll.StepInput{Now: d.Now(), VMs: d.VMs(), HasVersion: d.HasVersion, GiveUpAt: loadWithin.After})
 	if plan.Changed {
 		version, err = write(ctx, d.Store, &b, version)
 		if errors.Is(err, store.ErrConflict) {
@@ -141,7 +141,7 @@
 		}
 	}
 	for _, o := range plan.Orders {
-		d.Order(o.VM, wire.Order{Fence: version, Model: o.Model, Version: o.Version})
+		d.SendOrder(o.VM, wire.Order{Fence: version, Model: o.Model, Version: o.Version})
 	}
 	for i := range b.Rollouts {
 		if err := d.settle(ctx, &b.Rollouts[i]); err != nil {
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -22,8 +22,8 @@
 	CA   string `yaml:"ca,omitempty" doc:"PEM file with the authority that signs the peers' certificates."`
 }
 
-// Set reports whether files are named.
-func (f Files) Set() bool { return f.Cert != "" || f.Key != "" || f.CA != "" }
+// IsSet reports whether files are named.
+func (f Files) IsSet() bool { return f.Cert != "" || f.Key != "" || f.CA != "" }
 
 // lookAgain is how long a reading of the files counts.
 const lookAgain = time.Second
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -28,7 +28,7 @@
     "noClaim": ("internal/entry/serve.go", 'if key != "" && !*eff.Values.Repeatable {', "if false {", "./internal/rig", "TestRepeats"),
     "claimOwnGeneration": ("pkg/claim/bucket.go", "return r.Generation == old.Generation+1", "return r.Generation <= old.Generation+1", "./internal/claims", "TestOneWinner|TestGenerations"),
     "claimUnconditional": ("internal/claims/log.go", "sliceName(b.n, slice), version, body)", "sliceName(b.n, slice), l.newest(call, b.n, slice), body)", "./internal/claims", "TestOneWinner|TestGenerations"),
-    "doubtIsNotWritten": ("internal/claims/log.go", "if o.tried {\n			o.done <- result{err: ErrDoubt}", "if false {\n			o.done <- result{err: ErrDoubt}", "./internal/claims", "TestDoubt"),
+    "doubtIsNotWritten": ("internal/claims/log.go", "if o.tried {\n			o.done <- result{err: ErrOutcomeUnknown}", "if false {\n			o.done <- result{err: ErrOutcomeUnknown}", "./internal/claims", "TestDoubt"),
     "doubtForgotten": ("internal/entry/keyed.go", "		k.close(run)\n		return", "		k.drop(run)\n		return", "./internal/rig", "TestPlatformDown"),
     "ticketAnywhere": ("internal/entry/ticket.go", "if t.Incarnation == e.Identity.Incarnation {", "if true {", "./internal/rig", "TestRepeats|TestEntryKilled"),
     "keyBindsNothing": ("internal/entry/keyed.go", "case s.body != body:", "case false:", "./internal/rig", "TestRepeats"),
