--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -32,8 +32,8 @@
 	closer  interface{ Close() error }
 }
 
-// reportEvery is how often metrics are handed to the reporter.
-const reportEvery = time.Second
+// reportInterval is how often metrics are handed to the reporter.
+const reportInterval = time.Second
 
 // New returns a server that asks for token, unless it is empty. state and
 // explain say what is shown; explain may be nil.
@@ -46,18 +46,18 @@
 		Separator:              promreport.DefaultSeparator,
 		SanitizeOptions:        &promreport.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	s := &Server{Scope: scope, token: token, state: state, explain: explain, closer: closer}
 	s.metrics = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
-	s.http = &fasthttp.Server{Handler: s.handle, Name: "traildrift", ReadTimeout: readWithin, CloseOnShutdown: true, NoDefaultDate: true}
+	s.http = &fasthttp.Server{Handler: s.handle, Name: "traildrift", ReadTimeout: readTimeout, CloseOnShutdown: true, NoDefaultDate: true}
 	return s
 }
 
 // NewMetrics returns a server that answers /metrics alone, to everybody.
 func NewMetrics() *Server { return New("", nil, nil) }
 
-// readWithin bounds the reading of a request.
-const readWithin = 10 * time.Second
+// readTimeout bounds the reading of a request.
+const readTimeout = 10 * time.Second
 
 // Serve answers on ln until Close.
 func (s *Server) Serve(ln net.Listener) error { return s.http.Serve(ln) }
@@ -69,7 +69,7 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if !s.allowed(ctx) {
+	if !s.authorized(ctx) {
 		ctx.Error("the operators' token is required", fasthttp.StatusUnauthorized)
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *Server) allowed(ctx *fasthttp.RequestCtx) bool {
+func (s *Server) authorized(ctx *fasthttp.RequestCtx) bool {
 	if s.token == "" {
 		return true
 	}
--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -40,16 +40,16 @@
 	// Buckets is how many buckets there are; it must be the same in every
 	// process of a fleet.
 	Buckets = 4
-	// writeGap is the least time between two updates of a bucket, so that all
+	// minWriteInterval is the least time between two updates of a bucket, so that all
 	// buckets together make at most 200 writes a second. The first claim after
 	// a quiet time does not wait.
-	writeGap = config.Span(20 * time.Millisecond)
-	// opsMost bounds the claims that wait for one bucket.
-	opsMost = 4096
-	// batchMost bounds the claims of one update.
-	batchMost = 256
-	// callWithin bounds one call to the platform.
-	callWithin = 2 * time.Second
+	minWriteInterval = config.Span(20 * time.Millisecond)
+	// maxQueuedClaims bounds the claims that wait for one bucket.
+	maxQueuedClaims = 4096
+	// maxBatchClaims bounds the claims of one update.
+	maxBatchClaims = 256
+	// callTimeout bounds one call to the platform.
+	callTimeout = 2 * time.Second
 )
 
 // KeyOf returns the hash that names a workspace's key in the log.
@@ -71,39 +71,39 @@
 	Writes, Reads, Claims, Bytes atomic.Int64
 }
 
-// op is one claim that waits for the log.
-type op struct {
+// pendingClaim is one claim that waits for the log.
+type pendingClaim struct {
 	ctx    context.Context
 	record claim.Record
-	// tried says that a write with the record was sent and not refused: from
+	// maybeWritten says that a write with the record was sent and not refused: from
 	// then on its absence proves nothing while that write may be in flight.
-	tried bool
-	done  chan result
+	maybeWritten bool
+	done         chan result
 }
 
 type result struct {
-	held claim.Record
-	err  error
+	winner claim.Record
+	err    error
 }
 
 type bucket struct {
-	n   int
-	ops chan *op
-	// read is only used by the bucket's goroutine.
-	read claim.Bucket
+	n     int
+	queue chan *pendingClaim
+	// local is only used by the bucket's goroutine.
+	local claim.Bucket
 	// listed says that the bucket was read once as a whole.
 	listed bool
 	// nextWrite is when the bucket may be updated again.
 	nextWrite time.Time
-	// fresh says that read was in step with the platform at the last call.
-	fresh bool
+	// upToDate says that read was in step with the platform at the last call.
+	upToDate bool
 }
 
 // New returns a log; Run must be started before Claim.
 func New(l *zap.Logger, c *store.Client) *Log {
 	out := &Log{log: l, store: c}
 	for i := range out.buckets {
-		out.buckets[i] = &bucket{n: i, ops: make(chan *op, opsMost)}
+		out.buckets[i] = &bucket{n: i, queue: make(chan *pendingClaim, maxQueuedClaims)}
 	}
 	return out
 }
@@ -111,15 +111,15 @@
 // Claim enters a claim and returns the one that stands for its key: the
 // caller's own if it won. The error is ErrNotWritten or ErrOutcomeUnknown.
 func (l *Log) Claim(ctx context.Context, r claim.Record) (claim.Record, error) {
-	o := &op{ctx: ctx, record: r, done: make(chan result, 1)}
+	p := &pendingClaim{ctx: ctx, record: r, done: make(chan result, 1)}
 	select {
-	case l.buckets[BucketOf(r.Key)].ops <- o:
+	case l.buckets[BucketOf(r.Key)].queue <- p:
 	default:
 		return claim.Record{}, ErrNotWritten
 	}
 	select {
-	case res := <-o.done:
-		return res.held, res.err
+	case res := <-p.done:
+		return res.winner, res.err
 	case <-ctx.Done():
 		return claim.Record{}, ErrOutcomeUnknown
 	}
@@ -132,154 +132,154 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case o := <-b.ops:
+		case p := <-b.queue:
 			tasks.Pause(ctx, b.nextWrite)
-			l.commit(ctx, b, b.gather(o))
-			b.nextWrite = writeGap.After(time.Now())
+			l.commit(ctx, b, b.collectBatch(p))
+			b.nextWrite = minWriteInterval.After(time.Now())
 		}
 	}
 }
 
-// gather takes everything that waits, up to the size of a batch.
-func (b *bucket) gather(first *op) []*op {
-	ops := []*op{first}
-	for len(ops) < batchMost {
+// collectBatch takes everything that waits, up to the size of a batch.
+func (b *bucket) collectBatch(first *pendingClaim) []*pendingClaim {
+	batch := []*pendingClaim{first}
+	for len(batch) < maxBatchClaims {
 		select {
-		case o := <-b.ops:
-			ops = append(ops, o)
+		case p := <-b.queue:
+			batch = append(batch, p)
 		default:
-			return ops
+			return batch
 		}
 	}
-	return ops
+	return batch
 }
 
 // commit settles every op: won, held by another, not written or in doubt.
-func (l *Log) commit(ctx context.Context, b *bucket, ops []*op) {
-	for len(ops) > 0 {
-		ops = giveUp(ops)
-		if !b.fresh {
+func (l *Log) commit(ctx context.Context, b *bucket, pending []*pendingClaim) {
+	for len(pending) > 0 {
+		pending = dropCanceled(pending)
+		if !b.upToDate {
 			if err := l.refresh(ctx, b); err != nil {
-				l.fail(ops, err)
+				l.failAll(pending, err)
 				return
 			}
 		}
-		ops = b.settle(ops)
-		if len(ops) == 0 {
+		pending = b.answerDecided(pending)
+		if len(pending) == 0 {
 			return
 		}
-		if err := l.write(ctx, b, ops); err != nil {
-			b.fresh = false
+		if err := l.write(ctx, b, pending); err != nil {
+			b.upToDate = false
 			if errors.Is(err, store.ErrDown) {
-				l.fail(ops, err)
+				l.failAll(pending, err)
 				return
 			}
 		}
 	}
 }
 
-// giveUp drops the ops whose caller waits no more.
-func giveUp(ops []*op) []*op {
-	var left []*op
-	for _, o := range ops {
-		if o.ctx.Err() != nil {
-			o.done <- result{err: ErrOutcomeUnknown}
+// dropCanceled drops the ops whose caller waits no more.
+func dropCanceled(pending []*pendingClaim) []*pendingClaim {
+	var remaining []*pendingClaim
+	for _, p := range pending {
+		if p.ctx.Err() != nil {
+			p.done <- result{err: ErrOutcomeUnknown}
 			continue
 		}
-		left = append(left, o)
+		remaining = append(remaining, p)
 	}
-	return left
+	return remaining
 }
 
-// fail answers ops while the platform does not answer. A claim that no write
+// failAll answers ops while the platform does not answer. A claim that no write
 // has carried is certainly not in the log.
-func (l *Log) fail(ops []*op, err error) {
-	l.log.Warn("claims: The platform does not answer.", zap.Int("claims", len(ops)), logs.Err(err))
-	for _, o := range ops {
-		if o.tried {
-			o.done <- result{err: ErrOutcomeUnknown}
+func (l *Log) failAll(pending []*pendingClaim, err error) {
+	l.log.Warn("claims: The platform does not answer.", zap.Int("claims", len(pending)), logs.Err(err))
+	for _, p := range pending {
+		if p.maybeWritten {
+			p.done <- result{err: ErrOutcomeUnknown}
 		} else {
-			o.done <- result{err: ErrNotWritten}
+			p.done <- result{err: ErrNotWritten}
 		}
 	}
 }
 
-// settle answers the ops whose key has a claim, the own one or another's, and
+// answerDecided answers the ops whose key has a claim, the own one or another's, and
 // returns those that still have to be written. Of several ops on one key only
 // the first is written in a batch.
-func (b *bucket) settle(ops []*op) []*op {
-	var left []*op
-	for _, o := range ops {
-		held, ok := b.read.Get(o.record.Key)
-		if ok && !b.read.CanAppend(o.record) {
-			o.done <- result{held: held}
+func (b *bucket) answerDecided(pending []*pendingClaim) []*pendingClaim {
+	var remaining []*pendingClaim
+	for _, p := range pending {
+		held, ok := b.local.Get(p.record.Key)
+		if ok && !b.local.CanAppend(p.record) {
+			p.done <- result{winner: held}
 			continue
 		}
-		left = append(left, o)
+		remaining = append(remaining, p)
 	}
-	return left
+	return remaining
 }
 
 // write sends one update with the first op of each key.
-func (l *Log) write(ctx context.Context, b *bucket, ops []*op) error {
-	seen := make(map[string]bool)
+func (l *Log) write(ctx context.Context, b *bucket, pending []*pendingClaim) error {
+	seenKeys := make(map[string]bool)
 	var added []claim.Record
-	var carried []*op
-	for _, o := range ops {
-		if !seen[o.record.Key] && b.read.CanAppend(o.record) {
-			seen[o.record.Key] = true
-			added = append(added, o.record)
-			carried = append(carried, o)
+	var sent []*pendingClaim
+	for _, p := range pending {
+		if !seenKeys[p.record.Key] && b.local.CanAppend(p.record) {
+			seenKeys[p.record.Key] = true
+			added = append(added, p.record)
+			sent = append(sent, p)
 		}
 	}
 	if !assert.That(len(added) > 0, "claimBatchIsNotEmpty") {
 		return store.ErrDown
 	}
-	slice, version, records, body := b.read.EncodeAppend(added)
-	call, cancel := context.WithTimeout(ctx, callWithin)
+	slice, version, records, body := b.local.EncodeAppend(added)
+	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	l.Writes.Add(1)
 	l.Bytes.Add(int64(len(body)))
 	next, err := l.store.Put(call, Kind, sliceName(b.n, slice), version, body)
-	for _, o := range carried {
-		o.tried = o.tried || !errors.Is(err, store.ErrDown)
+	for _, p := range sent {
+		p.maybeWritten = p.maybeWritten || !errors.Is(err, store.ErrDown)
 	}
 	if err != nil {
 		return err
 	}
 	assert.That(next > version, "objectVersionsGrow")
 	l.Claims.Add(int64(len(added)))
-	b.read.ApplyWritten(slice, next, records)
+	b.local.ApplyWritten(slice, next, records)
 	return nil
 }
 
 // refresh reads the last known slice again and every slice after it; the first
 // time, all slices in one call.
 func (l *Log) refresh(ctx context.Context, b *bucket) error {
-	call, cancel := context.WithTimeout(ctx, callWithin)
+	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if !b.listed {
 		if err := l.list(call, b); err != nil {
 			return errors.Mark(err, store.ErrDown)
 		}
 	}
-	slice, _ := b.read.NextSlice()
+	slice, _ := b.local.NextSlice()
 	for {
 		l.Reads.Add(1)
 		o, err := l.store.Get(call, Kind, sliceName(b.n, slice))
 		if errors.Is(err, store.ErrNotFound) {
-			b.fresh = true
+			b.upToDate = true
 			return nil
 		}
 		if err != nil {
 			return errors.Mark(err, store.ErrDown)
 		}
-		if err := b.read.ApplyRead(slice, o.Version, o.Value); err != nil {
+		if err := b.local.ApplyRead(slice, o.Version, o.Value); err != nil {
 			return errors.Mark(err, store.ErrDown)
 		}
-		next, version := b.read.NextSlice()
+		next, version := b.local.NextSlice()
 		if version != 0 {
-			b.fresh = true
+			b.upToDate = true
 			return nil
 		}
 		slice = next
@@ -297,7 +297,7 @@
 		if o.Name != sliceName(b.n, i) {
 			return errors.Newf("claims: slice %d of bucket %d is missing", i, b.n)
 		}
-		if err := b.read.ApplyRead(i, o.Version, o.Value); err != nil {
+		if err := b.local.ApplyRead(i, o.Version, o.Value); err != nil {
 			return err
 		}
 	}
--- a/internal/claims/log_test.go
+++ b/internal/claims/log_test.go
@@ -57,24 +57,24 @@
 	return l
 }
 
-// won gathers which run won each key, over all claimants.
-type won struct {
+// winners gathers which run won each key, over all claimants.
+type winners struct {
 	mu sync.Mutex
-	// by holds the run that each claimant was told has the key.
-	by map[string]map[string]bool
-	// sure counts the claims that were told to have won.
-	sure map[string]int
+	// holders holds the run that each claimant was told has the key.
+	holders map[string]map[string]bool
+	// wins counts the claims that were told to have won.
+	wins map[string]int
 }
 
-func (w *won) add(key, run, holder string) {
+func (w *winners) add(key, run, holder string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.by[key] == nil {
-		w.by[key] = make(map[string]bool)
+	if w.holders[key] == nil {
+		w.holders[key] = make(map[string]bool)
 	}
-	w.by[key][holder] = true
+	w.holders[key][holder] = true
 	if holder == run {
-		w.sure[key]++
+		w.wins[key]++
 	}
 }
 
@@ -89,21 +89,21 @@
 }
 
 const (
-	racers   = 4
-	racedFor = 60
+	racers         = 4
+	claimsPerRacer = 60
 )
 
 func raceForKeys(t *testing.T, seed uint64) {
 	o, addr := startObjects(t, seed)
-	w := &won{by: make(map[string]map[string]bool), sure: make(map[string]int)}
+	w := &winners{holders: make(map[string]map[string]bool), wins: make(map[string]int)}
 	var notWritten sync.Map
 	var wg sync.WaitGroup
 	for racer := range racers {
 		l := startLog(t, addr)
 		rnd := rand.New(rand.NewPCG(seed, uint64(racer)))
-		for i := range racedFor {
+		for i := range claimsPerRacer {
 			wg.Add(1)
-			key := KeyOf("w", fmt.Sprint(rnd.IntN(racedFor/2)))
+			key := KeyOf("w", fmt.Sprint(rnd.IntN(claimsPerRacer/2)))
 			run := fmt.Sprintf("%d-%d", racer, i)
 			wait := time.Duration(rnd.IntN(300)) * time.Millisecond
 			go func() {
@@ -121,13 +121,13 @@
 			}()
 		}
 	}
-	drawFaults(o, rand.New(rand.NewPCG(seed, 99)))
+	injectFaults(o, rand.New(rand.NewPCG(seed, 99)))
 	wg.Wait()
 	checkRace(t, addr, w, &notWritten)
 }
 
-// drawFaults puts faults in force one after the other.
-func drawFaults(o *fakes.Objects, rnd *rand.Rand) {
+// injectFaults puts faults in force one after the other.
+func injectFaults(o *fakes.Objects, rnd *rand.Rand) {
 	for range 8 {
 		o.Set(fakes.Faults{
 			LoseAnswers: float64(rnd.IntN(3)) / 4,
@@ -139,15 +139,15 @@
 	o.Set(fakes.Faults{})
 }
 
-func checkRace(t *testing.T, addr netip.AddrPort, w *won, notWritten *sync.Map) {
+func checkRace(t *testing.T, addr netip.AddrPort, w *winners, notWritten *sync.Map) {
 	l := startLog(t, addr)
-	if len(w.by) == 0 {
+	if len(w.holders) == 0 {
 		t.Fatal("no claim was settled")
 	}
-	for key, holders := range w.by {
+	for key, holders := range w.holders {
 		held, err := l.Claim(t.Context(), claim.Record{Key: key, Run: "late"})
-		if err != nil || len(holders) != 1 || !holders[held.Run] || w.sure[key] > 1 {
-			t.Errorf("key %s: claimants heard of %v, %d were told to have won, the log says %q %v; want one and the same", key, holders, w.sure[key], held.Run, err)
+		if err != nil || len(holders) != 1 || !holders[held.Run] || w.wins[key] > 1 {
+			t.Errorf("key %s: claimants heard of %v, %d were told to have won, the log says %q %v; want one and the same", key, holders, w.wins[key], held.Run, err)
 		}
 	}
 	notWritten.Range(func(run, key any) bool {
@@ -219,8 +219,8 @@
 	}
 }
 
-// TestDoubt says "not written" only of claims that no write has carried.
-func TestDoubt(t *testing.T) {
+// TestOutcomeUnknown says "not written" only of claims that no write has carried.
+func TestOutcomeUnknown(t *testing.T) {
 	down := errors.Mark(errors.New("x"), store.ErrDown)
 	tests := []struct {
 		name string
--- a/internal/commit/apply.go
+++ b/internal/commit/apply.go
@@ -49,14 +49,14 @@
 // Error names the paths and who changed them.
 func (o *Overlap) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "the same paths were changed by others: %s", strings.Join(names(o.Paths), ", "))
+	fmt.Fprintf(&b, "the same paths were changed by others: %s", strings.Join(pathNames(o.Paths), ", "))
 	for _, c := range o.Changes {
 		fmt.Fprintf(&b, "\n  revision %d by %s at %s: %s", c.Revision, c.Author, c.At.Format(time.RFC3339), c.Reason)
 	}
 	return b.String()
 }
 
-func names(paths []string) []string {
+func pathNames(paths []string) []string {
 	out := make([]string, len(paths))
 	for i, p := range paths {
 		out[i] = config.PathName(p)
@@ -67,8 +67,8 @@
 // ErrNoChange says that an edit changes nothing.
 var ErrNoChange = errors.New("nothing differs from the revision you started from")
 
-// triesMost bounds how often a raced or lost write is tried again.
-const triesMost = 20
+// maxAttempts bounds how often a raced or lost write is tried again.
+const maxAttempts = 20
 
 // Apply moves the head to a revision with the edit and returns the change. It
 // returns the old change if one with the same ID was accepted before, an
@@ -76,8 +76,8 @@
 // if the whole would not be sound.
 func Apply(ctx context.Context, c *store.Client, e Edit) (config.Change, error) {
 	var last error
-	for range triesMost {
-		change, err := try(ctx, c, e)
+	for range maxAttempts {
+		change, err := applyOnce(ctx, c, e)
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnknown) {
 			last = err
 			continue
@@ -87,15 +87,15 @@
 	return config.Change{}, last
 }
 
-func try(ctx context.Context, c *store.Client, e Edit) (config.Change, error) {
+func applyOnce(ctx context.Context, c *store.Client, e Edit) (config.Change, error) {
 	head, version, err := spread.ReadHead(ctx, c)
 	if err != nil {
 		return config.Change{}, err
 	}
-	if done, ok := head.Has(e.ID); ok {
-		return done, nil
+	if applied, ok := head.Has(e.ID); ok {
+		return applied, nil
 	}
-	base, err := baseOf(ctx, c, head, e.Base)
+	base, err := readBase(ctx, c, head, e.Base)
 	if err != nil {
 		return config.Change{}, err
 	}
@@ -103,18 +103,18 @@
 	if len(edits) == 0 {
 		return config.Change{}, ErrNoChange
 	}
-	if err := overlap(base, head, edits); err != nil {
+	if err := checkOverlap(base, head, edits); err != nil {
 		return config.Change{}, err
 	}
 	next := head.Next(edits, config.Change{ID: e.ID, Author: e.Author, At: e.At, Reason: e.Reason})
-	if err := write(ctx, c, next, bodies, version); err != nil {
+	if err := writeRevision(ctx, c, next, bodies, version); err != nil {
 		return config.Change{}, err
 	}
 	return next.Changes[0], nil
 }
 
-// baseOf returns the head that the operator started from.
-func baseOf(ctx context.Context, c *store.Client, head config.Head, revision int64) (config.Head, error) {
+// readBase returns the head that the operator started from.
+func readBase(ctx context.Context, c *store.Client, head config.Head, revision int64) (config.Head, error) {
 	if revision < 0 || revision == head.Revision {
 		return head, nil
 	}
@@ -163,13 +163,13 @@
 	return edits, bodies
 }
 
-// overlap returns an *Overlap if a path of edits has another node now than at
+// checkOverlap returns an *Overlap if a path of edits has another node now than at
 // base and not the wanted one.
-func overlap(base, head config.Head, edits map[string]string) error {
+func checkOverlap(base, head config.Head, edits map[string]string) error {
 	o := &Overlap{}
 	for _, path := range slices.Sorted(maps.Keys(edits)) {
-		now := head.Nodes[path].Hash
-		if now != base.Nodes[path].Hash && now != edits[path] {
+		current := head.Nodes[path].Hash
+		if current != base.Nodes[path].Hash && current != edits[path] {
 			o.Paths = append(o.Paths, path)
 		}
 	}
@@ -184,8 +184,8 @@
 	return o
 }
 
-// write checks the whole, writes the nodes and moves the head.
-func write(ctx context.Context, c *store.Client, next config.Head, bodies map[string][]byte, version int64) error {
+// writeRevision checks the whole, writes the nodes and moves the head.
+func writeRevision(ctx context.Context, c *store.Client, next config.Head, bodies map[string][]byte, version int64) error {
 	all := maps.Clone(bodies)
 	for _, ref := range next.Nodes {
 		if _, ok := all[ref.Hash]; ok {
@@ -205,7 +205,7 @@
 		return err
 	}
 	for hash, body := range bodies {
-		if err := create(ctx, c, spread.KindNode, hash, body); err != nil {
+		if err := createOrReplace(ctx, c, spread.KindNode, hash, body); err != nil {
 			return err
 		}
 	}
@@ -213,15 +213,15 @@
 	if err != nil {
 		return err
 	}
-	if err := create(ctx, c, KindRevision, next.Changes[0].ID, text); err != nil {
+	if err := createOrReplace(ctx, c, KindRevision, next.Changes[0].ID, text); err != nil {
 		return err
 	}
 	_, err = c.Put(ctx, spread.KindHead, spread.NameHead, version, text)
 	return err
 }
 
-// create writes an object; an older try's object of the same name is replaced.
-func create(ctx context.Context, c *store.Client, kind, name string, body []byte) error {
+// createOrReplace writes an object; an older try's object of the same name is replaced.
+func createOrReplace(ctx context.Context, c *store.Client, kind, name string, body []byte) error {
 	_, err := c.Put(ctx, kind, name, 0, body)
 	if !errors.Is(err, store.ErrConflict) {
 		return err
--- a/internal/commit/apply_test.go
+++ b/internal/commit/apply_test.go
@@ -28,8 +28,8 @@
   b: {keyHashes: [], workloads: {y: {}}}
 `
 
-// start serves a stand-in platform with the tree as revision 1.
-func start(t *testing.T) (*fakes.Objects, *store.Client) {
+// startPlatform serves a stand-in platform with the tree as revision 1.
+func startPlatform(t *testing.T) (*fakes.Objects, *store.Client) {
 	t.Helper()
 	o := fakes.NewObjects(1)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,7 +55,7 @@
 	return Edit{ID: id, Author: "author of " + id, Reason: "reason of " + id, At: time.Unix(1, 0), Base: base, Nodes: f.Nodes()}
 }
 
-func with(old, now string) string { return strings.Replace(tree, old, now, 1) }
+func replaceInTree(old, now string) string { return strings.Replace(tree, old, now, 1) }
 
 func setting(t *testing.T, c *store.Client, workspace, key string) string {
 	t.Helper()
@@ -69,14 +69,14 @@
 // TestRace lets changes of different paths from one base both stand, and tells
 // the second of two changes of one path who was first and why.
 func TestRace(t *testing.T) {
-	_, c := start(t)
-	if _, err := Apply(t.Context(), c, edit(t, "one", 1, with("answerWithin: 10s", "answerWithin: 20s"))); err != nil {
+	_, c := startPlatform(t)
+	if _, err := Apply(t.Context(), c, edit(t, "one", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Apply(t.Context(), c, edit(t, "two", 1, with("b: {keyHashes: []", "b: {keyHashes: [], values: {concurrency: 7}"))); err != nil {
+	if _, err := Apply(t.Context(), c, edit(t, "two", 1, replaceInTree("b: {keyHashes: []", "b: {keyHashes: [], values: {concurrency: 7}"))); err != nil {
 		t.Errorf("another path: got %v, want nil", err)
 	}
-	_, err := Apply(t.Context(), c, edit(t, "three", 1, with("answerWithin: 10s", "answerWithin: 30s")))
+	_, err := Apply(t.Context(), c, edit(t, "three", 1, replaceInTree("answerWithin: 10s", "answerWithin: 30s")))
 	var o *Overlap
 	if !errors.As(err, &o) || len(o.Changes) != 1 || o.Changes[0].Author != "author of one" || !strings.Contains(err.Error(), "reason of one") {
 		t.Errorf("the same path: got %v, want an overlap with the first change", err)
@@ -89,7 +89,7 @@
 // TestManyOperators races operators on paths of their own while answers are
 // lost: each change is accepted exactly once, in one total order.
 func TestManyOperators(t *testing.T) {
-	o, c := start(t)
+	o, c := startPlatform(t)
 	var text strings.Builder
 	text.WriteString(strings.TrimRight(tree, "\n") + "\n")
 	const operators = 8
@@ -103,12 +103,12 @@
 	var wg sync.WaitGroup
 	for i := range operators {
 		wg.Add(1)
-		mine := edit(t, fmt.Sprint("op", i), 2, strings.Replace(text.String(), fmt.Sprintf("w%d: {keyHashes: [], values: {concurrency: 1}", i), fmt.Sprintf("w%d: {keyHashes: [], values: {concurrency: %d}", i, 100+i), 1))
+		change := edit(t, fmt.Sprint("op", i), 2, strings.Replace(text.String(), fmt.Sprintf("w%d: {keyHashes: [], values: {concurrency: 1}", i), fmt.Sprintf("w%d: {keyHashes: [], values: {concurrency: %d}", i, 100+i), 1))
 		go func() {
 			defer wg.Done()
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			defer cancel()
-			if _, err := Apply(ctx, c, mine); err != nil {
+			if _, err := Apply(ctx, c, change); err != nil {
 				t.Errorf("operator %d: got %v, want nil", i, err)
 			}
 		}()
@@ -133,13 +133,13 @@
 
 // TestSameChange does not apply a change twice whose answer was lost.
 func TestSameChange(t *testing.T) {
-	_, c := start(t)
-	mine := edit(t, "once", 1, with("answerWithin: 10s", "answerWithin: 20s"))
-	first, err := Apply(t.Context(), c, mine)
+	_, c := startPlatform(t)
+	change := edit(t, "once", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))
+	first, err := Apply(t.Context(), c, change)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Apply(t.Context(), c, mine)
+	again, err := Apply(t.Context(), c, change)
 	if err != nil || again.Revision != first.Revision {
 		t.Errorf("the same change again: got revision %d %v, want %d", again.Revision, err, first.Revision)
 	}
@@ -148,19 +148,19 @@
 // TestKilledTool kills the tool before each of its writes: nothing is half in
 // force, and the next change goes through.
 func TestKilledTool(t *testing.T) {
-	_, c := start(t)
-	mine := edit(t, "killed", 1, with("answerWithin: 10s", "answerWithin: 20s"))
+	_, c := startPlatform(t)
+	change := edit(t, "killed", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))
 	for writes := 0; ; writes++ {
-		left := writes
-		dying := *c
-		dying.Put = func(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
-			if left == 0 {
+		remaining := writes
+		failing := *c
+		failing.Put = func(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
+			if remaining == 0 {
 				return 0, errKilled
 			}
-			left--
+			remaining--
 			return c.Put(ctx, kind, name, ifVersion, value)
 		}
-		_, err := Apply(t.Context(), &dying, mine)
+		_, err := Apply(t.Context(), &failing, change)
 		if err == nil {
 			break
 		}
@@ -181,13 +181,13 @@
 // TestUnsound refuses a change that is sound alone but not with what another
 // operator has changed meanwhile.
 func TestUnsound(t *testing.T) {
-	_, c := start(t)
-	two := with(`"1": {pool: p, cost: 1, quality: 0.9}`, `"1": {pool: p, cost: 1, quality: 0.9}, "2": {pool: p, cost: 1, quality: 0.95}`)
-	if _, err := Apply(t.Context(), c, edit(t, "two versions", 1, two)); err != nil {
+	_, c := startPlatform(t)
+	twoVersions := replaceInTree(`"1": {pool: p, cost: 1, quality: 0.9}`, `"1": {pool: p, cost: 1, quality: 0.9}, "2": {pool: p, cost: 1, quality: 0.95}`)
+	if _, err := Apply(t.Context(), c, edit(t, "two versions", 1, twoVersions)); err != nil {
 		t.Fatal(err)
 	}
-	higher := strings.Replace(two, "workloads: {y: {}}", "workloads: {y: {values: {qualityTarget: 0.94}}}", 1)
-	if _, err := Apply(t.Context(), c, edit(t, "target", 2, higher)); err != nil {
+	higherTarget := strings.Replace(twoVersions, "workloads: {y: {}}", "workloads: {y: {values: {qualityTarget: 0.94}}}", 1)
+	if _, err := Apply(t.Context(), c, edit(t, "target", 2, higherTarget)); err != nil {
 		t.Fatal(err)
 	}
 	_, err := Apply(t.Context(), c, edit(t, "one version", 2, tree))
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -29,15 +29,15 @@
 )
 
 const (
-	// batchMost bounds the records of one object.
-	batchMost = 400
-	// bytesMost bounds the size of one object; it lies under the platform's
+	// maxBatchRecords bounds the records of one object.
+	maxBatchRecords = 400
+	// maxBatchBytes bounds the size of one object; it lies under the platform's
 	// limit.
-	bytesMost = store.MaxValue * 9 / 10
-	// waitAfterError is how long a failed write waits before it is repeated.
-	waitAfterError = config.Span(time.Second)
-	// putWithin bounds one write.
-	putWithin = 5 * time.Second
+	maxBatchBytes = store.MaxValue * 9 / 10
+	// retryDelay is how long a failed write waits before it is repeated.
+	retryDelay = config.Span(time.Second)
+	// putTimeout bounds one write.
+	putTimeout = 5 * time.Second
 )
 
 // Options shape a Writer.
@@ -91,13 +91,13 @@
 		return false
 	}
 	w.held = append(w.held, r)
-	if len(w.held)%batchMost == 0 {
-		w.poke()
+	if len(w.held)%maxBatchRecords == 0 {
+		w.signalWake()
 	}
 	return true
 }
 
-func (w *Writer[T]) poke() {
+func (w *Writer[T]) signalWake() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -136,7 +136,7 @@
 		case <-w.wake:
 			tick.Stop()
 		}
-		for w.writeOne(ctx) {
+		for w.writeBatch(ctx) {
 			if ctx.Err() != nil {
 				return nil
 			}
@@ -154,16 +154,16 @@
 		if ctx.Err() != nil {
 			return errors.Wrapf(ctx.Err(), "ledger: %d records of %s are not written", held, w.opts.Kind)
 		}
-		if !w.writeOne(ctx) {
-			tasks.Pause(ctx, waitAfterError.After(time.Now()))
+		if !w.writeBatch(ctx) {
+			tasks.Pause(ctx, retryDelay.After(time.Now()))
 		}
 	}
 }
 
-// writeOne writes the oldest batch and reports whether it was confirmed.
-func (w *Writer[T]) writeOne(ctx context.Context) bool {
+// writeBatch writes the oldest batch and reports whether it was confirmed.
+func (w *Writer[T]) writeBatch(ctx context.Context) bool {
 	w.mu.Lock()
-	batch := w.held[:min(len(w.held), batchMost)]
+	batch := w.held[:min(len(w.held), maxBatchRecords)]
 	name := fmt.Sprintf("%s-%08d", w.opts.Prefix, w.seq)
 	w.mu.Unlock()
 	if len(batch) == 0 {
@@ -174,17 +174,17 @@
 		w.log.Error("ledger: A batch does not encode.", logs.Err(err))
 		return false
 	}
-	put, cancel := context.WithTimeout(ctx, putWithin)
+	put, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	_, err = w.store.Put(put, w.opts.Kind, name, 0, body)
 	if errors.Is(err, store.ErrConflict) {
-		return w.settle(put, name)
+		return w.confirmStored(put, name)
 	}
 	if err != nil {
 		w.log.Warn("ledger: A batch could not be written.", zap.String("name", name), logs.Err(err))
 		return false
 	}
-	w.confirmed(len(batch))
+	w.markConfirmed(len(batch))
 	return true
 }
 
@@ -192,17 +192,17 @@
 func (w *Writer[T]) encode(batch []T) ([]T, []byte, error) {
 	for {
 		body, err := w.opts.Encode(batch)
-		if err != nil || len(body) <= bytesMost || len(batch) == 1 {
+		if err != nil || len(body) <= maxBatchBytes || len(batch) == 1 {
 			return batch, body, err
 		}
 		batch = batch[:len(batch)/2]
 	}
 }
 
-// settle reads back an object whose earlier write took effect though its
+// confirmStored reads back an object whose earlier write took effect though its
 // answer was lost. The batch may have grown since: what the object holds is
 // confirmed.
-func (w *Writer[T]) settle(ctx context.Context, name string) bool {
+func (w *Writer[T]) confirmStored(ctx context.Context, name string) bool {
 	o, err := w.store.Get(ctx, w.opts.Kind, name)
 	if err != nil {
 		return false
@@ -211,11 +211,11 @@
 	if err := json.Unmarshal(o.Value, &written); err != nil {
 		return false
 	}
-	w.confirmed(len(written))
+	w.markConfirmed(len(written))
 	return true
 }
 
-func (w *Writer[T]) confirmed(n int) {
+func (w *Writer[T]) markConfirmed(n int) {
 	w.mu.Lock()
 	n = min(n, len(w.held))
 	batch := append([]T(nil), w.held[:n]...)
--- a/internal/ledger/writer_test.go
+++ b/internal/ledger/writer_test.go
@@ -15,29 +15,29 @@
 	"github.com/traildrift/traildrift/internal/store"
 )
 
-// memory is a store whose puts answer as told.
-type memory struct {
+// scriptedStore is a store whose puts answer as told.
+type scriptedStore struct {
 	objects map[string][]byte
-	// answers says, put by put, what happens: ok, lost (written, answer
+	// outcomes says, put by put, what happens: ok, lost (written, answer
 	// lost) or down.
-	answers []string
+	outcomes []string
 }
 
-func (m *memory) client() *store.Client {
+func (m *scriptedStore) client() *store.Client {
 	return &store.Client{
 		Put: func(_ context.Context, _, name string, _ int64, value []byte) (int64, error) {
-			what := "ok"
-			if len(m.answers) > 0 {
-				what, m.answers = m.answers[0], m.answers[1:]
+			outcome := "ok"
+			if len(m.outcomes) > 0 {
+				outcome, m.outcomes = m.outcomes[0], m.outcomes[1:]
 			}
-			if what == "down" {
+			if outcome == "down" {
 				return 0, store.ErrDown
 			}
 			if _, ok := m.objects[name]; ok {
 				return 0, store.ErrConflict
 			}
 			m.objects[name] = append([]byte(nil), value...)
-			if what == "lost" {
+			if outcome == "lost" {
 				return 0, store.ErrUnknown
 			}
 			return 1, nil
@@ -55,7 +55,7 @@
 // TestLostAnswers writes every record exactly once though answers are lost and
 // records are added between a write and its repeat.
 func TestLostAnswers(t *testing.T) {
-	m := &memory{objects: make(map[string][]byte), answers: []string{"down", "lost", "down", "ok", "lost", "lost"}}
+	m := &scriptedStore{objects: make(map[string][]byte), outcomes: []string{"down", "lost", "down", "ok", "lost", "lost"}}
 	var confirmed []string
 	w := New(zap.NewNop(), m.client(), Options[string]{Kind: "k", Prefix: "p", MaxRecords: 5, OnWritten: func(b []string) { confirmed = append(confirmed, b...) }})
 	want := []string{}
@@ -65,7 +65,7 @@
 			t.Fatalf("record %s was lost", r)
 		}
 		want = append(want, r)
-		w.writeOne(t.Context())
+		w.writeBatch(t.Context())
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestBound counts what does not fit as lost.
-func TestBound(t *testing.T) {
-	w := New(zap.NewNop(), (&memory{objects: map[string][]byte{}}).client(), Options[int]{Kind: "k", Prefix: "p", MaxRecords: 2})
+// TestFullBuffer counts what does not fit as lost.
+func TestFullBuffer(t *testing.T) {
+	w := New(zap.NewNop(), (&scriptedStore{objects: map[string][]byte{}}).client(), Options[int]{Kind: "k", Prefix: "p", MaxRecords: 2})
 	for i := range 5 {
 		w.Add(i)
 	}
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestLargeBatch cuts a batch that would outgrow an object.
-func TestLargeBatch(t *testing.T) {
-	m := &memory{objects: make(map[string][]byte)}
+// TestLargeBatchIsSplit cuts a batch that would outgrow an object.
+func TestLargeBatchIsSplit(t *testing.T) {
+	m := &scriptedStore{objects: make(map[string][]byte)}
 	w := New(zap.NewNop(), m.client(), Options[string]{Kind: "k", Prefix: "p", MaxRecords: 100})
 	big := string(make([]byte, 100<<10))
 	for range 12 {
--- a/internal/proc/life.go
+++ b/internal/proc/life.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// defaultStopWithin is how long a planned stop may take without a setting.
-const defaultStopWithin = 60 * time.Second
+// defaultStopTimeout is how long a planned stop may take without a setting.
+const defaultStopTimeout = 60 * time.Second
 
 // Stages are the two steps of a process's end.
 type Stages struct {
@@ -38,7 +38,7 @@
 		case <-kill.Done():
 			return
 		}
-		deadline := time.Now().Add(defaultStopWithin)
+		deadline := time.Now().Add(defaultStopTimeout)
 		if c.StopWithin > 0 {
 			deadline = c.StopWithin.After(time.Now())
 		}
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -145,12 +145,12 @@
 	})
 }
 
-// quietPoll is how often a stopping process looks for open messages.
-const quietPoll = time.Millisecond
+// drainPollInterval is how often a stopping process looks for open messages.
+const drainPollInterval = time.Millisecond
 
 // Drain waits until every message that peers sent is answered, or ctx is done.
 func (p *Proc) Drain(ctx context.Context) error {
-	t := time.NewTicker(quietPoll)
+	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 	for p.Local.Handling.Load() > 0 {
 		select {
@@ -203,8 +203,8 @@
 		Memory:     admin.ReadMemory(),
 		Changes:    p.Holder.Current().Head.Changes,
 	}
-	if len(s.Changes) > dumpedChanges {
-		s.Changes = s.Changes[:dumpedChanges]
+	if len(s.Changes) > maxDumpedChanges {
+		s.Changes = s.Changes[:maxDumpedChanges]
 	}
 	if role != nil {
 		s.Role = role()
@@ -216,8 +216,8 @@
 // kinds make 148 a second.
 const defaultWriteEvery = config.Span(5 * time.Second)
 
-// dumpedChanges is how many settings changes a dump shows.
-const dumpedChanges = 5
+// maxDumpedChanges is how many settings changes a dump shows.
+const maxDumpedChanges = 5
 
 // LinkAddr returns where the process listens for its peers.
 func (p *Proc) LinkAddr() netip.AddrPort { return p.linkLn.Addr().(*net.TCPAddr).AddrPort() }
--- a/internal/proc/settings.go
+++ b/internal/proc/settings.go
@@ -49,7 +49,7 @@
 			report(key, "0s (the default) or more is allowed")
 		}
 	}
-	c.checkDoors(report)
+	c.checkAccess(report)
 	switch c.LogLevel {
 	case "", "debug", "info", "warn", "error":
 	default:
@@ -57,8 +57,8 @@
 	}
 }
 
-// checkDoors checks who may come in.
-func (c *Common) checkDoors(report func(key, message string)) {
+// checkAccess checks who may come in.
+func (c *Common) checkAccess(report func(key, message string)) {
 	if c.Operators.IsValid() && !c.Operators.Addr().IsLoopback() && c.OperatorsToken == "" {
 		report("operators", "off loopback only with operatorsToken")
 	}
@@ -85,15 +85,15 @@
 	if err := config.Decode(file, text, dst); err != nil && !errors.As(err, &ps) {
 		return err
 	}
-	told := make(map[int]bool)
+	reported := make(map[int]bool)
 	for _, p := range ps {
-		told[p.Line] = true
+		reported[p.Line] = true
 	}
 	lines := config.NewLines(text)
 	dst.Check(func(key, message string) {
 		line := lines.Of(key)
 		// Keys that are missing have the document's first line.
-		if line <= 1 || !told[line] {
+		if line <= 1 || !reported[line] {
 			ps = append(ps, config.Problem{File: file, Line: line, Key: key, Message: message})
 		}
 	})
--- a/internal/proc/settings_test.go
+++ b/internal/proc/settings_test.go
@@ -14,7 +14,7 @@
 
 // All that is wrong with a file is told at once: keys that are unknown, values of
 // the wrong type, and what the settings themselves do not allow.
-func TestLoadTellsEveryProblem(t *testing.T) {
+func TestLoadReportsEveryProblem(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.yaml")
 	text := "vm: x\nlink: 1\navailabilityZone: z\ncolour: red\nkeys: k\nlogLevel: loud\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
--- a/internal/rolls/driver.go
+++ b/internal/rolls/driver.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	// stepEvery is how often a driver looks at the board.
-	stepEvery = config.Span(time.Second)
-	// callWithin bounds the calls of one step to the platform.
-	callWithin = 5 * time.Second
-	// loadWithin is how long a load may go without being reported.
-	loadWithin = config.Span(2 * time.Minute)
+	// stepInterval is how often a driver looks at the board.
+	stepInterval = config.Span(time.Second)
+	// stepTimeout bounds the calls of one step to the platform.
+	stepTimeout = 5 * time.Second
+	// loadTimeout is how long a load may go without being reported.
+	loadTimeout = config.Span(2 * time.Minute)
 )
 
 // Read returns the board and the version of its object; an empty board with
@@ -67,14 +67,14 @@
 	return c.Put(ctx, Kind, Name, version, body)
 }
 
-// triesMost bounds how often a raced update is tried again.
-const triesMost = 20
+// maxAttempts bounds how often a raced update is tried again.
+const maxAttempts = 20
 
 // Update changes the board by one conditional update, reading it again while
 // others are first.
 func Update(ctx context.Context, c *store.Client, change func(*roll.Board) error) error {
 	var last error
-	for range triesMost {
+	for range maxAttempts {
 		b, version, err := Read(ctx, c)
 		if err != nil {
 			return err
@@ -116,7 +116,7 @@
 				d.Log.Warn("rollouts: A step was not taken.", logs.Err(err))
 			}
 		}
-		tasks.Pause(ctx, stepEvery.After(time.Now()))
+		tasks.Pause(ctx, stepInterval.After(time.Now()))
 	}
 	return nil
 }
@@ -124,13 +124,13 @@
 // Step reads the board and takes one step. A step that another process has
 // taken meanwhile is not an error.
 func (d *Driver) Step(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	b, version, err := Read(ctx, d.Store)
 	if err != nil || len(b.Rollouts) == 0 {
 		return err
 	}
-	plan := b.Step(&roll.StepInput{Now: d.Now(), VMs: d.VMs(), HasVersion: d.HasVersion, GiveUpAt: loadWithin.After})
+	plan := b.Step(&roll.StepInput{Now: d.Now(), VMs: d.VMs(), HasVersion: d.HasVersion, GiveUpAt: loadTimeout.After})
 	if plan.Changed {
 		version, err = write(ctx, d.Store, &b, version)
 		if errors.Is(err, store.ErrConflict) {
@@ -144,16 +144,16 @@
 		d.SendOrder(o.VM, wire.Order{Fence: version, Model: o.Model, Version: o.Version})
 	}
 	for i := range b.Rollouts {
-		if err := d.settle(ctx, &b.Rollouts[i]); err != nil {
+		if err := d.applyPendingChange(ctx, &b.Rollouts[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// settle makes the settings change that a roll-out asks for, and notes that it
+// applyPendingChange makes the settings change that a roll-out asks for, and notes that it
 // was accepted.
-func (d *Driver) settle(ctx context.Context, r *roll.Rollout) error {
+func (d *Driver) applyPendingChange(ctx context.Context, r *roll.Rollout) error {
 	c, ok := r.PendingChange()
 	if !ok {
 		return nil
@@ -163,7 +163,7 @@
 		return err
 	}
 	nodes := snap.Nodes()
-	if nodes[""], ok = withVersion(nodes[""], &c); !ok {
+	if nodes[""], ok = withChange(nodes[""], &c); !ok {
 		return errors.Newf("rollouts: the settings have no %s", r.Name())
 	}
 	change, err := commit.Apply(ctx, d.Store, commit.Edit{ID: c.ID, Author: r.Author, Reason: c.Reason, At: d.Now(), Base: snap.Head.Revision, Nodes: nodes})
@@ -177,8 +177,8 @@
 	})
 }
 
-// withVersion returns the fleet node with the change made to its version.
-func withVersion(n config.Node, c *roll.Change) (config.Node, bool) {
+// withChange returns the fleet node with the change made to its version.
+func withChange(n config.Node, c *roll.Change) (config.Node, bool) {
 	v, ok := n.Models[c.Model].Versions[c.Version]
 	if !ok {
 		return n, false
@@ -194,8 +194,8 @@
 	models := make(map[string]config.Model, len(n.Models))
 	for name, m := range n.Models {
 		versions := make(map[string]config.Version, len(m.Versions))
-		for k, old := range m.Versions {
-			versions[k] = old
+		for k, version := range m.Versions {
+			versions[k] = version
 		}
 		models[name] = config.Model{Versions: versions}
 	}
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -25,8 +25,8 @@
 // IsSet reports whether files are named.
 func (f Files) IsSet() bool { return f.Cert != "" || f.Key != "" || f.CA != "" }
 
-// lookAgain is how long a reading of the files counts.
-const lookAgain = time.Second
+// refreshInterval is how long a reading of the files counts.
+const refreshInterval = time.Second
 
 // Source reads the files again when they have changed. Use NewSource.
 type Source struct {
@@ -35,8 +35,8 @@
 	// cert and pool are the last good reading; a bad one is not taken over.
 	cert *tls.Certificate
 	pool *x509.CertPool
-	// lookAt is when the files are looked at again.
-	lookAt time.Time
+	// refreshAt is when the files are looked at again.
+	refreshAt time.Time
 }
 
 // NewSource reads the files once and returns an error if they are not sound.
@@ -64,7 +64,7 @@
 		}
 	}
 	s.cert, s.pool = &cert, pool
-	s.lookAt = time.Now().Add(lookAgain)
+	s.refreshAt = time.Now().Add(refreshInterval)
 	return nil
 }
 
@@ -73,9 +73,9 @@
 func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().After(s.lookAt) {
+	if time.Now().After(s.refreshAt) {
 		if err := s.read(); err != nil {
-			s.lookAt = time.Now().Add(lookAgain)
+			s.refreshAt = time.Now().Add(refreshInterval)
 		}
 	}
 	return s.cert, s.pool
@@ -119,13 +119,13 @@
 		return errors.New("secure: the peer shows no certificate")
 	}
 	_, pool := s.current()
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
 		Roots:         pool,
-		Intermediates: between,
+		Intermediates: intermediates,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	return err
