--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package admin is the operators' listener of a process: metrics, a dump of
-// its state and the explanation of recent requests.
+// Package admin serves a process's HTTP endpoints for operators: metrics in Prometheus
+// format, a dump of the state and explanations of recent requests, both as JSON.
 package admin
 
 import (
@@ -20,23 +20,29 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 )
 
-// Server answers operators. Use New.
+// Server handles the HTTP requests of operators. It must be created with New or
+// NewMetrics.
 type Server struct {
-	// Scope is the root of the process's metrics.
-	Scope   tally.Scope
+	// Scope is the root scope of the process's metrics.
+	Scope tally.Scope
+	// token is the bearer token that requests must have; empty for none.
 	token   string
 	state   func() any
 	explain func(string) ([]byte, bool)
 	metrics fasthttp.RequestHandler
 	http    *fasthttp.Server
-	closer  interface{ Close() error }
+	// closer stops the reporting of Scope.
+	closer interface{ Close() error }
 }
 
-// reportInterval is how often metrics are handed to the reporter.
+// reportInterval is the interval at which Scope passes metrics to the Prometheus reporter.
 const reportInterval = time.Second
 
-// New returns a server that asks for token, unless it is empty. state and
-// explain say what is shown; explain may be nil.
+// New returns a server that requires token as the bearer token of every request, unless
+// token is empty. /metrics serves the metrics of Scope. /debug/state serves the value that
+// state returns, as JSON, and is not found if state is nil. /explain?id= serves the JSON
+// that explain returns for a request ID, and is not found if explain is nil or returns
+// false.
 func New(token string, state func() any, explain func(string) ([]byte, bool)) *Server {
 	registry := prometheus.NewRegistry()
 	reporter := promreport.NewReporter(promreport.Options{Registerer: registry})
@@ -53,16 +59,16 @@
 	return s
 }
 
-// NewMetrics returns a server that answers /metrics alone, to everybody.
+// NewMetrics returns a server that serves only /metrics and requires no token.
 func NewMetrics() *Server { return New("", nil, nil) }
 
-// readTimeout bounds the reading of a request.
+// readTimeout is the timeout of reading a request.
 const readTimeout = 10 * time.Second
 
-// Serve answers on ln until Close.
+// Serve accepts connections on ln until Close is called or the listener fails.
 func (s *Server) Serve(ln net.Listener) error { return s.http.Serve(ln) }
 
-// Close ends the server.
+// Close shuts the server down, waits for open connections and stops reporting metrics.
 func (s *Server) Close() {
 	_ = s.http.Shutdown()
 	_ = s.closer.Close()
@@ -89,6 +95,7 @@
 	}
 }
 
+// authorized reports whether a request has the token. The comparison takes constant time.
 func (s *Server) authorized(ctx *fasthttp.RequestCtx) bool {
 	if s.token == "" {
 		return true
@@ -97,6 +104,7 @@
 	return subtle.ConstantTimeCompare(got, []byte("Bearer "+s.token)) == 1
 }
 
+// reply responds with v as indented JSON.
 func (s *Server) reply(ctx *fasthttp.RequestCtx, v any) {
 	body, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
@@ -118,16 +126,20 @@
 	ctx.Error("the request is not known here", fasthttp.StatusNotFound)
 }
 
-// Memory is the process's memory, in bytes; Mallocs counts allocations since
-// the start.
+// Memory is a snapshot of the Go runtime's memory statistics; see runtime.MemStats.
 type Memory struct {
-	HeapAlloc  uint64 `json:"heapAlloc"`
-	Sys        uint64 `json:"sys"`
-	Mallocs    uint64 `json:"mallocs"`
-	Goroutines int    `json:"goroutines"`
+	// HeapAlloc is the size of the allocated heap objects, Sys the memory obtained from
+	// the operating system, both in bytes.
+	HeapAlloc uint64 `json:"heapAlloc"`
+	Sys       uint64 `json:"sys"`
+	// Mallocs is the number of heap objects allocated since the start of the process.
+	Mallocs uint64 `json:"mallocs"`
+	// Goroutines is the present number of goroutines.
+	Goroutines int `json:"goroutines"`
 }
 
-// ReadMemory reads the memory of this process.
+// ReadMemory returns the memory statistics of this process. It stops all goroutines
+// briefly.
 func ReadMemory() Memory {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package claims writes the claim log to the platform: many claims in one
-// conditional update while the update before is in flight.
+// Package claims reads and writes the claim log on the platform; see pkg/claim for its
+// structure. Claims that arrive while an update of their bucket is in flight are written
+// together by the next conditional update.
 package claims
 
 import (
@@ -26,80 +27,91 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Kind is the kind of the slices' objects.
+// Kind is the kind of the objects that hold slices.
 const Kind = "claims"
 
 const (
-	// ErrNotWritten says that the claim is not in the log and will not be.
+	// ErrNotWritten reports that the claim is not in the log and will not be.
 	ErrNotWritten fault.Const = "claims: the platform did not take the claim"
-	// ErrOutcomeUnknown says that the claim may be in the log, now or later.
+	// ErrOutcomeUnknown reports that the claim may be in the log or may yet appear
+	// there.
 	ErrOutcomeUnknown fault.Const = "claims: the claim may have been taken"
 )
 
 const (
-	// Buckets is how many buckets there are; it must be the same in every
-	// process of a fleet.
+	// Buckets is the number of buckets of the log. It must be the same in all processes
+	// of a fleet, as it determines the bucket of each key.
 	Buckets = 4
-	// minWriteInterval is the least time between two updates of a bucket, so that all
-	// buckets together make at most 200 writes a second. The first claim after
-	// a quiet time does not wait.
+	// minWriteInterval is the minimum time between two updates of a bucket. It limits
+	// all buckets together to 200 writes per second for each process. A claim that
+	// arrives after an idle period is written at once.
 	minWriteInterval = config.Span(20 * time.Millisecond)
-	// maxQueuedClaims bounds the claims that wait for one bucket.
+	// maxQueuedClaims is the maximum number of claims in the queue of a bucket.
 	maxQueuedClaims = 4096
-	// maxBatchClaims bounds the claims of one update.
+	// maxBatchClaims is the maximum number of claims that are handled together.
 	maxBatchClaims = 256
-	// callTimeout bounds one call to the platform.
+	// callTimeout is the timeout of a write to the platform, and of all reads that
+	// bring a bucket up to date.
 	callTimeout = 2 * time.Second
 )
 
-// KeyOf returns the hash that names a workspace's key in the log.
+// KeyOf returns the key of a claim record: a hash of the workspace and of the key that
+// the caller sent, as 32 hexadecimal digits.
 func KeyOf(workspace, key string) string {
 	h := sha256.Sum256([]byte(workspace + "\x00" + key))
 	return hex.EncodeToString(h[:16])
 }
 
-// BucketOf returns the bucket of a hashed key.
+// BucketOf returns the index of the bucket of a key that KeyOf returned, 0 to Buckets-1.
 func BucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
 
-// Log is a process's access to the claim log. Use New.
+// Log reads and writes the claim log for one process. It must be created with New.
 type Log struct {
 	log     *zap.Logger
 	store   *store.Client
 	buckets [Buckets]*bucket
-	// Writes, Reads and Claims count the platform's calls and what they
-	// carried; Bytes the bytes written.
+	// Writes and Reads count the write and read calls to the platform, Claims the claims
+	// in successful writes, Bytes the bytes of the bodies of all write calls.
 	Writes, Reads, Claims, Bytes atomic.Int64
 }
 
-// pendingClaim is one claim that waits for the log.
+// pendingClaim is a claim whose caller waits for the result.
 type pendingClaim struct {
 	ctx    context.Context
 	record claim.Record
-	// maybeWritten says that a write with the record was sent and not refused: from
-	// then on its absence proves nothing while that write may be in flight.
+	// maybeWritten says that a write with the record was sent and did not fail with
+	// store.ErrDown. From then on the record may appear in the log later, as the write
+	// may still be in flight.
 	maybeWritten bool
-	done         chan result
+	// done has capacity 1 and receives the result.
+	done chan result
 }
 
+// result is the result of a claim: the record that holds the key, or an error.
 type result struct {
 	winner claim.Record
 	err    error
 }
 
+// bucket is the state of one bucket. Only the goroutine of Run uses the fields other than
+// n and queue.
 type bucket struct {
+	// n is the index of the bucket.
 	n     int
 	queue chan *pendingClaim
-	// local is only used by the bucket's goroutine.
+	// local is the local copy of the bucket.
 	local claim.Bucket
-	// listed says that the bucket was read once as a whole.
+	// listed says that local has been initialized from a listing of all slices.
 	listed bool
-	// nextWrite is when the bucket may be updated again.
+	// nextWrite is the earliest time of the next update.
 	nextWrite time.Time
-	// upToDate says that read was in step with the platform at the last call.
+	// upToDate says that the last call read local from the platform or wrote it there;
+	// it is reset when a write fails.
 	upToDate bool
 }
 
-// New returns a log; Run must be started before Claim.
+// New returns the claim log that is stored at c. Run must run for each bucket for claims
+// to be handled.
 func New(l *zap.Logger, c *store.Client) *Log {
 	out := &Log{log: l, store: c}
 	for i := range out.buckets {
@@ -108,8 +120,10 @@
 	return out
 }
 
-// Claim enters a claim and returns the one that stands for its key: the
-// caller's own if it won. The error is ErrNotWritten or ErrOutcomeUnknown.
+// Claim appends a claim to the log if its key is free and returns the claim that holds
+// the key afterwards: r itself, or the one of another process. The error is ErrNotWritten
+// if the platform does not answer or the queue is full, or ErrOutcomeUnknown if the
+// platform does not answer after a write or ctx is done first.
 func (l *Log) Claim(ctx context.Context, r claim.Record) (claim.Record, error) {
 	p := &pendingClaim{ctx: ctx, record: r, done: make(chan result, 1)}
 	select {
@@ -125,7 +139,8 @@
 	}
 }
 
-// Run serves one bucket until ctx is done.
+// Run handles the claims on bucket n until ctx is done, and returns nil. Only one
+// goroutine may run it for a bucket.
 func (l *Log) Run(ctx context.Context, n int) error {
 	b := l.buckets[n]
 	for {
@@ -140,7 +155,7 @@
 	}
 }
 
-// collectBatch takes everything that waits, up to the size of a batch.
+// collectBatch returns first and the claims in the queue, at most maxBatchClaims.
 func (b *bucket) collectBatch(first *pendingClaim) []*pendingClaim {
 	batch := []*pendingClaim{first}
 	for len(batch) < maxBatchClaims {
@@ -154,7 +169,10 @@
 	return batch
 }
 
-// commit settles every op: won, held by another, not written or in doubt.
+// commit handles claims until each has a result: it reads the bucket if the local copy is
+// out of date, answers the claims on held keys and writes the others. After a lost race
+// or a write of unknown outcome it starts again; if the platform does not answer, all
+// that are left fail.
 func (l *Log) commit(ctx context.Context, b *bucket, pending []*pendingClaim) {
 	for len(pending) > 0 {
 		pending = dropCanceled(pending)
@@ -178,7 +196,8 @@
 	}
 }
 
-// dropCanceled drops the ops whose caller waits no more.
+// dropCanceled returns the claims whose context is not done. The others get
+// ErrOutcomeUnknown.
 func dropCanceled(pending []*pendingClaim) []*pendingClaim {
 	var remaining []*pendingClaim
 	for _, p := range pending {
@@ -191,10 +210,11 @@
 	return remaining
 }
 
-// failAll answers ops while the platform does not answer. A claim that no write
-// has carried is certainly not in the log.
+// failAll fails claims because the platform does not answer. A claim that no write has
+// included is certainly not in the log and gets ErrNotWritten, the others
+// ErrOutcomeUnknown.
 func (l *Log) failAll(pending []*pendingClaim, err error) {
-	l.log.Warn("claims: The platform does not answer.", zap.Int("claims", len(pending)), logs.Err(err))
+	l.log.Warn("claims: The platform does not answer; the pending claims have failed.", zap.Int("claims", len(pending)), logs.Err(err))
 	for _, p := range pending {
 		if p.maybeWritten {
 			p.done <- result{err: ErrOutcomeUnknown}
@@ -204,9 +224,8 @@
 	}
 }
 
-// answerDecided answers the ops whose key has a claim, the own one or another's, and
-// returns those that still have to be written. Of several ops on one key only
-// the first is written in a batch.
+// answerDecided answers the claims whose key is held, by themselves or by another claim,
+// according to the local copy. It returns the others, which have to be written.
 func (b *bucket) answerDecided(pending []*pendingClaim) []*pendingClaim {
 	var remaining []*pendingClaim
 	for _, p := range pending {
@@ -220,7 +239,9 @@
 	return remaining
 }
 
-// write sends one update with the first op of each key.
+// write writes one update with the first pending claim on each key. The other claims on
+// the key are answered once it is written. If the update fails, the local copy does not
+// change.
 func (l *Log) write(ctx context.Context, b *bucket, pending []*pendingClaim) error {
 	seenKeys := make(map[string]bool)
 	var added []claim.Record
@@ -253,8 +274,9 @@
 	return nil
 }
 
-// refresh reads the last known slice again and every slice after it; the first
-// time, all slices in one call.
+// refresh brings the local copy up to date: it reads the last slice of the copy again and
+// all slices after it. The first time, it lists all slices before. Its errors are marked
+// as store.ErrDown.
 func (l *Log) refresh(ctx context.Context, b *bucket) error {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -286,7 +308,7 @@
 	}
 }
 
-// list reads every slice of a bucket.
+// list reads all slices of a bucket in one call. It returns an error if one is missing.
 func (l *Log) list(ctx context.Context, b *bucket) error {
 	l.Reads.Add(1)
 	objects, err := l.store.List(ctx, Kind, fmt.Sprintf("%02d-", b.n))
--- a/internal/claims/log_test.go
+++ b/internal/claims/log_test.go
@@ -26,7 +26,7 @@
 
 func init() { assert.SetFatal() }
 
-// startObjects serves a stand-in platform until the test ends.
+// startObjects serves a fake platform until the test ends.
 func startObjects(t testing.TB, seed uint64) (*fakes.Objects, netip.AddrPort) {
 	t.Helper()
 	o := fakes.NewObjects(seed)
@@ -39,7 +39,7 @@
 	return o, ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// startLog runs a log as one entry would, until the test ends.
+// startLog runs a log with all its buckets, as an entry does, until the test ends.
 func startLog(t testing.TB, addr netip.AddrPort) *Log {
 	t.Helper()
 	c := store.New(addr)
@@ -57,12 +57,12 @@
 	return l
 }
 
-// winners gathers which run won each key, over all claimants.
+// winners collects the results of all claims by key.
 type winners struct {
 	mu sync.Mutex
-	// holders holds the run that each claimant was told has the key.
+	// holders holds, by key, the runs that were returned as holder of the key.
 	holders map[string]map[string]bool
-	// wins counts the claims that were told to have won.
+	// wins counts, by key, the claims that were returned as their own winner.
 	wins map[string]int
 }
 
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestOneWinner races four entries that all believe they own every bucket, for
-// the same keys, while the platform loses answers, slows down and goes down.
-// Every claimant that hears of a winner hears of the same one, one run wins at
-// most, and a claim said not to be written is not in the log at the end.
+// TestOneWinner runs four entries that all write every bucket and claim the same keys
+// concurrently, while the platform loses responses, is slow and is down. All claims on a
+// key that get a result must get the same holder, at most one run may win, and a claim
+// that failed with ErrNotWritten must not be in the log at the end.
 func TestOneWinner(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { raceForKeys(t, seed) })
@@ -126,7 +126,7 @@
 	checkRace(t, addr, w, &notWritten)
 }
 
-// injectFaults puts faults in force one after the other.
+// injectFaults applies 8 random sets of faults for 50 ms each, then none.
 func injectFaults(o *fakes.Objects, rnd *rand.Rand) {
 	for range 8 {
 		o.Set(fakes.Faults{
@@ -147,19 +147,20 @@
 	for key, holders := range w.holders {
 		held, err := l.Claim(t.Context(), claim.Record{Key: key, Run: "late"})
 		if err != nil || len(holders) != 1 || !holders[held.Run] || w.wins[key] > 1 {
-			t.Errorf("key %s: claimants heard of %v, %d were told to have won, the log says %q %v; want one and the same", key, holders, w.wins[key], held.Run, err)
+			t.Errorf("key %s: claims returned the holders %v and %d wins, the log has %q %v; want one holder, the same in the log, and at most 1 win", key, holders, w.wins[key], held.Run, err)
 		}
 	}
 	notWritten.Range(func(run, key any) bool {
 		held, err := l.Claim(t.Context(), claim.Record{Key: key.(string), Run: "later"})
 		if err != nil || held.Run == run {
-			t.Errorf("run %v was said not to be written: got %q %v in the log", run, held.Run, err)
+			t.Errorf("run %v failed with ErrNotWritten: got %q %v in the log, want another run", run, held.Run, err)
 		}
 		return true
 	})
 }
 
-// TestLostAnswer settles a write whose answer was lost by reading it back.
+// TestLostAnswer loses the responses of all writes. Claim must read the log back and find
+// its own record there.
 func TestLostAnswer(t *testing.T) {
 	o, addr := startObjects(t, 1)
 	o.Set(fakes.Faults{LoseAnswers: 1})
@@ -170,7 +171,8 @@
 	}
 }
 
-// TestGenerations lets a closed run's key be claimed again, once.
+// TestGenerations claims a key in two generations from two processes. Only the first
+// claim of a generation may win, and only if the generation follows that of the holder.
 func TestGenerations(t *testing.T) {
 	_, addr := startObjects(t, 1)
 	a, b := startLog(t, addr), startLog(t, addr)
@@ -196,7 +198,8 @@
 	}
 }
 
-// TestManySlices fills slices and finds every claim again from nothing.
+// TestManySlices writes claims that fill several slices. A log that starts afterwards,
+// with no local copy, must find all of them.
 func TestManySlices(t *testing.T) {
 	_, addr := startObjects(t, 1)
 	l := startLog(t, addr)
@@ -219,7 +222,8 @@
 	}
 }
 
-// TestOutcomeUnknown says "not written" only of claims that no write has carried.
+// TestOutcomeUnknown checks that only claims that no write has included fail with
+// ErrNotWritten. A claim with a write of unknown outcome may still appear in the log.
 func TestOutcomeUnknown(t *testing.T) {
 	down := errors.Mark(errors.New("x"), store.ErrDown)
 	tests := []struct {
--- a/internal/commit/apply.go
+++ b/internal/commit/apply.go
@@ -1,8 +1,10 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package commit changes fleet settings at the platform: nodes first, then the
-// head by one conditional update, rebased by path when others were first.
+// Package commit writes changes of the fleet settings to the platform. It writes the
+// nodes first and then replaces the head by one conditional update, which alone puts
+// the change in force. If another change was accepted in between, the change is applied
+// to the newest head, unless both change the same path.
 package commit
 
 import (
@@ -21,35 +23,39 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// KindRevision is the kind of the objects that keep each head, by change ID.
+// KindRevision is the kind of the objects that hold the head of each revision as JSON.
+// The name of an object is the ID of the change that made the revision.
 const KindRevision = "settingsRevision"
 
-// Edit is a change that an operator wants.
+// Edit is a change of the settings that an operator requests.
 type Edit struct {
-	// ID names the change; a repeat with the same ID is not applied twice.
+	// ID identifies the change. An edit whose ID the head lists is not applied again.
 	ID string
-	// Author and Reason go into the history.
+	// Author and Reason are stored in the history of the settings.
 	Author, Reason string
-	// At is when the change was asked for.
+	// At is the time at which the operator requested the change.
 	At time.Time
-	// Base is the revision that the operator started from; negative for the
-	// newest.
+	// Base is the revision that the operator edited. A negative value stands for the
+	// newest one.
 	Base int64
-	// Nodes is the whole tree that the operator wants, by path.
+	// Nodes is the whole tree after the change, by path. Only the paths that differ
+	// from Base are changed.
 	Nodes map[string]config.Node
 }
 
-// Overlap says that somebody else changed the same paths.
+// Overlap is the error of an edit whose paths were changed since its base revision.
 type Overlap struct {
+	// Paths are the paths that both changed, sorted.
 	Paths []string
-	// Changes are the other operators' changes of those paths.
+	// Changes are the changes of these paths since the base revision, newest first.
+	// Changes that the head no longer lists are missing.
 	Changes []config.Change
 }
 
-// Error names the paths and who changed them.
+// Error lists the paths, and of each other change the revision, author, time and reason.
 func (o *Overlap) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "the same paths were changed by others: %s", strings.Join(pathNames(o.Paths), ", "))
+	fmt.Fprintf(&b, "paths were changed by others since the base revision: %s", strings.Join(pathNames(o.Paths), ", "))
 	for _, c := range o.Changes {
 		fmt.Fprintf(&b, "\n  revision %d by %s at %s: %s", c.Revision, c.Author, c.At.Format(time.RFC3339), c.Reason)
 	}
@@ -64,16 +70,19 @@
 	return out
 }
 
-// ErrNoChange says that an edit changes nothing.
-var ErrNoChange = errors.New("nothing differs from the revision you started from")
+// ErrNoChange reports that the nodes of an edit equal those of its base revision.
+var ErrNoChange = errors.New("the edit changes nothing: its nodes equal those of the base revision")
 
-// maxAttempts bounds how often a raced or lost write is tried again.
+// maxAttempts is the maximum number of attempts to apply an edit whose write lost a
+// race or had an unknown outcome.
 const maxAttempts = 20
 
-// Apply moves the head to a revision with the edit and returns the change. It
-// returns the old change if one with the same ID was accepted before, an
-// *Overlap if somebody changed the same paths since Base, and config.Problems
-// if the whole would not be sound.
+// Apply writes a revision that includes the edit and returns the accepted change. If
+// the head lists a change with the ID of the edit, Apply writes nothing and returns
+// that change. The error is ErrNoChange, an *Overlap if a path of the edit was changed
+// since Base, config.Problems if the merged tree is not valid, or an error of the
+// store. store.ErrConflict and store.ErrUnknown are returned only after maxAttempts
+// attempts; the edit may be in force after store.ErrUnknown.
 func Apply(ctx context.Context, c *store.Client, e Edit) (config.Change, error) {
 	var last error
 	for range maxAttempts {
@@ -87,6 +96,7 @@
 	return config.Change{}, last
 }
 
+// applyOnce is one attempt of Apply.
 func applyOnce(ctx context.Context, c *store.Client, e Edit) (config.Change, error) {
 	head, version, err := spread.ReadHead(ctx, c)
 	if err != nil {
@@ -113,7 +123,7 @@
 	return next.Changes[0], nil
 }
 
-// readBase returns the head that the operator started from.
+// readBase returns the head of the base revision of an edit; head is the newest one.
 func readBase(ctx context.Context, c *store.Client, head config.Head, revision int64) (config.Head, error) {
 	if revision < 0 || revision == head.Revision {
 		return head, nil
@@ -121,7 +131,8 @@
 	return HeadAt(ctx, c, head, revision)
 }
 
-// HeadAt returns the head as it was at a revision that the history lists.
+// HeadAt reads the head of an earlier revision from the platform; head is the newest
+// one. The head of revision 0 is empty. Other revisions must be listed in head.Changes.
 func HeadAt(ctx context.Context, c *store.Client, head config.Head, revision int64) (config.Head, error) {
 	if revision == head.Revision {
 		return head, nil
@@ -140,11 +151,12 @@
 		var out config.Head
 		return out, json.Unmarshal(o.Value, &out)
 	}
-	return config.Head{}, errors.Newf("revision %d is not in the history any more", revision)
+	return config.Head{}, errors.Newf("revision %d is not in the history of the settings", revision)
 }
 
-// diffNodes returns the new hash of each path that differs from base, and the
-// bodies to write.
+// diffNodes compares nodes with base. edits holds the new hash of each path that
+// differs, empty for a path that nodes does not have; bodies holds the encoded new nodes
+// by hash.
 func diffNodes(base config.Head, nodes map[string]config.Node) (edits map[string]string, bodies map[string][]byte) {
 	edits = make(map[string]string)
 	bodies = make(map[string][]byte)
@@ -163,8 +175,8 @@
 	return edits, bodies
 }
 
-// checkOverlap returns an *Overlap if a path of edits has another node now than at
-// base and not the wanted one.
+// checkOverlap returns an *Overlap if head differs from base at a path of edits. A path
+// at which head already has the node of the edit does not count.
 func checkOverlap(base, head config.Head, edits map[string]string) error {
 	o := &Overlap{}
 	for _, path := range slices.Sorted(maps.Keys(edits)) {
@@ -184,7 +196,10 @@
 	return o
 }
 
-// writeRevision checks the whole, writes the nodes and moves the head.
+// writeRevision checks the merged tree of next and writes its new nodes, its revision
+// object and the head, in this order. bodies holds the new nodes by hash; version is the
+// object version that the head must still have. The head comes last, so that a process
+// that stops in between leaves the settings in force unchanged.
 func writeRevision(ctx context.Context, c *store.Client, next config.Head, bodies map[string][]byte, version int64) error {
 	all := maps.Clone(bodies)
 	for _, ref := range next.Nodes {
@@ -220,7 +235,8 @@
 	return err
 }
 
-// createOrReplace writes an object; an older try's object of the same name is replaced.
+// createOrReplace writes an object. An object of the same name with another body, which
+// an earlier attempt has left, is replaced.
 func createOrReplace(ctx context.Context, c *store.Client, kind, name string, body []byte) error {
 	_, err := c.Put(ctx, kind, name, 0, body)
 	if !errors.Is(err, store.ErrConflict) {
@@ -234,7 +250,7 @@
 	return err
 }
 
-// ReadTree returns the newest tree and its head.
+// ReadTree reads the newest revision of the settings from the platform.
 func ReadTree(ctx context.Context, c *store.Client) (*config.Snapshot, error) {
 	head, _, err := spread.ReadHead(ctx, c)
 	if err != nil {
@@ -243,7 +259,7 @@
 	return ReadSnapshot(ctx, c, head)
 }
 
-// ReadSnapshot returns the tree of a head.
+// ReadSnapshot reads the nodes of head from the platform and returns its snapshot.
 func ReadSnapshot(ctx context.Context, c *store.Client, head config.Head) (*config.Snapshot, error) {
 	bodies, err := spread.ReadNodes(ctx, c, config.Empty().Missing(head))
 	if err != nil {
--- a/internal/commit/apply_test.go
+++ b/internal/commit/apply_test.go
@@ -28,7 +28,7 @@
   b: {keyHashes: [], workloads: {y: {}}}
 `
 
-// startPlatform serves a stand-in platform with the tree as revision 1.
+// startPlatform serves a fake platform that has tree as revision 1.
 func startPlatform(t *testing.T) (*fakes.Objects, *store.Client) {
 	t.Helper()
 	o := fakes.NewObjects(1)
@@ -66,8 +66,9 @@
 	return s.Effective(workspace, "", "").Setting(key).Value
 }
 
-// TestRace lets changes of different paths from one base both stand, and tells
-// the second of two changes of one path who was first and why.
+// TestRace applies edits of the same base. Edits of different paths must both be in
+// force; the second edit of the same path must fail with an Overlap that names the
+// author and the reason of the first.
 func TestRace(t *testing.T) {
 	_, c := startPlatform(t)
 	if _, err := Apply(t.Context(), c, edit(t, "one", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))); err != nil {
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestManyOperators races operators on paths of their own while answers are
-// lost: each change is accepted exactly once, in one total order.
+// TestManyOperators applies edits of different paths concurrently while the platform
+// loses responses. Each edit must be accepted exactly once, in one total order.
 func TestManyOperators(t *testing.T) {
 	o, c := startPlatform(t)
 	var text strings.Builder
@@ -131,7 +132,8 @@
 	}
 }
 
-// TestSameChange does not apply a change twice whose answer was lost.
+// TestSameChange applies an edit again, as a client does that has lost the response.
+// The edit must not make a second revision.
 func TestSameChange(t *testing.T) {
 	_, c := startPlatform(t)
 	change := edit(t, "once", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))
@@ -145,8 +147,9 @@
 	}
 }
 
-// TestKilledTool kills the tool before each of its writes: nothing is half in
-// force, and the next change goes through.
+// TestKilledTool fails Apply before each of its writes, as if the tool was killed there.
+// Until the last write the old setting must stay in force, and the objects that were
+// left behind must not prevent the next attempt.
 func TestKilledTool(t *testing.T) {
 	_, c := startPlatform(t)
 	change := edit(t, "killed", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))
@@ -178,8 +181,8 @@
 
 var errKilled = errors.New("the tool was killed")
 
-// TestUnsound refuses a change that is sound alone but not with what another
-// operator has changed meanwhile.
+// TestUnsound applies an edit that is valid with its base but not with a change that was
+// accepted since. Apply must check the merged tree and reject it.
 func TestUnsound(t *testing.T) {
 	_, c := startPlatform(t)
 	twoVersions := replaceInTree(`"1": {pool: p, cost: 1, quality: 0.9}`, `"1": {pool: p, cost: 1, quality: 0.9}, "2": {pool: p, cost: 1, quality: 0.95}`)
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package ledger writes records to the platform in batches, each exactly once:
-// a batch is an object with a name of its own, written only if it does not
-// exist, so that a repeated write is harmless.
+// Package ledger writes records, such as bills, to the platform in batches, each record
+// exactly once. A batch is one object with a unique name that is written only if no such
+// object exists, so that a retried write has no effect if an earlier one succeeded.
+// Records are buffered in memory until the platform confirms them.
 package ledger
 
 import (
@@ -22,58 +23,64 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Kinds of the ledgers' objects.
+// Kinds of the objects that hold batches.
 const (
 	KindBills = "bills"
 	KindTrail = "trail"
 )
 
 const (
-	// maxBatchRecords bounds the records of one object.
+	// maxBatchRecords is the maximum number of records of one batch.
 	maxBatchRecords = 400
-	// maxBatchBytes bounds the size of one object; it lies under the platform's
-	// limit.
+	// maxBatchBytes is the maximum size of an encoded batch of more than one record. It
+	// is below store.MaxValue, the platform's limit.
 	maxBatchBytes = store.MaxValue * 9 / 10
-	// retryDelay is how long a failed write waits before it is repeated.
+	// retryDelay is the pause of Flush after a failed write.
 	retryDelay = config.Span(time.Second)
-	// putTimeout bounds one write.
+	// putTimeout is the timeout of writing one batch, with reading it back.
 	putTimeout = 5 * time.Second
 )
 
-// Options shape a Writer.
+// Options configures a Writer. Kind, Prefix and MaxRecords are required.
 type Options[T any] struct {
+	// Kind is the kind of the objects that hold the batches.
 	Kind string
-	// Prefix names the process's objects; it holds the incarnation.
+	// Prefix starts the names of the objects. It must be unique to the process and its
+	// start, such as the incarnation.
 	Prefix string
-	// MaxRecords bounds the records that are held.
+	// MaxRecords is the maximum number of buffered records.
 	MaxRecords int
-	// FlushInterval is how long records are gathered before they are written.
+	// FlushInterval is the time for which Run collects records before it writes them;
+	// it writes a full batch earlier.
 	FlushInterval config.Span
-	// Encode returns a batch as a JSON array; json.Marshal if it is nil.
+	// Encode encodes a batch as a JSON array. The default is json.Marshal.
 	Encode func([]T) ([]byte, error)
-	// OnWritten hears of every batch that the platform has confirmed; it may
-	// be nil.
+	// OnWritten, if not nil, is called with each batch that the platform has confirmed.
 	OnWritten func([]T)
 }
 
-// Writer gathers records of one kind and writes them in batches.
+// Writer buffers records of one kind and writes them in batches. Add, Held and Find are
+// safe for concurrent use. Run and Flush both write the oldest batch and are not
+// synchronized with each other.
 type Writer[T any] struct {
 	log   *zap.Logger
 	store *store.Client
 	opts  Options[T]
 	mu    sync.Mutex
-	// held is what is not confirmed yet, oldest first; never longer than
-	// opts.Most.
+	// held holds the records that the platform has not confirmed, oldest first; never
+	// more than opts.MaxRecords.
 	held []T
-	// seq numbers the next batch.
+	// seq is the number of the next batch. It grows only when a batch is confirmed, so
+	// that a retried write has the same name.
 	seq int
-	// lost counts records that were dropped because held was full.
+	// lost is the number of records that Add dropped because held was full.
 	lost int64
-	// wake is signalled when a batch is full or a flush is wanted.
+	// wake receives a signal when Add has filled a batch.
 	wake chan struct{}
 }
 
-// New returns a writer of objects kind/prefix-number.
+// New returns a writer of objects named PREFIX-NUMBER, numbered from 0 with 8 digits. It
+// writes nothing until Run or Flush is called.
 func New[T any](log *zap.Logger, c *store.Client, o Options[T]) *Writer[T] {
 	if o.Encode == nil {
 		o.Encode = func(batch []T) ([]byte, error) { return json.Marshal(batch) }
@@ -81,8 +88,8 @@
 	return &Writer[T]{log: log, store: c, opts: o, wake: make(chan struct{}, 1)}
 }
 
-// Add takes a record; it reports false, and counts it as lost, when the buffer
-// is full.
+// Add buffers a record. If the buffer is full, Add drops the record, counts it as lost
+// and returns false.
 func (w *Writer[T]) Add(r T) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,6 +104,7 @@
 	return true
 }
 
+// signalWake wakes Run. It does not block.
 func (w *Writer[T]) signalWake() {
 	select {
 	case w.wake <- struct{}{}:
@@ -104,14 +112,16 @@
 	}
 }
 
-// Held returns how many records are not confirmed and how many were lost.
+// Held returns the number of buffered records, which the platform has not confirmed, and
+// the number of records that were lost because the buffer was full.
 func (w *Writer[T]) Held() (held int, lost int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.held), w.lost
 }
 
-// Find returns the first held record that match accepts.
+// Find returns the oldest buffered record for which match returns true, and whether there
+// is one. match must not call the writer.
 func (w *Writer[T]) Find(match func(T) bool) (T, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -124,7 +134,9 @@
 	return none, false
 }
 
-// Run writes batches until ctx is done.
+// Run writes the buffered records every FlushInterval and whenever a batch is full, until
+// ctx is done. A batch that could not be written is retried the next time. Run returns
+// nil; records may be left in the buffer.
 func (w *Writer[T]) Run(ctx context.Context) error {
 	for {
 		tick := time.NewTimer(time.Until(w.opts.FlushInterval.After(time.Now())))
@@ -144,7 +156,8 @@
 	}
 }
 
-// Flush writes all that is held, or returns the error of ctx.
+// Flush writes all buffered records and retries failed writes until ctx is done. It then
+// returns the error of ctx, with the number of records that are left.
 func (w *Writer[T]) Flush(ctx context.Context) error {
 	for {
 		held, _ := w.Held()
@@ -152,7 +165,7 @@
 			return nil
 		}
 		if ctx.Err() != nil {
-			return errors.Wrapf(ctx.Err(), "ledger: %d records of %s are not written", held, w.opts.Kind)
+			return errors.Wrapf(ctx.Err(), "ledger: flush stopped with %d unwritten records of kind %s", held, w.opts.Kind)
 		}
 		if !w.writeBatch(ctx) {
 			tasks.Pause(ctx, retryDelay.After(time.Now()))
@@ -160,7 +173,8 @@
 	}
 }
 
-// writeBatch writes the oldest batch and reports whether it was confirmed.
+// writeBatch writes the oldest records as one batch and reports whether the platform
+// confirmed them. It returns false if there are no records.
 func (w *Writer[T]) writeBatch(ctx context.Context) bool {
 	w.mu.Lock()
 	batch := w.held[:min(len(w.held), maxBatchRecords)]
@@ -171,7 +185,7 @@
 	}
 	batch, body, err := w.encode(batch)
 	if err != nil {
-		w.log.Error("ledger: A batch does not encode.", logs.Err(err))
+		w.log.Error("ledger: A batch could not be encoded; its records stay buffered.", logs.Err(err))
 		return false
 	}
 	put, cancel := context.WithTimeout(ctx, putTimeout)
@@ -181,14 +195,15 @@
 		return w.confirmStored(put, name)
 	}
 	if err != nil {
-		w.log.Warn("ledger: A batch could not be written.", zap.String("name", name), logs.Err(err))
+		w.log.Warn("ledger: A batch could not be written; it will be retried.", zap.String("name", name), logs.Err(err))
 		return false
 	}
 	w.markConfirmed(len(batch))
 	return true
 }
 
-// encode returns the batch, cut in halves until it fits an object.
+// encode encodes a batch. It halves the batch until the encoding has at most
+// maxBatchBytes or only one record is left, and returns the records that it encoded.
 func (w *Writer[T]) encode(batch []T) ([]T, []byte, error) {
 	for {
 		body, err := w.opts.Encode(batch)
@@ -199,9 +214,9 @@
 	}
 }
 
-// confirmStored reads back an object whose earlier write took effect though its
-// answer was lost. The batch may have grown since: what the object holds is
-// confirmed.
+// confirmStored handles a batch whose object exists: an earlier write succeeded, but its
+// response was lost. It reads the object and confirms the records in it. The batch in
+// memory may have more, as records were added since.
 func (w *Writer[T]) confirmStored(ctx context.Context, name string) bool {
 	o, err := w.store.Get(ctx, w.opts.Kind, name)
 	if err != nil {
@@ -215,6 +230,8 @@
 	return true
 }
 
+// markConfirmed removes the n oldest records from the buffer, advances seq and calls
+// OnWritten.
 func (w *Writer[T]) markConfirmed(n int) {
 	w.mu.Lock()
 	n = min(n, len(w.held))
--- a/internal/ledger/writer_test.go
+++ b/internal/ledger/writer_test.go
@@ -15,11 +15,11 @@
 	"github.com/traildrift/traildrift/internal/store"
 )
 
-// scriptedStore is a store whose puts answer as told.
+// scriptedStore is a store in memory whose writes have scripted outcomes.
 type scriptedStore struct {
 	objects map[string][]byte
-	// outcomes says, put by put, what happens: ok, lost (written, answer
-	// lost) or down.
+	// outcomes holds the outcome of each next write: "ok", "lost" (written, but the
+	// response is lost) or "down" (not written). Later writes are "ok".
 	outcomes []string
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestLostAnswers writes every record exactly once though answers are lost and
-// records are added between a write and its repeat.
+// TestLostAnswers loses responses of writes and adds records between a write and its
+// retry. Each record must be stored and confirmed exactly once.
 func TestLostAnswers(t *testing.T) {
 	m := &scriptedStore{objects: make(map[string][]byte), outcomes: []string{"down", "lost", "down", "ok", "lost", "lost"}}
 	var confirmed []string
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestFullBuffer counts what does not fit as lost.
+// TestFullBuffer adds more records than the buffer holds. The others must count as lost.
 func TestFullBuffer(t *testing.T) {
 	w := New(zap.NewNop(), (&scriptedStore{objects: map[string][]byte{}}).client(), Options[int]{Kind: "k", Prefix: "p", MaxRecords: 2})
 	for i := range 5 {
@@ -96,7 +96,7 @@
 	}
 }
 
-// TestLargeBatchIsSplit cuts a batch that would outgrow an object.
+// TestLargeBatchIsSplit writes records that together exceed the size of an object.
 func TestLargeBatchIsSplit(t *testing.T) {
 	m := &scriptedStore{objects: make(map[string][]byte)}
 	w := New(zap.NewNop(), m.client(), Options[string]{Kind: "k", Prefix: "p", MaxRecords: 100})
--- a/internal/rolls/driver.go
+++ b/internal/rolls/driver.go
@@ -1,9 +1,12 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package rolls drives roll-outs: whichever process comes first takes the next
-// step by a conditional update of one object, changes the settings, and gives
-// the orders.
+// Package rolls executes the roll-outs that pkg/roll decides. The board of all roll-outs
+// is one object on the platform. Several processes may run a Driver: a step that changes
+// the board is a conditional update of that object, so that of two concurrent ones only
+// one is stored, and only its process sends the load orders of that step. Load orders are
+// idempotent and may be sent again. The settings changes that roll-outs require have IDs,
+// so that each is applied once.
 package rolls
 
 import (
@@ -23,23 +26,24 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// Kind and name of the board's object.
+// Kind and Name are the kind and the name of the object that holds the board.
 const (
 	Kind = "rollouts"
 	Name = "board"
 )
 
 const (
-	// stepInterval is how often a driver looks at the board.
+	// stepInterval is the pause between two steps of a driver.
 	stepInterval = config.Span(time.Second)
-	// stepTimeout bounds the calls of one step to the platform.
+	// stepTimeout is the timeout of all calls of one step to the platform together.
 	stepTimeout = 5 * time.Second
-	// loadTimeout is how long a load may go without being reported.
+	// loadTimeout is the time after which a load fails if the VM has not been
+	// reported to have the version.
 	loadTimeout = config.Span(2 * time.Minute)
 )
 
-// Read returns the board and the version of its object; an empty board with
-// version 0 if there is none yet.
+// Read reads the board and the version of its object from the platform. If there is no
+// object yet, it returns an empty board with version 0.
 func Read(ctx context.Context, c *store.Client) (roll.Board, int64, error) {
 	var b roll.Board
 	o, err := c.Get(ctx, Kind, Name)
@@ -52,13 +56,15 @@
 	return b, o.Version, json.Unmarshal(o.Value, &b)
 }
 
-// Version returns the version of the board's object.
+// Version reads the version of the board's object, which orders carry as their fencing
+// token.
 func Version(ctx context.Context, c *store.Client) (int64, error) {
 	_, version, err := Read(ctx, c)
 	return version, err
 }
 
-// write puts the board if its object still has the version that was read.
+// write writes the board if its object still has the given version, and returns the new
+// version. Otherwise the error is store.ErrConflict.
 func write(ctx context.Context, c *store.Client, b *roll.Board, version int64) (int64, error) {
 	body, err := json.Marshal(b)
 	if err != nil {
@@ -67,11 +73,13 @@
 	return c.Put(ctx, Kind, Name, version, body)
 }
 
-// maxAttempts bounds how often a raced update is tried again.
+// maxAttempts is the maximum number of attempts to write an update that lost a race.
 const maxAttempts = 20
 
-// Update changes the board by one conditional update, reading it again while
-// others are first.
+// Update reads the board, calls change on it and writes it by a conditional update. If
+// another process has written the board in between, Update reads it and calls change
+// again. It returns the error of change, an error of the store, or store.ErrConflict
+// after maxAttempts attempts.
 func Update(ctx context.Context, c *store.Client, change func(*roll.Board) error) error {
 	var last error
 	for range maxAttempts {
@@ -93,27 +101,31 @@
 	return last
 }
 
-// Driver takes steps. Its function fields are seams to the process it runs in.
+// Driver executes the steps of roll-outs. All fields are required; the process that runs
+// the driver sets them.
 type Driver struct {
 	Log   *zap.Logger
 	Store *store.Client
-	Now   func() time.Time
-	// Active says whether this process is one of those that drive.
+	// Now returns the time.
+	Now func() time.Time
+	// Active reports whether Run executes steps in this process at present.
 	Active func() bool
-	// VMs lists the live VMs of each pool.
+	// VMs returns the names of the live VMs by pool.
 	VMs func() map[string][]string
-	// HasVersion reports whether a VM has a version, and whether that is known.
+	// HasVersion reports whether the guard of a VM reports that the VM has a version;
+	// known is false if this process has no report of the VM.
 	HasVersion func(vm, version string) (has, known bool)
-	// SendOrder gives an order to the guard of a VM; it returns at once.
+	// SendOrder sends a load order to the guard of a VM. It must not block.
 	SendOrder func(vm string, o wire.Order)
 }
 
-// Run takes steps until ctx is done.
+// Run executes a step every stepInterval while Active returns true, until ctx is done.
+// It logs the errors of steps and returns nil.
 func (d *Driver) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if d.Active() {
 			if err := d.Step(ctx); err != nil && ctx.Err() == nil {
-				d.Log.Warn("rollouts: A step was not taken.", logs.Err(err))
+				d.Log.Warn("rollouts: A step failed; it will be retried.", logs.Err(err))
 			}
 		}
 		tasks.Pause(ctx, stepInterval.After(time.Now()))
@@ -121,8 +133,10 @@
 	return nil
 }
 
-// Step reads the board and takes one step. A step that another process has
-// taken meanwhile is not an error.
+// Step reads the board, executes one step, sends its orders and applies the settings
+// changes that roll-outs require. If the step changes the board but another process has
+// written it in between, Step drops the step and returns nil. The calls to the platform
+// time out after stepTimeout.
 func (d *Driver) Step(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
@@ -151,8 +165,8 @@
 	return nil
 }
 
-// applyPendingChange makes the settings change that a roll-out asks for, and notes that it
-// was accepted.
+// applyPendingChange applies the settings change that a roll-out requires, if any, and
+// records on the board that it was accepted.
 func (d *Driver) applyPendingChange(ctx context.Context, r *roll.Rollout) error {
 	c, ok := r.PendingChange()
 	if !ok {
@@ -164,20 +178,22 @@
 	}
 	nodes := snap.Nodes()
 	if nodes[""], ok = withChange(nodes[""], &c); !ok {
-		return errors.Newf("rollouts: the settings have no %s", r.Name())
+		return errors.Newf("rollouts: the settings do not define version %s", r.Name())
 	}
 	change, err := commit.Apply(ctx, d.Store, commit.Edit{ID: c.ID, Author: r.Author, Reason: c.Reason, At: d.Now(), Base: snap.Head.Revision, Nodes: nodes})
 	if err != nil && !errors.Is(err, commit.ErrNoChange) {
 		return err
 	}
-	d.Log.Info("rollouts: A wave is in the settings.", zap.String("version", r.Name()), zap.Float64("share", c.Share), zap.Bool("withdrawn", c.Withdraw), zap.Int64("revision", change.Revision))
+	d.Log.Info("rollouts: The settings change of a roll-out was accepted.", zap.String("version", r.Name()), zap.Float64("share", c.Share), zap.Bool("withdrawn", c.Withdraw), zap.Int64("revision", change.Revision))
 	return Update(ctx, d.Store, func(b *roll.Board) error {
 		b.MarkAccepted(c.ID, d.Now())
 		return nil
 	})
 }
 
-// withChange returns the fleet node with the change made to its version.
+// withChange returns a copy of the fleet node n in which the version of c has the share
+// or the state of c, and false if n does not define that version. A share of 1 is stored
+// as no share. The maps of n are not changed.
 func withChange(n config.Node, c *roll.Change) (config.Node, bool) {
 	v, ok := n.Models[c.Model].Versions[c.Version]
 	if !ok {
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package secure serves TLS from files that may be replaced while the process
-// runs: each handshake uses what the files hold then.
+// Package secure provides TLS configurations from files that may be replaced while the
+// process runs. A handshake uses the files as they were at most a second before.
 package secure
 
 import (
@@ -15,31 +15,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files name a certificate, its key and the authority that signs peers.
+// Files holds the paths of a certificate, its private key and the certificate authority
+// that signs the peers' certificates.
 type Files struct {
 	Cert string `yaml:"cert" doc:"PEM file with the certificate."`
 	Key  string `yaml:"key" doc:"PEM file with its key."`
 	CA   string `yaml:"ca,omitempty" doc:"PEM file with the authority that signs the peers' certificates."`
 }
 
-// IsSet reports whether files are named.
+// IsSet reports whether at least one path is set.
 func (f Files) IsSet() bool { return f.Cert != "" || f.Key != "" || f.CA != "" }
 
-// refreshInterval is how long a reading of the files counts.
+// refreshInterval is the time for which the content of the files is used before they are
+// read again.
 const refreshInterval = time.Second
 
-// Source reads the files again when they have changed. Use NewSource.
+// Source provides TLS configurations from files and reads the files again when a
+// handshake comes after refreshInterval. It must be created with NewSource and is safe
+// for concurrent use.
 type Source struct {
 	files Files
 	mu    sync.Mutex
-	// cert and pool are the last good reading; a bad one is not taken over.
+	// cert and pool are from the last time that all files were valid.
 	cert *tls.Certificate
 	pool *x509.CertPool
-	// refreshAt is when the files are looked at again.
+	// refreshAt is the time after which a handshake reads the files again.
 	refreshAt time.Time
 }
 
-// NewSource reads the files once and returns an error if they are not sound.
+// NewSource reads the files and returns an error if one cannot be read or is not valid.
 func NewSource(f Files) (*Source, error) {
 	s := &Source{files: f}
 	if err := s.read(); err != nil {
@@ -48,6 +52,7 @@
 	return s, nil
 }
 
+// read reads the files. If one is not valid, it returns an error and changes nothing.
 func (s *Source) read() error {
 	cert, err := tls.LoadX509KeyPair(s.files.Cert, s.files.Key)
 	if err != nil {
@@ -60,7 +65,7 @@
 			return err
 		}
 		if !pool.AppendCertsFromPEM(text) {
-			return errors.Newf("%s holds no certificate", s.files.CA)
+			return errors.Newf("secure: no PEM certificate in %s", s.files.CA)
 		}
 	}
 	s.cert, s.pool = &cert, pool
@@ -68,8 +73,9 @@
 	return nil
 }
 
-// current returns what the files hold. Files that are not sound, as while they
-// are being replaced, leave the last good ones in force.
+// current returns the certificate and the authority, and reads the files again if they
+// are due. If a file is not valid, as may happen while the files are being replaced, the
+// last valid ones are returned.
 func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +87,7 @@
 	return s.cert, s.pool
 }
 
-// Server returns the settings of a listener that asks callers for nothing.
+// Server returns the configuration of a listener that requests no client certificate.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -92,14 +98,15 @@
 	}
 }
 
-// Mutual returns the settings of one side of a link on which both sides show a
-// certificate of the authority. Names are not compared, as peers are reached by
-// IP number and prove the link key besides.
+// Mutual returns the configuration of either side of a link on which both sides need a
+// certificate that the authority has signed. Names in certificates are not verified:
+// peers are reached by IP number and also prove the link key.
 func (s *Source) Mutual() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAnyClientCert,
-		// The chain is verified below, against the authority as it is now.
+		// VerifyConnection verifies the chain instead, against the authority in the
+		// current file.
 		InsecureSkipVerify: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			cert, _ := s.current()
@@ -113,10 +120,11 @@
 	}
 }
 
-// verify checks the peer's chain against the authority.
+// verify verifies the peer's certificate chain against the authority. It returns an error
+// if the peer sent no certificate or the chain is not valid.
 func (s *Source) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("secure: the peer shows no certificate")
+		return errors.New("secure: the peer sent no certificate")
 	}
 	_, pool := s.current()
 	intermediates := x509.NewCertPool()
