--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -177,31 +177,31 @@
 
 // sharedState is what every dump shows.
 type sharedState struct {
-	Identity   wire.Identity   `json:"identity"`
-	Now        time.Time       `json:"now"`
-	Revision   int64           `json:"revision"`
-	HeardAt    time.Time       `json:"heardAt"`
-	Violations int64           `json:"violations"`
-	LinkBytes  int64           `json:"linkBytes"`
-	LinkMsgs   int64           `json:"linkMessages"`
-	Handlers   int             `json:"handlers"`
-	Memory     admin.Memory    `json:"memory"`
-	Role       any             `json:"role"`
-	Changes    []config.Change `json:"changes"`
+	Identity    wire.Identity   `json:"identity"`
+	Now         time.Time       `json:"now"`
+	Revision    int64           `json:"revision"`
+	ConfirmedAt time.Time       `json:"heardAt"`
+	Violations  int64           `json:"violations"`
+	LinkBytes   int64           `json:"linkBytes"`
+	LinkMsgs    int64           `json:"linkMessages"`
+	Handlers    int             `json:"handlers"`
+	Memory      admin.Memory    `json:"memory"`
+	Role        any             `json:"role"`
+	Changes     []config.Change `json:"changes"`
 }
 
 func (p *Proc) state(role func() any) any {
 	s := sharedState{
-		Identity:   p.Identity,
-		Now:        p.Now(),
-		Revision:   p.Holder.Revision(),
-		HeardAt:    p.Holder.HeardAt(),
-		Violations: assert.Violations(),
-		LinkBytes:  p.Local.Bytes.Load(),
-		LinkMsgs:   p.Local.Messages.Load(),
-		Handlers:   p.Pool.Running(),
-		Memory:     admin.ReadMemory(),
-		Changes:    p.Holder.Current().Head.Changes,
+		Identity:    p.Identity,
+		Now:         p.Now(),
+		Revision:    p.Holder.Revision(),
+		ConfirmedAt: p.Holder.HeardAt(),
+		Violations:  assert.Violations(),
+		LinkBytes:   p.Local.Bytes.Load(),
+		LinkMsgs:    p.Local.Messages.Load(),
+		Handlers:    p.Pool.Running(),
+		Memory:      admin.ReadMemory(),
+		Changes:     p.Holder.Current().Head.Changes,
 	}
 	if len(s.Changes) > maxDumpedChanges {
 		s.Changes = s.Changes[:maxDumpedChanges]
