--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -43,8 +43,8 @@
 	// of a fleet, as it determines the bucket of each key.
 	Buckets = 4
 	// minWriteInterval is the minimum time between two updates of a bucket. It limits
-	// all buckets together to 200 writes per second for each process. A claim that
-	// arrives after an idle period is written at once.
+	// the updates of all buckets together to 200 per second. A claim that arrives after
+	// an idle period is written at once.
 	minWriteInterval = config.Span(20 * time.Millisecond)
 	// maxQueuedClaims is the maximum number of claims in the queue of a bucket.
 	maxQueuedClaims = 4096
--- a/internal/proc/life.go
+++ b/internal/proc/life.go
@@ -11,20 +11,23 @@
 	"time"
 )
 
-// defaultStopTimeout is how long a planned stop may take without a setting.
+// defaultStopTimeout is the timeout of a planned stop if stopWithin is not set.
 const defaultStopTimeout = 60 * time.Second
 
-// Stages are the two steps of a process's end.
+// Stages holds the two contexts that end a process.
 type Stages struct {
-	// Stop is done when a planned stop was asked for.
+	// Stop is done once a planned stop is requested: the process accepts no new work
+	// and completes what is in progress.
 	Stop context.Context
-	// Kill is done when the stop deadline has passed or a second signal
-	// came.
+	// Kill is done once the timeout of the planned stop has passed or a second signal
+	// has arrived: the process ends at once.
 	Kill context.Context
 }
 
-// Signals returns the stages that SIGTERM and SIGINT drive. release frees the
-// signals again.
+// Signals returns stages that SIGTERM and SIGINT control: the first signal ends Stop, and
+// a second one or the timeout of the planned stop ends Kill. Both also end with ctx.
+// release stops the handling of the signals, ends both stages and waits for the goroutine
+// behind them.
 func (c *Common) Signals(ctx context.Context) (s Stages, release func()) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -62,12 +65,14 @@
 
 // Runner is a process that serves until its stages end it.
 type Runner interface {
-	// Run returns nil after a planned stop that cut off nothing.
+	// Run returns nil after a planned stop in which all work in progress was completed,
+	// and an error otherwise.
 	Run(s Stages) error
 }
 
-// Main reads the process settings of a file into s, whose shared part is
-// common, builds the process and runs it until a signal ends it.
+// Main loads the process settings file into s, builds the process and runs it until a
+// signal ends it. common is the part of s that entries and guards share. The error is
+// config.Problems if the file is not valid, otherwise that of build or of the process.
 func Main(ctx context.Context, file string, s Checker, common *Common, build func() (Runner, error)) error {
 	if err := Load(file, s); err != nil {
 		return err
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -30,45 +30,61 @@
 	"github.com/traildrift/traildrift/pkg/seal"
 )
 
-// Proc is the part of a process that does not depend on its role.
+// Proc is the part of a process that does not depend on its role. New sets all fields,
+// which do not change afterwards.
 type Proc struct {
-	Common   Common
+	// Common holds the process settings, with the default of WriteEvery filled in.
+	Common Common
+	// Identity identifies the process to its peers. Its incarnation is new at each start.
 	Identity wire.Identity
 	Log      *zap.Logger
-	Now      func() time.Time
-	Store    *store.Client
-	VMs      *store.VMs
-	Local    *link.Local
-	Holder   *spread.Holder
-	Tokens   *seal.Keyring
-	Scope    tally.Scope
-	Admin    *admin.Server
-	// Pool runs the handlers of the links; it is bounded.
+	// Now returns the time.
+	Now func() time.Time
+	// Store and VMs are the clients of the platform's objects and VM list.
+	Store *store.Client
+	VMs   *store.VMs
+	// Local is the local side of all links.
+	Local *link.Local
+	// Holder holds the fleet settings in force in this process.
+	Holder *spread.Holder
+	// Tokens holds the keys of session tokens and tickets.
+	Tokens *seal.Keyring
+	// Scope is the root scope of the metrics that Admin serves.
+	Scope tally.Scope
+	// Admin serves operators.
+	Admin *admin.Server
+	// Pool runs the handlers of received messages, at most Options.Handlers at a time.
 	Pool *ants.Pool
 	// Tasks owns every goroutine of the process that is not a handler.
-	Tasks    tasks.Group
+	Tasks tasks.Group
+	// linkLn and adminLn are the listeners for peers and for operators.
 	linkLn   net.Listener
 	adminLn  net.Listener
 	onProven func(*link.Conn)
 }
 
-// Options are what a role adds.
+// Options holds what a role adds to the shared part of a process.
 type Options struct {
+	// Role is store.RoleEntry or store.RoleEndpoint.
 	Role string
-	// Handlers bounds the handlers of the links that run at a time.
+	// Handlers is the maximum number of message handlers that run at a time.
 	Handlers int
-	// OnSettingsChange hears of every settings revision that is taken over.
+	// OnSettingsChange, if not nil, is called with each settings revision that comes
+	// into force in this process.
 	OnSettingsChange func(*config.Snapshot)
-	// OnProven hears of every link that a peer opened and proved.
+	// OnProven is called for each link that a peer opened, once the peer has proved the
+	// link key. It is required.
 	OnProven func(*link.Conn)
-	// State returns what the dump shows of the role.
+	// State returns the state of the role for the dump. It may be nil.
 	State func() any
-	// Explain returns the trail record of a request as JSON, or false.
+	// Explain returns the trail record of a request as JSON, or false if there is none.
+	// It may be nil.
 	Explain func(requestID string) ([]byte, bool)
 }
 
-// New opens the listeners and builds the shared part. Nothing runs until
-// Start.
+// New reads the key and token files, opens the listeners for peers and operators and
+// builds the shared part of a process. Nothing is served until Start is called. The error
+// is config.Problems if the key file is not valid.
 func New(c Common, o Options) (*Proc, error) {
 	if c.WriteEvery == 0 {
 		c.WriteEvery = defaultWriteEvery
@@ -110,6 +126,7 @@
 	return p, nil
 }
 
+// listen opens the listeners and creates Admin and Scope.
 func (p *Proc) listen(o Options) error {
 	token, err := readToken(p.Common.OperatorsToken)
 	if err != nil {
@@ -127,6 +144,8 @@
 	return nil
 }
 
+// readToken returns the operators' token in a file without surrounding white space, and
+// an empty token if file is empty.
 func readToken(file string) (string, error) {
 	if file == "" {
 		return "", nil
@@ -135,7 +154,8 @@
 	return strings.TrimSpace(string(text)), err
 }
 
-// Start runs the listeners of links and operators.
+// Start serves peers and operators in goroutines of p.Tasks. They end once ctx is done and
+// Close is called.
 func (p *Proc) Start(ctx context.Context) {
 	p.Tasks.Go(ctx, "links", func(ctx context.Context) error {
 		return p.Local.Serve(ctx, p.linkLn, p.onProven)
@@ -145,10 +165,11 @@
 	})
 }
 
-// drainPollInterval is how often a stopping process looks for open messages.
+// drainPollInterval is the interval at which Drain checks for messages in progress.
 const drainPollInterval = time.Millisecond
 
-// Drain waits until every message that peers sent is answered, or ctx is done.
+// Drain waits until all messages received from peers have been replied to. It returns the
+// error of ctx if ctx is done first.
 func (p *Proc) Drain(ctx context.Context) error {
 	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
@@ -162,8 +183,8 @@
 	return nil
 }
 
-// Close ends the listeners and waiting calls and waits for every goroutine.
-// The context that Start got must be done.
+// Close closes the listeners, cancels calls to the platform that are waiting, and waits
+// for all goroutines of p.Tasks. The context that was passed to Start must be done.
 func (p *Proc) Close() {
 	_ = p.linkLn.Close()
 	p.Admin.Close()
@@ -175,21 +196,29 @@
 	_ = p.Log.Sync()
 }
 
-// sharedState is what every dump shows.
+// sharedState is the dump of a process.
 type sharedState struct {
 	Identity    wire.Identity   `json:"identity"`
 	Now         time.Time       `json:"now"`
-	Revision    int64           `json:"revision"`
-	ConfirmedAt time.Time       `json:"heardAt"`
-	Violations  int64           `json:"violations"`
-	LinkBytes   int64           `json:"linkBytes"`
-	LinkMsgs    int64           `json:"linkMessages"`
-	Handlers    int             `json:"handlers"`
-	Memory      admin.Memory    `json:"memory"`
-	Role        any             `json:"role"`
-	Changes     []config.Change `json:"changes"`
+	// Revision is the settings revision in force, ConfirmedAt the last time at which the
+	// platform or a peer confirmed that there is no newer one.
+	Revision    int64     `json:"revision"`
+	ConfirmedAt time.Time `json:"heardAt"`
+	// Violations counts broken invariants; see package assert.
+	Violations int64 `json:"violations"`
+	// LinkBytes and LinkMsgs count the bytes and messages sent and received on links.
+	LinkBytes int64 `json:"linkBytes"`
+	LinkMsgs  int64 `json:"linkMessages"`
+	// Handlers is the number of message handlers that are running.
+	Handlers int          `json:"handlers"`
+	Memory   admin.Memory `json:"memory"`
+	// Role is the state that Options.State returns.
+	Role any `json:"role"`
+	// Changes lists the last changes of the settings, newest first.
+	Changes []config.Change `json:"changes"`
 }
 
+// state returns the dump; role may be nil.
 func (p *Proc) state(role func() any) any {
 	s := sharedState{
 		Identity:    p.Identity,
@@ -212,20 +241,20 @@
 	return s
 }
 
-// defaultWriteEvery keeps the platform's writes few: 370 entries that write two
-// kinds make 148 a second.
+// defaultWriteEvery is the default of the setting writeEvery. It limits the load on the
+// platform: 370 entries that write two kinds of objects make 148 writes per second.
 const defaultWriteEvery = config.Span(5 * time.Second)
 
-// maxDumpedChanges is how many settings changes a dump shows.
+// maxDumpedChanges is the maximum number of settings changes in a dump.
 const maxDumpedChanges = 5
 
-// LinkAddr returns where the process listens for its peers.
+// LinkAddr returns the address at which the process accepts links.
 func (p *Proc) LinkAddr() netip.AddrPort { return p.linkLn.Addr().(*net.TCPAddr).AddrPort() }
 
-// Stamp returns the stamp of an outgoing message.
+// Stamp returns the stamp of a message that is sent now.
 func (p *Proc) Stamp() wire.Stamp { return wire.Stamp{Revision: p.Holder.Revision()} }
 
-// NewID returns a fresh random name of 16 hexadecimal digits.
+// NewID returns a random ID of 16 hexadecimal digits.
 func NewID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
--- a/internal/proc/settings.go
+++ b/internal/proc/settings.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package proc holds what every process of the system has: its settings file,
-// keys, logger, metrics, links, fleet settings and operators' listener.
+// Package proc provides what entries and guards have in common: process settings, keys,
+// logger, metrics, links, fleet settings, the operators' listener, and start and stop.
 package proc
 
 import (
@@ -17,7 +17,8 @@
 	"github.com/traildrift/traildrift/pkg/seal"
 )
 
-// Common are the process settings that entries and guards share.
+// Common holds the process settings that entries and guards share. The doc tags state the
+// meaning and unit of each.
 type Common struct {
 	VM               string         `yaml:"vm" doc:"Name of the VM, as in the VM list."`
 	AvailabilityZone string         `yaml:"availabilityZone" doc:"Availability zone of the VM."`
@@ -32,7 +33,7 @@
 	LogLevel         string         `yaml:"logLevel,omitempty" doc:"debug, info, warn or error."`
 }
 
-// Check returns what is wrong with the settings, key by key.
+// Check calls report for each key whose value is missing or not allowed.
 func (c *Common) Check(report func(key, message string)) {
 	for key, name := range map[string]string{"vm": c.VM, "availabilityZone": c.AvailabilityZone, "keys": c.Keys} {
 		if name == "" {
@@ -57,7 +58,9 @@
 	}
 }
 
-// checkAccess checks who may come in.
+// checkAccess checks the settings that protect the operators' listener and the links: an
+// operators' address off loopback requires a token, and TLS on links requires all three
+// files.
 func (c *Common) checkAccess(report func(key, message string)) {
 	if c.Operators.IsValid() && !c.Operators.Addr().IsLoopback() && c.OperatorsToken == "" {
 		report("operators", "off loopback only with operatorsToken")
@@ -67,15 +70,16 @@
 	}
 }
 
-// Checker is a settings struct that can check itself.
+// Checker is a settings struct that validates its values.
 type Checker interface {
-	// Check reports each key that is wrong, with what is allowed.
+	// Check calls report for each key whose value is missing or not allowed; message
+	// states what is allowed.
 	Check(report func(key, message string))
 }
 
-// Load reads a process settings file strictly into dst, which must be a
-// pointer. The error is config.Problems, all at once: file, line, key and what is
-// allowed.
+// Load decodes a process settings file into dst, which must be a pointer, and checks it.
+// Unknown keys are not allowed. The error is config.Problems and lists all problems of the
+// file with line, key and what is allowed.
 func Load(file string, dst Checker) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -92,7 +96,8 @@
 	lines := config.NewLines(text)
 	dst.Check(func(key, message string) {
 		line := lines.Of(key)
-		// Keys that are missing have the document's first line.
+		// A value that did not decode is not reported a second time. Line 1 stands for
+		// all keys that are missing, so that several problems may have it.
 		if line <= 1 || !reported[line] {
 			ps = append(ps, config.Problem{File: file, Line: line, Key: key, Message: message})
 		}
@@ -103,16 +108,16 @@
 	return nil
 }
 
-// Keys is the key file: it is named in the process settings and holds secrets
-// that never stand in a log or dump.
+// Keys is the content of the key file, to which the process setting keys is the path. Its
+// secrets must not appear in logs or dumps.
 type Keys struct {
-	// Link proves processes to each other.
+	// Link holds the keys with which processes authenticate each other on links.
 	Link []seal.Key `yaml:"link"`
-	// Token seals session tokens and tickets.
+	// Token holds the keys that sign session tokens and tickets.
 	Token []seal.Key `yaml:"token"`
 }
 
-// Check reports keys that are missing or too short.
+// Check calls report for each list of keys that is empty or has a key that is not valid.
 func (k *Keys) Check(report func(key, message string)) {
 	for name, keys := range map[string][]seal.Key{"link": k.Link, "token": k.Token} {
 		if _, err := seal.NewKeyring(keys); err != nil {
--- a/internal/proc/settings_test.go
+++ b/internal/proc/settings_test.go
@@ -12,8 +12,8 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// All that is wrong with a file is told at once: keys that are unknown, values of
-// the wrong type, and what the settings themselves do not allow.
+// TestLoadReportsEveryProblem loads a file with unknown keys, values of the wrong type and
+// values that Check rejects. Load must report all of them together.
 func TestLoadReportsEveryProblem(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.yaml")
 	text := "vm: x\nlink: 1\navailabilityZone: z\ncolour: red\nkeys: k\nlogLevel: loud\n"
@@ -29,7 +29,7 @@
 	for _, p := range ps {
 		lines[p.Line]++
 	}
-	// Line 1 stands for the two addresses that are missing.
+	// Line 1 stands for the two missing addresses, operators and platform.
 	want := map[int]int{1: 2, 2: 1, 4: 1, 6: 1}
 	for line, n := range want {
 		if lines[line] != n {
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: BSD-3-Clause
 
 // Package secure provides TLS configurations from files that may be replaced while the
-// process runs. A handshake uses the files as they were at most a second before.
+// process runs. A handshake uses the files as they were at most a second before, or the
+// last valid ones.
 package secure
 
 import (
