--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -214,7 +214,7 @@
 // included is certainly not in the log and gets ErrNotWritten, the others
 // ErrOutcomeUnknown.
 func (l *Log) failAll(pending []*pendingClaim, err error) {
-	l.log.Warn("claims: The platform does not answer; the pending claims have failed.", zap.Int("claims", len(pending)), logs.Err(err))
+	l.log.Warn("claims: The platform does not answer; claims have failed.", zap.Int("claims", len(pending)), logs.Err(err))
 	for _, p := range pending {
 		if p.maybeWritten {
 			p.done <- result{err: ErrOutcomeUnknown}
--- a/internal/claims/log_test.go
+++ b/internal/claims/log_test.go
@@ -66,6 +66,7 @@
 	wins map[string]int
 }
 
+// add records that the claim of run on key returned holder.
 func (w *winners) add(key, run, holder string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,6 +94,8 @@
 	claimsPerRacer = 60
 )
 
+// raceForKeys claims random keys at random times from all racers while faults are
+// injected, and checks the results.
 func raceForKeys(t *testing.T, seed uint64) {
 	o, addr := startObjects(t, seed)
 	w := &winners{holders: make(map[string]map[string]bool), wins: make(map[string]int)}
@@ -139,10 +142,12 @@
 	o.Set(fakes.Faults{})
 }
 
+// checkRace compares the results of the claims with the log as a new process reads it.
+// notWritten holds the key of each run that failed with ErrNotWritten.
 func checkRace(t *testing.T, addr netip.AddrPort, w *winners, notWritten *sync.Map) {
 	l := startLog(t, addr)
 	if len(w.holders) == 0 {
-		t.Fatal("no claim was settled")
+		t.Fatal("no claim got a result")
 	}
 	for key, holders := range w.holders {
 		held, err := l.Claim(t.Context(), claim.Record{Key: key, Run: "late"})
--- a/internal/commit/apply_test.go
+++ b/internal/commit/apply_test.go
@@ -46,6 +46,7 @@
 	return o, c
 }
 
+// edit returns an edit whose nodes are those of a settings file with the given text.
 func edit(t *testing.T, id string, base int64, text string) Edit {
 	t.Helper()
 	f, err := config.ParseFile("test", []byte(text))
@@ -55,8 +56,10 @@
 	return Edit{ID: id, Author: "author of " + id, Reason: "reason of " + id, At: time.Unix(1, 0), Base: base, Nodes: f.Nodes()}
 }
 
+// replaceInTree returns tree with the first occurrence of old replaced.
 func replaceInTree(old, now string) string { return strings.Replace(tree, old, now, 1) }
 
+// setting returns the value in force of a setting of a workspace.
 func setting(t *testing.T, c *store.Client, workspace, key string) string {
 	t.Helper()
 	s, err := ReadTree(t.Context(), c)
@@ -175,7 +178,7 @@
 		}
 	}
 	if got := setting(t, c, "a", "answerWithin"); got != "20s" {
-		t.Errorf("in the end: got %s, want 20s", got)
+		t.Errorf("after all writes: got %s in force, want 20s", got)
 	}
 }
 
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -30,8 +30,8 @@
 	"github.com/traildrift/traildrift/pkg/seal"
 )
 
-// Proc is the part of a process that does not depend on its role. New sets all fields,
-// which do not change afterwards.
+// Proc is the part of a process that does not depend on its role. It must be created with
+// New, which sets all fields.
 type Proc struct {
 	// Common holds the process settings, with the default of WriteEvery filled in.
 	Common Common
@@ -198,8 +198,8 @@
 
 // sharedState is the dump of a process.
 type sharedState struct {
-	Identity    wire.Identity   `json:"identity"`
-	Now         time.Time       `json:"now"`
+	Identity wire.Identity `json:"identity"`
+	Now      time.Time     `json:"now"`
 	// Revision is the settings revision in force, ConfirmedAt the last time at which the
 	// platform or a peer confirmed that there is no newer one.
 	Revision    int64     `json:"revision"`
