--- a/internal/claims/log_test.go
+++ b/internal/claims/log_test.go
@@ -26,7 +26,7 @@
 
 func init() { assert.SetFatal() }
 
-// startObjects serves a stand-in platform until the test ends.
+// startObjects serves a fake platform until the test ends.
 func startObjects(t testing.TB, seed uint64) (*fakes.Objects, netip.AddrPort) {
 	t.Helper()
 	o := fakes.NewObjects(seed)
@@ -39,7 +39,7 @@
 	return o, ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// startLog runs a log as one entry would, until the test ends.
+// startLog runs a log with all its buckets, as an entry does, until the test ends.
 func startLog(t testing.TB, addr netip.AddrPort) *Log {
 	t.Helper()
 	c := store.New(addr)
@@ -57,31 +57,32 @@
 	return l
 }
 
-// won gathers which run won each key, over all claimants.
-type won struct {
+// winners collects the results of all claims by key.
+type winners struct {
 	mu sync.Mutex
-	// by holds the run that each claimant was told has the key.
-	by map[string]map[string]bool
-	// sure counts the claims that were told to have won.
-	sure map[string]int
+	// holders holds, by key, the runs that were returned as holder of the key.
+	holders map[string]map[string]bool
+	// wins counts, by key, the claims that were returned as their own winner.
+	wins map[string]int
 }
 
-func (w *won) add(key, run, holder string) {
+// add records that the claim of run on key returned holder.
+func (w *winners) add(key, run, holder string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.by[key] == nil {
-		w.by[key] = make(map[string]bool)
+	if w.holders[key] == nil {
+		w.holders[key] = make(map[string]bool)
 	}
-	w.by[key][holder] = true
+	w.holders[key][holder] = true
 	if holder == run {
-		w.sure[key]++
+		w.wins[key]++
 	}
 }
 
-// TestOneWinner races four entries that all believe they own every bucket, for
-// the same keys, while the platform loses answers, slows down and goes down.
-// Every claimant that hears of a winner hears of the same one, one run wins at
-// most, and a claim said not to be written is not in the log at the end.
+// TestOneWinner runs four entries that all write every bucket and claim the same keys
+// concurrently, while the platform loses responses, is slow and is down. All claims on a
+// key that get a result must get the same holder, at most one run may win, and a claim
+// that failed with ErrNotWritten must not be in the log at the end.
 func TestOneWinner(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { raceForKeys(t, seed) })
@@ -89,21 +90,23 @@
 }
 
 const (
-	racers   = 4
-	racedFor = 60
+	racers         = 4
+	claimsPerRacer = 60
 )
 
+// raceForKeys claims random keys at random times from all racers while faults are
+// injected, and checks the results.
 func raceForKeys(t *testing.T, seed uint64) {
 	o, addr := startObjects(t, seed)
-	w := &won{by: make(map[string]map[string]bool), sure: make(map[string]int)}
+	w := &winners{holders: make(map[string]map[string]bool), wins: make(map[string]int)}
 	var notWritten sync.Map
 	var wg sync.WaitGroup
 	for racer := range racers {
 		l := startLog(t, addr)
 		rnd := rand.New(rand.NewPCG(seed, uint64(racer)))
-		for i := range racedFor {
+		for i := range claimsPerRacer {
 			wg.Add(1)
-			key := KeyOf("w", fmt.Sprint(rnd.IntN(racedFor/2)))
+			key := KeyOf("w", fmt.Sprint(rnd.IntN(claimsPerRacer/2)))
 			run := fmt.Sprintf("%d-%d", racer, i)
 			wait := time.Duration(rnd.IntN(300)) * time.Millisecond
 			go func() {
@@ -121,13 +124,13 @@
 			}()
 		}
 	}
-	drawFaults(o, rand.New(rand.NewPCG(seed, 99)))
+	injectFaults(o, rand.New(rand.NewPCG(seed, 99)))
 	wg.Wait()
 	checkRace(t, addr, w, &notWritten)
 }
 
-// drawFaults puts faults in force one after the other.
-func drawFaults(o *fakes.Objects, rnd *rand.Rand) {
+// injectFaults applies 8 random sets of faults for 50 ms each, then none.
+func injectFaults(o *fakes.Objects, rnd *rand.Rand) {
 	for range 8 {
 		o.Set(fakes.Faults{
 			LoseAnswers: float64(rnd.IntN(3)) / 4,
@@ -139,27 +142,30 @@
 	o.Set(fakes.Faults{})
 }
 
-func checkRace(t *testing.T, addr netip.AddrPort, w *won, notWritten *sync.Map) {
+// checkRace compares the results of the claims with the log as a new process reads it.
+// notWritten holds the key of each run that failed with ErrNotWritten.
+func checkRace(t *testing.T, addr netip.AddrPort, w *winners, notWritten *sync.Map) {
 	l := startLog(t, addr)
-	if len(w.by) == 0 {
-		t.Fatal("no claim was settled")
+	if len(w.holders) == 0 {
+		t.Fatal("no claim got a result")
 	}
-	for key, holders := range w.by {
+	for key, holders := range w.holders {
 		held, err := l.Claim(t.Context(), claim.Record{Key: key, Run: "late"})
-		if err != nil || len(holders) != 1 || !holders[held.Run] || w.sure[key] > 1 {
-			t.Errorf("key %s: claimants heard of %v, %d were told to have won, the log says %q %v; want one and the same", key, holders, w.sure[key], held.Run, err)
+		if err != nil || len(holders) != 1 || !holders[held.Run] || w.wins[key] > 1 {
+			t.Errorf("key %s: claims returned the holders %v and %d wins, the log has %q %v; want one holder, the same in the log, and at most 1 win", key, holders, w.wins[key], held.Run, err)
 		}
 	}
 	notWritten.Range(func(run, key any) bool {
 		held, err := l.Claim(t.Context(), claim.Record{Key: key.(string), Run: "later"})
 		if err != nil || held.Run == run {
-			t.Errorf("run %v was said not to be written: got %q %v in the log", run, held.Run, err)
+			t.Errorf("run %v failed with ErrNotWritten: got %q %v in the log, want another run", run, held.Run, err)
 		}
 		return true
 	})
 }
 
-// TestLostAnswer settles a write whose answer was lost by reading it back.
+// TestLostAnswer loses the responses of all writes. Claim must read the log back and find
+// its own record there.
 func TestLostAnswer(t *testing.T) {
 	o, addr := startObjects(t, 1)
 	o.Set(fakes.Faults{LoseAnswers: 1})
@@ -170,7 +176,8 @@
 	}
 }
 
-// TestGenerations lets a closed run's key be claimed again, once.
+// TestGenerations claims a key in two generations from two processes. Only the first
+// claim of a generation may win, and only if the generation follows that of the holder.
 func TestGenerations(t *testing.T) {
 	_, addr := startObjects(t, 1)
 	a, b := startLog(t, addr), startLog(t, addr)
@@ -196,7 +203,8 @@
 	}
 }
 
-// TestManySlices fills slices and finds every claim again from nothing.
+// TestManySlices writes claims that fill several slices. A log that starts afterwards,
+// with no local copy, must find all of them.
 func TestManySlices(t *testing.T) {
 	_, addr := startObjects(t, 1)
 	l := startLog(t, addr)
@@ -219,8 +227,9 @@
 	}
 }
 
-// TestDoubt says "not written" only of claims that no write has carried.
-func TestDoubt(t *testing.T) {
+// TestOutcomeUnknown checks that only claims that no write has included fail with
+// ErrNotWritten. A claim with a write of unknown outcome may still appear in the log.
+func TestOutcomeUnknown(t *testing.T) {
 	down := errors.Mark(errors.New("x"), store.ErrUnavailable)
 	tests := []struct {
 		name string
@@ -228,7 +237,7 @@
 		want error
 	}{
 		{"the platform refuses the write", down, ErrNotWritten},
-		{"the write's outcome is not known, then the platform is down", errors.Mark(errors.New("x"), store.ErrOutcomeUnknown), ErrDoubt},
+		{"the write's outcome is not known, then the platform is down", errors.Mark(errors.New("x"), store.ErrOutcomeUnknown), ErrOutcomeUnknown},
 	}
 	for _, tt := range tests {
 		written := false
