--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -30,12 +30,12 @@
 
 // answer sends a request's answer, whole or in pieces. leave is called once the
 // caller has been answered.
-func (e *Entry) answer(ctx *fasthttp.RequestCtx, r *request, leave func()) {
+func (e *Entry) answer(ctx *fasthttp.RequestCtx, r *request, release func()) {
 	if !e.answerWhole(ctx, r) {
-		e.answerStream(ctx, r, leave)
+		e.answerStream(ctx, r, release)
 		return
 	}
-	leave()
+	release()
 }
 
 // answerWhole sends an answer that is not streamed; it reports false for one
@@ -76,14 +76,14 @@
 	if token := e.sessionToken(r, head.Model, head.Version); token != "" {
 		h.Set(headerSession, token)
 	}
-	if r.unkept {
-		h.Set(headerKept, "false")
+	if r.nameNotStored {
+		h.Set(headerSessionKept, "false")
 	}
 }
 
 // answerStream sends the answer as it grows.
-func (e *Entry) answerStream(ctx *fasthttp.RequestCtx, r *request, leave func()) {
-	ctx.SetBodyStream(&answerReader{e: e, r: r, leave: leave}, -1)
+func (e *Entry) answerStream(ctx *fasthttp.RequestCtx, r *request, release func()) {
+	ctx.SetBodyStream(&answerReader{e: e, r: r, release: release}, -1)
 }
 
 // answerReader is the body of a streamed answer. Where the answer ends before
@@ -93,17 +93,17 @@
 	e      *Entry
 	r      *request
 	offset int
-	// last is what is left of the event that says why.
-	last []byte
+	// errorEvent is what is left of the event that says why.
+	errorEvent []byte
 	// end is set once the whole answer was read.
-	end   *stream.End
-	leave func()
+	end     *stream.End
+	release func()
 }
 
 // Read waits for more of the answer.
 func (a *answerReader) Read(p []byte) (int, error) {
 	if a.end != nil {
-		return a.readLast(p)
+		return a.readEnd(p)
 	}
 	_, data, end, err := a.r.buf.Next(a.e.kill, a.offset)
 	if err != nil {
@@ -117,18 +117,18 @@
 	a.end = end
 	if end.Err != nil {
 		body, _ := json.Marshal(fault.Body{Error: end.Err})
-		a.last = append(append([]byte("data: "), body...), "\n\n"...)
+		a.errorEvent = append(append([]byte("data: "), body...), "\n\n"...)
 	}
 	if n > 0 {
 		return n, nil
 	}
-	return a.readLast(p)
+	return a.readEnd(p)
 }
 
-func (a *answerReader) readLast(p []byte) (int, error) {
-	if len(a.last) > 0 {
-		n := copy(p, a.last)
-		a.last = a.last[n:]
+func (a *answerReader) readEnd(p []byte) (int, error) {
+	if len(a.errorEvent) > 0 {
+		n := copy(p, a.errorEvent)
+		a.errorEvent = a.errorEvent[n:]
 		return n, nil
 	}
 	if a.end.Err != nil {
@@ -142,7 +142,7 @@
 	if a.end == nil {
 		a.e.callerGone(a.r)
 	}
-	a.leave()
+	a.release()
 	return nil
 }
 
--- a/internal/entry/rest_test.go
+++ b/internal/entry/backoff_test.go
@@ -12,7 +12,7 @@
 )
 
 // An endpoint whose guard tells that it rests gets no new work until that is over.
-func TestRestingPeerIsNotUsable(t *testing.T) {
+func TestPeerInBackoffIsNotUsable(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := &peer{conn: &link.Conn{}, suspectAt: now.Add(time.Hour)}
 	p.setLoad(wire.Load{BackoffMs: 1500}, now)
--- a/internal/entry/bucket.go
+++ b/internal/entry/bucket.go
@@ -18,17 +18,17 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// forwardWithin is how long the entry that serves a bucket may take before a
+// forwardTimeout is how long the entry that serves a bucket may take before a
 // claim is entered here instead.
-const forwardWithin = config.Span(400 * time.Millisecond)
+const forwardTimeout = config.Span(400 * time.Millisecond)
 
 // enterClaim enters a record in the claim log, through the entry that serves
 // the record's bucket. That is for speed only: one writer for each bucket can
 // put many claims in one update. Two writers collide at the platform and one
 // reads again, so a claim that gets no answer is simply entered here too.
 func (e *Entry) enterClaim(ctx context.Context, r claim.Record) (claim.Record, error) {
-	vm, here := e.peers.serves(claims.BucketOf(r.Key))
-	if here {
+	vm, local := e.peers.bucketServer(claims.BucketOf(r.Key))
+	if local {
 		return e.claims.Claim(ctx, r)
 	}
 	held, err := e.forwardClaim(ctx, vm, r)
@@ -44,9 +44,9 @@
 }
 
 func (e *Entry) forwardClaim(ctx context.Context, vm store.VM, r claim.Record) (claim.Record, error) {
-	call, cancel := context.WithDeadline(ctx, forwardWithin.After(time.Now()))
+	call, cancel := context.WithDeadline(ctx, forwardTimeout.After(time.Now()))
 	defer cancel()
-	c, err := e.entryLinks.to(call, e.Local, vm.Link, "")
+	c, err := e.linkCache.get(call, e.Local, vm.Link, "")
 	if err != nil {
 		return claim.Record{}, err
 	}
@@ -66,7 +66,7 @@
 
 // handleClaim enters another entry's record.
 func (e *Entry) handleClaim(ctx context.Context, _ *link.Conn, p wire.Claim) (wire.ClaimReply, error) {
-	ctx, cancel := context.WithDeadline(ctx, claimWithin.After(time.Now()))
+	ctx, cancel := context.WithDeadline(ctx, claimTimeout.After(time.Now()))
 	defer cancel()
 	held, err := e.claims.Claim(ctx, p.Record)
 	return wire.ClaimReply{
@@ -77,9 +77,9 @@
 	}, nil
 }
 
-// serves returns the live entry VM that serves a bucket, and whether it is this
+// bucketServer returns the live entry VM that bucketServer a bucket, and whether it is this
 // one, by rendezvous hashing over the VM list.
-func (ps *peers) serves(bucket int) (vm store.VM, here bool) {
+func (ps *peers) bucketServer(bucket int) (vm store.VM, local bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	name := fmt.Sprint("bucket ", bucket)
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// claimWithin bounds the wait for the claim log.
-	claimWithin = config.Span(2 * time.Second)
-	// keyForget is how long the entry that ran a key remembers that it did.
-	keyForget = 24 * time.Hour
-	// claimTries bounds how often a key whose runs were closed is claimed
+	// claimTimeout bounds the wait for the claim log.
+	claimTimeout = config.Span(2 * time.Second)
+	// keyRetention is how long the entry that ran a key remembers that it did.
+	keyRetention = 24 * time.Hour
+	// maxClaimAttempts bounds how often a key whose runs were closed is claimed
 	// again for one request.
-	claimTries = 4
-	// unsettledBack is when the caller of a key in doubt may ask again.
-	unsettledBack = config.Span(5 * time.Second)
+	maxClaimAttempts = 4
+	// unsettledRetryAfter is when the caller of a key in doubt may ask again.
+	unsettledRetryAfter = config.Span(5 * time.Second)
 )
 
 // bodyHash is what a key binds: the request without its deadline and session.
@@ -41,30 +41,30 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// placeClaimed claims the caller's own key in the log and starts the request,
+// startOrJoinClaimed claims the caller's own key in the log and starts the request,
 // or joins the run that holds the key. Repeats in this process join the first
 // before the log is asked.
-func (e *Entry) placeClaimed(call wire.Call, key string) (*request, *fault.Error) {
+func (e *Entry) startOrJoinClaimed(call wire.Call, key string) (*request, *fault.Error) {
 	r := e.newRequest(call, key)
 	body := bodyHash(&call)
-	holder, err := e.hold(r, body, e.age()+keyForget)
+	holder, err := e.reserveKey(r, body, e.age()+keyRetention)
 	if err != nil || holder != r {
 		r.cancel()
 		return holder, err
 	}
-	if err := e.takeKey(r, body); err != nil {
+	if err := e.claimKey(r, body); err != nil {
 		e.finish(r, 0, err)
 	}
 	return r, nil
 }
 
-// takeKey claims the key of r and starts r, or makes r follow the run that
+// claimKey claims the key of r and starts r, or makes r follow the run that
 // holds the key elsewhere.
-func (e *Entry) takeKey(r *request, body string) *fault.Error {
+func (e *Entry) claimKey(r *request, body string) *fault.Error {
 	r.record.Key = "claimed"
 	generation := 0
-	for range claimTries {
-		held, err := e.claim(r, body, generation)
+	for range maxClaimAttempts {
+		held, err := e.enterKeyClaim(r, body, generation)
 		if err != nil {
 			return err
 		}
@@ -74,10 +74,10 @@
 		if err := e.follow(r, body, &held); err != errClosed {
 			return err
 		}
-		r.joined = false
+		r.following = false
 		generation = held.Generation + 1
 	}
-	return e.unsettled("The key was claimed again and again.")
+	return e.keyUnsettled("The key was claimed again and again.")
 }
 
 // follow makes r follow the run that a claim names. It returns errClosed if
@@ -93,19 +93,19 @@
 	if _, err := e.joinLocal(held.Run, body); err != nil {
 		return err
 	}
-	return e.unsettled("The key's run in this process is no longer held under its name.")
+	return e.keyUnsettled("The key's run in this process is no longer held under its name.")
 }
 
-func (e *Entry) unsettled(message string) *fault.Error {
-	return fault.New(fault.KeyUnsettled, fault.MayHaveRun, "%s", message).WithRetryAt(unsettledBack.After(e.Now()))
+func (e *Entry) keyUnsettled(message string) *fault.Error {
+	return fault.New(fault.KeyUnsettled, fault.MayHaveRun, "%s", message).WithRetryAt(unsettledRetryAfter.After(e.Now()))
 }
 
-// claim enters the claim of r and returns the one that stands. If it fails the
+// enterKeyClaim enters the enterKeyClaim of r and returns the one that stands. If it fails the
 // request is refused as not run and never starts here: it stays closed, and a
-// repeat that finds the claim in the log after all is told so.
-func (e *Entry) claim(r *request, body string, generation int) (claim.Record, *fault.Error) {
+// repeat that finds the enterKeyClaim in the log after all is told so.
+func (e *Entry) enterKeyClaim(r *request, body string, generation int) (claim.Record, *fault.Error) {
 	now := e.Now()
-	ctx, cancel := context.WithDeadline(r.ctx, given(now, r.call.Deadline, claimWithin))
+	ctx, cancel := context.WithDeadline(r.ctx, capDeadline(now, r.call.Deadline, claimTimeout))
 	defer cancel()
 	held, err := e.enterClaim(ctx, claim.Record{
 		Key:        claims.KeyOf(r.call.Workspace, r.key),
@@ -119,7 +119,7 @@
 		return held, nil
 	}
 	if errors.Is(err, claims.ErrNotWritten) {
-		e.keyed.drop(r.id)
+		e.keyedRuns.drop(r.id)
 	}
-	return held, fault.New(fault.PlatformDown, fault.NotRun, "The platform does not take the claim on the key.").WithRetryAt(comeBackAfter.After(e.Now()))
+	return held, fault.New(fault.PlatformDown, fault.NotRun, "The platform does not take the claim on the key.").WithRetryAt(defaultRetryAfter.After(e.Now()))
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -19,7 +19,7 @@
 
 // run takes a request from endpoint to endpoint until it is answered.
 func (e *Entry) run(r *request) {
-	if err := e.sessionOf(r); err != nil {
+	if err := e.resolveSession(r); err != nil {
 		e.finish(r, 0, err)
 		return
 	}
@@ -27,25 +27,25 @@
 	for {
 		length, err := e.attempt(r, &tried)
 		if err == nil {
-			e.answeredWhole(r)
+			e.recordSuccess(r)
 		}
-		if err == nil || !e.again(r, err, len(tried)) {
+		if err == nil || !e.shouldRetry(r, err, len(tried)) {
 			e.finish(r, length, err)
 			return
 		}
 	}
 }
 
-// again reports whether the request goes to another endpoint after err, and pays
+// shouldRetry reports whether the request goes to another endpoint after err, and pays
 // for it where the fleet has to.
-func (e *Entry) again(r *request, err *fault.Error, attempts int) bool {
+func (e *Entry) shouldRetry(r *request, err *fault.Error, attempts int) bool {
 	rules := tries.Rules{Repeatable: r.repeatable, MaxAttempts: *r.effective.Values.MaxAttempts}
 	over := r.ctx.Err() != nil || r.buf.Ended() != nil
 	switch tries.Next(rules, tries.State{Attempts: attempts, AnswerBegun: r.buf.Len() > 0, Finished: over}, err) {
 	case tries.Free:
 		return true
 	case tries.Paid:
-		return e.limits.retry(r.call.Workspace)
+		return e.limits.takeRetry(r.call.Workspace)
 	default:
 		return false
 	}
@@ -53,7 +53,7 @@
 
 // attempt decides once and sends the request there.
 func (e *Entry) attempt(r *request, tried *[]string) (int, *fault.Error) {
-	if err := e.quarantined(r); err != nil {
+	if err := e.checkQuarantine(r); err != nil {
 		return 0, err
 	}
 	now := e.Now()
@@ -65,7 +65,7 @@
 	if d.Kind != "" {
 		step.Err = fault.New(d.Kind, fault.NotRun, "%s", d.Kind.Answer().Advice)
 		if d.Kind.Answer().RetryLater {
-			step.Err.WithRetryAt(comeBackAfter.After(now))
+			step.Err.WithRetryAt(defaultRetryAfter.After(now))
 		}
 		r.record.Steps = append(r.record.Steps, step)
 		return 0, step.Err
@@ -77,7 +77,7 @@
 	step.Err = reply.Err
 	r.record.Steps = append(r.record.Steps, step)
 	if reply.Err != nil && reply.Err.Run == fault.NotRun {
-		e.disown(r, step.Attempt)
+		e.removeUnbilled(r, step.Attempt)
 	} else {
 		r.attempts = append(r.attempts, bill.Attempt{
 			RunID:            r.id,
@@ -97,40 +97,40 @@
 // an endpoint as not run waits a little for another one to be linked again:
 // a fault that breaks one link often breaks all of a pool for a moment.
 func (e *Entry) choose(r *request, tried []string) (*config.Snapshot, []*peer, route.Decision, *fault.Error) {
-	until := given(e.Now(), r.call.Deadline, relinkWithin)
+	until := capDeadline(e.Now(), r.call.Deadline, relinkTimeout)
 	for {
 		now := e.Now()
 		view, list := e.peers.view(now)
 		snap := e.Holder.Current()
 		eff := snap.Effective(r.call.Workspace, r.call.Workload, r.call.District)
-		if err := e.fresh(eff, now); err != nil {
+		if err := e.checkSettingsAge(eff, now); err != nil {
 			return snap, list, route.Decision{}, err
 		}
 		d := e.decide(r, snap, eff, &view, list, tried)
 		if d.Kind != fault.NoVersion || len(tried) == 0 || !now.Before(until) || r.ctx.Err() != nil {
 			return snap, list, d, nil
 		}
-		tasks.Pause(r.ctx, relinkPoll.After(now))
+		tasks.Pause(r.ctx, relinkPollInterval.After(now))
 	}
 }
 
 const (
-	// relinkWithin is how long a request that was sent back waits for another
+	// relinkTimeout is how long a request that was sent back waits for another
 	// endpoint, relinkPoll how often it looks.
-	relinkWithin = config.Span(time.Second)
-	relinkPoll   = config.Span(20 * time.Millisecond)
+	relinkTimeout      = config.Span(time.Second)
+	relinkPollInterval = config.Span(20 * time.Millisecond)
 )
 
-// comeBackAfter is when a caller is asked to come back where nothing better is
+// defaultRetryAfter is when a caller is asked to come back where nothing better is
 // known.
-const comeBackAfter = config.Span(time.Second)
+const defaultRetryAfter = config.Span(time.Second)
 
-// fresh refuses under stale settings where the settings say so.
-func (e *Entry) fresh(eff *config.Effective, now time.Time) *fault.Error {
+// checkSettingsAge refuses under stale settings where the settings say so.
+func (e *Entry) checkSettingsAge(eff *config.Effective, now time.Time) *fault.Error {
 	if *eff.Values.OnStale != config.Refuse || now.Before(eff.Values.StaleAfter.After(e.Holder.HeardAt())) {
 		return nil
 	}
-	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").WithRetryAt(comeBackAfter.After(now))
+	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").WithRetryAt(defaultRetryAfter.After(now))
 }
 
 func (e *Entry) decide(r *request, snap *config.Snapshot, eff *config.Effective, v *route.View, list []*peer, tried []string) route.Decision {
@@ -156,32 +156,32 @@
 	return d
 }
 
-// owe notes that the guard of p must hear when the run's bill is confirmed.
-func (e *Entry) owe(key wire.RunKey, p *peer) {
-	e.owedMu.Lock()
-	defer e.owedMu.Unlock()
-	e.owed[key] = p
+// addUnbilled notes that the guard of p must hear when the run's bill is confirmed.
+func (e *Entry) addUnbilled(key wire.RunKey, p *peer) {
+	e.unbilledMu.Lock()
+	defer e.unbilledMu.Unlock()
+	e.unbilled[key] = p
 }
 
-// disown forgets a run that did not run and so has no bill.
-func (e *Entry) disown(r *request, attempt int) {
-	e.owedMu.Lock()
-	defer e.owedMu.Unlock()
-	delete(e.owed, wire.RunKey{RunID: r.id, Attempt: attempt})
+// removeUnbilled forgets a run that did not run and so has no bill.
+func (e *Entry) removeUnbilled(r *request, attempt int) {
+	e.unbilledMu.Lock()
+	defer e.unbilledMu.Unlock()
+	delete(e.unbilled, wire.RunKey{RunID: r.id, Attempt: attempt})
 }
 
-// settle tells the guards which runs are billed.
-func (e *Entry) settle(lines []bill.Line) {
-	e.owedMu.Lock()
-	defer e.owedMu.Unlock()
+// markSettled tells the guards which runs are billed.
+func (e *Entry) markSettled(lines []bill.Line) {
+	e.unbilledMu.Lock()
+	defer e.unbilledMu.Unlock()
 	for _, l := range lines {
 		for _, a := range l.Attempts {
 			key := wire.RunKey{RunID: a.RunID, Attempt: a.Attempt}
-			p, ok := e.owed[key]
+			p, ok := e.unbilled[key]
 			if !ok {
 				continue
 			}
-			delete(e.owed, key)
+			delete(e.unbilled, key)
 			p.mu.Lock()
 			p.settled = append(p.settled, key)
 			p.mu.Unlock()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -32,15 +32,15 @@
 )
 
 const (
-	// maxAnswer bounds one answer, in bytes.
-	maxAnswer = 8 << 20
-	// handlersMost bounds the link messages that are handled at a time.
-	handlersMost = 4096
-	// runsMost bounds the requests under way.
-	runsMost = 20_000
-	// readyLag is how long a stopping entry still takes requests, so that
+	// maxAnswerBytes bounds one answer, in bytes.
+	maxAnswerBytes = 8 << 20
+	// maxHandlers bounds the link messages that are handled at a time.
+	maxHandlers = 4096
+	// maxRuns bounds the requests under way.
+	maxRuns = 20_000
+	// drainDelay is how long a stopping entry still takes requests, so that
 	// the balancer can see that it is not ready.
-	readyLag = config.Span(500 * time.Millisecond)
+	drainDelay = config.Span(500 * time.Millisecond)
 )
 
 // Entry is one entry process. Use New.
@@ -50,33 +50,33 @@
 	kill     context.Context
 	killNow  context.CancelFunc
 	// startedAt is when the process began, with the monotonic clock.
-	startedAt  time.Time
-	peers      *peers
-	keyed      keyed
-	names      names
-	claims     *claims.Log
-	entryLinks entryLinks
-	// orders holds the roll-outs' orders that are under way.
-	orders sync.Map
-	limits limits
-	sinks  sinks
-	recent recent
-	bills  *ledger.Writer[bill.Line]
-	trail  *ledger.Writer[trail.Record]
+	startedAt    time.Time
+	peers        *peers
+	keyedRuns    keyedRuns
+	sessionNames sessionNames
+	claims       *claims.Log
+	linkCache    linkCache
+	// activeOrders holds the roll-outs' activeOrders that are under way.
+	activeOrders sync.Map
+	limits       limits
+	sinks        sinks
+	recent       recent
+	bills        *ledger.Writer[bill.Line]
+	trail        *ledger.Writer[trail.Record]
 	// runs runs the requests; it is bounded.
 	runs *ants.Pool
-	// under counts the requests under way.
-	under atomic.Int64
+	// inFlight counts the requests inFlight way.
+	inFlight atomic.Int64
 	// followers counts the other entries that follow a run of this one.
 	followers atomic.Int64
 	// seq numbers the requests of this incarnation.
 	seq atomic.Uint64
 	// stopping says that the balancer should send no more; it never goes
 	// back.
-	stopping atomic.Bool
-	owedMu   sync.Mutex
-	// owed holds the guards that must hear of a run's bill.
-	owed     map[wire.RunKey]*peer
+	stopping   atomic.Bool
+	unbilledMu sync.Mutex
+	// unbilled holds the guards that must hear of a run's bill.
+	unbilled map[wire.RunKey]*peer
 	listener net.Listener
 	counts   counts
 	// quarantine holds the requests that crash endpoints.
@@ -86,19 +86,19 @@
 // counts are the entry's metrics.
 type counts struct {
 	lateChunks, callersGone, billsLost, trailLost tally.Counter
-	under                                         tally.Gauge
+	inFlight                                      tally.Gauge
 }
 
 // New opens the listeners and builds an entry; Run starts it.
 func New(s Settings) (*Entry, error) {
 	s.fill()
-	e := &Entry{settings: s, startedAt: time.Now(), owed: make(map[wire.RunKey]*peer)}
-	e.quarantine.book = poison.NewDetector()
+	e := &Entry{settings: s, startedAt: time.Now(), unbilled: make(map[wire.RunKey]*peer)}
+	e.quarantine.detector = poison.NewDetector()
 	e.peers = &peers{e: e, byVM: make(map[string]*peer)}
 	p, err := proc.New(s.Common, proc.Options{
 		Role:     store.RoleEntry,
-		Handlers: handlersMost,
-		OnMove:   func(*config.Snapshot) { e.peers.pokeAll() },
+		Handlers: maxHandlers,
+		OnMove:   func(*config.Snapshot) { e.peers.requestHeartbeats() },
 		OnProven: func(*link.Conn) {},
 		State:    e.state,
 		Explain:  e.explain,
@@ -107,17 +107,17 @@
 		return nil, err
 	}
 	e.Proc = p
-	if e.runs, err = ants.NewPool(runsMost, ants.WithNonblocking(true)); err != nil {
+	if e.runs, err = ants.NewPool(maxRuns, ants.WithNonblocking(true)); err != nil {
 		return nil, err
 	}
 	if e.listener, err = listen(s); err != nil {
 		return nil, err
 	}
 	e.bills = ledger.New(p.Log, p.Store, ledger.Options[bill.Line]{
-		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: s.RecordsHeld, Every: p.Common.WriteEvery, OnWritten: e.settle,
+		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: s.MaxHeldRecords, Every: p.Common.WriteEvery, OnWritten: e.markSettled,
 	})
 	e.trail = ledger.New(p.Log, p.Store, ledger.Options[trail.Record]{
-		Kind: ledger.KindTrail, Prefix: p.Identity.Incarnation, Most: s.RecordsHeld, Every: p.Common.WriteEvery, Encode: trail.Encode,
+		Kind: ledger.KindTrail, Prefix: p.Identity.Incarnation, Most: s.MaxHeldRecords, Every: p.Common.WriteEvery, Encode: trail.Encode,
 	})
 	e.claims = claims.New(p.Log, p.Store)
 	sc := p.Scope.SubScope("entry")
@@ -126,13 +126,13 @@
 		callersGone: sc.Counter("callers_gone"),
 		billsLost:   sc.Counter("bills_lost"),
 		trailLost:   sc.Counter("trail_lost"),
-		under:       sc.Gauge("under_way"),
+		inFlight:    sc.Gauge("under_way"),
 	}
 	link.HandleInline(p.Local.Mux, wire.MethodChunk, e.handleChunk)
 	link.HandleInline(p.Local.Mux, wire.MethodLoad, e.handleLoad)
 	link.Handle(p.Local.Mux, wire.MethodJoin, e.handleJoin)
 	link.Handle(p.Local.Mux, wire.MethodClaim, e.handleClaim)
-	link.Handle(p.Local.Mux, wire.MethodPing, e.handleAlive)
+	link.Handle(p.Local.Mux, wire.MethodPing, e.handlePing)
 	return e, nil
 }
 
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ln := lingering{plain}
+	ln := lingerListener{plain}
 	if !s.TLS.Set() {
 		return ln, nil
 	}
@@ -165,7 +165,7 @@
 	http := e.newHTTP()
 	e.Tasks.Go(ctx, "callers", func(context.Context) error { return http.Serve(e.listener) })
 	e.Tasks.Go(ctx, "settings", func(ctx context.Context) error { return e.Holder.Watch(ctx, e.Store, e.peers.watching) })
-	e.Tasks.Go(ctx, "peers", e.peers.follow)
+	e.Tasks.Go(ctx, "peers", e.peers.pollVMs)
 	e.Tasks.Go(ctx, "bills", e.bills.Run)
 	e.Tasks.Go(ctx, "trail", e.trail.Run)
 	e.Tasks.Go(ctx, "answers", e.sweep)
@@ -178,7 +178,7 @@
 	err := e.stop(stages.Kill, http)
 	end()
 	e.killNow()
-	e.entryLinks.closeAll()
+	e.linkCache.closeAll()
 	e.Close()
 	e.runs.Release()
 	return err
@@ -188,16 +188,16 @@
 // written.
 func (e *Entry) stop(kill context.Context, http *fasthttp.Server) error {
 	e.stopping.Store(true)
-	e.Log.Info("entry: Stopping.", zap.Int64("underWay", e.under.Load()))
-	tasks.Pause(kill, readyLag.After(time.Now()))
+	e.Log.Info("entry: Stopping.", zap.Int64("underWay", e.inFlight.Load()))
+	tasks.Pause(kill, drainDelay.After(time.Now()))
 	if err := http.ShutdownWithContext(kill); err != nil {
-		return errors.Wrapf(err, "entry: %d requests were cut off", e.under.Load())
+		return errors.Wrapf(err, "entry: %d requests were cut off", e.inFlight.Load())
 	}
-	for e.under.Load() > 0 {
+	for e.inFlight.Load() > 0 {
 		if kill.Err() != nil {
-			return errors.Newf("entry: %d requests were cut off", e.under.Load())
+			return errors.Newf("entry: %d requests were cut off", e.inFlight.Load())
 		}
-		tasks.Pause(kill, stopPoll.After(time.Now()))
+		tasks.Pause(kill, pollInterval.After(time.Now()))
 	}
 	if err := e.Quiet(kill); err != nil {
 		return err
@@ -205,5 +205,5 @@
 	return errors.CombineErrors(e.bills.Flush(kill), e.trail.Flush(kill))
 }
 
-// stopPoll is how often a stopping entry looks whether all are answered.
-const stopPoll = config.Span(20 * time.Millisecond)
+// pollInterval is how often a stopping entry looks whether all are answered.
+const pollInterval = config.Span(20 * time.Millisecond)
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -15,29 +15,29 @@
 
 // newHTTP returns the callers' listener's server.
 func (e *Entry) newHTTP() *fasthttp.Server {
-	readWithin := e.settings.ReadWithin.After(time.Time{}).Sub(time.Time{})
+	readTimeout := e.settings.ReadTimeout.After(time.Time{}).Sub(time.Time{})
 	return &fasthttp.Server{
 		Handler:                      e.handle,
-		ErrorHandler:                 e.handleBroken,
+		ErrorHandler:                 e.handleReadError,
 		Name:                         "traildrift",
 		Logger:                       logs.LibraryLogger{Log: e.Log, Prefix: "callers"},
 		MaxRequestBodySize:           e.settings.MaxBody,
 		ReadBufferSize:               e.settings.MaxHeader,
-		ReadTimeout:                  readWithin,
-		IdleTimeout:                  idleWithin,
+		ReadTimeout:                  readTimeout,
+		IdleTimeout:                  idleTimeout,
 		CloseOnShutdown:              true,
 		DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader:        true,
 	}
 }
 
-// idleWithin bounds how long a connection of a caller may be idle.
-const idleWithin = 60 * time.Second
+// idleTimeout bounds how long a connection of a caller may be idle.
+const idleTimeout = 60 * time.Second
 
-// handleBroken answers requests that could not be read.
-func (e *Entry) handleBroken(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers requests that could not be read.
+func (e *Entry) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	ctx.SetConnectionClose()
-	linger(ctx.Conn())
+	setLinger(ctx.Conn())
 	switch {
 	case strings.Contains(err.Error(), "body size exceeds"):
 		e.refuse(ctx, fault.New(fault.TooLarge, fault.NotRun, "The body has more than %d bytes.", e.settings.MaxBody))
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// keyedMost bounds the runs by key that an entry remembers.
-	keyedMost = 100_000
-	// answersMost bounds the bytes of kept answers.
-	answersMost = 24 << 20
+	// maxKeyedRuns bounds the runs by key that an entry remembers.
+	maxKeyedRuns = 100_000
+	// maxKeptAnswerBytes bounds the bytes of kept answers.
+	maxKeptAnswerBytes = 24 << 20
 )
 
 // keyedRun is a run that a key names.
 type keyedRun struct {
-	// name is the key with its workspace, run the request ID.
-	name, run string
+	// scopedKey is the key with its workspace, run the request ID.
+	scopedKey, run string
 	// bodyHash is what the key binds; it never changes.
 	bodyHash string
 	// request is nil once the answer is no longer kept, or if the run was
@@ -38,37 +38,37 @@
 	forgetAge time.Duration
 }
 
-// keyed remembers the runs that keys name in this process. A run is entered
+// keyedRuns remembers the runs that keys name in this process. A run is entered
 // before it starts, and for one name there is never a second run unless the
 // first is closed.
-type keyed struct {
+type keyedRuns struct {
 	mu sync.Mutex
-	// byName holds the newest run of each name, byRun every run.
-	byName map[string]*keyedRun
-	byRun  map[string]*keyedRun
+	// byScopedKey holds the newest run of each name, byRun every run.
+	byScopedKey map[string]*keyedRun
+	byRun       map[string]*keyedRun
 	// bytes is the size of the kept answers.
 	bytes int
 }
 
-// nameOf joins a workspace and a key.
-func nameOf(workspace, key string) string { return workspace + "\x00" + key }
+// scopedKeyOf joins a workspace and a key.
+func scopedKeyOf(workspace, key string) string { return workspace + "\x00" + key }
 
-// enter adds a run unless its name has one that is not closed; it returns the
+// add adds a run unless its name has one that is not closed; it returns the
 // run that stands and whether it is the new one. A full memory refuses.
-func (k *keyed) enter(n *keyedRun) (*keyedRun, bool, *fault.Error) {
+func (k *keyedRuns) add(n *keyedRun) (*keyedRun, bool, *fault.Error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.byName == nil {
-		k.byName = make(map[string]*keyedRun)
+	if k.byScopedKey == nil {
+		k.byScopedKey = make(map[string]*keyedRun)
 		k.byRun = make(map[string]*keyedRun)
 	}
-	if old, ok := k.byName[n.name]; ok && !old.closed {
+	if old, ok := k.byScopedKey[n.scopedKey]; ok && !old.closed {
 		return old, false, nil
 	}
-	if len(k.byRun) >= keyedMost {
+	if len(k.byRun) >= maxKeyedRuns {
 		return nil, false, fault.New(fault.Overloaded, fault.NotRun, "The entry remembers too many keys.")
 	}
-	k.byName[n.name] = n
+	k.byScopedKey[n.scopedKey] = n
 	k.byRun[n.run] = n
 	return n, true, nil
 }
@@ -81,7 +81,7 @@
 	body    string
 }
 
-func (k *keyed) stateOf(run string) keyState {
+func (k *keyedRuns) stateOf(run string) keyState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, ok := k.byRun[run]
@@ -92,10 +92,10 @@
 }
 
 // runOf returns the run that a name stands for.
-func (k *keyed) runOf(name string) (run string, ok bool) {
+func (k *keyedRuns) runOf(name string) (run string, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	r, ok := k.byName[name]
+	r, ok := k.byScopedKey[name]
 	if !ok {
 		return "", false
 	}
@@ -103,7 +103,7 @@
 }
 
 // close marks a run that did not and will not run.
-func (k *keyed) close(run string) {
+func (k *keyedRuns) close(run string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if r, ok := k.byRun[run]; ok {
@@ -112,9 +112,9 @@
 	}
 }
 
-// ended keeps the answer of a run for a while, or closes the run if it did not
+// recordEnd keeps the answer of a run for a while, or closes the run if it did not
 // run.
-func (k *keyed) ended(run string, keptUntil time.Time, size int, err *fault.Error) {
+func (k *keyedRuns) recordEnd(run string, keptUntil time.Time, size int, err *fault.Error) {
 	if err != nil && err.Run == fault.NotRun {
 		k.close(run)
 		return
@@ -131,25 +131,25 @@
 
 // sweep gives up answers whose time has come, or any while there are too many
 // bytes, and forgets runs whose time has come.
-func (k *keyed) sweep(now time.Time, age time.Duration) {
+func (k *keyedRuns) sweep(now time.Time, age time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range k.byRun {
-		if r.request != nil && !r.keptUntil.IsZero() && (now.After(r.keptUntil) || k.bytes > answersMost) {
+		if r.request != nil && !r.keptUntil.IsZero() && (now.After(r.keptUntil) || k.bytes > maxKeptAnswerBytes) {
 			k.bytes -= r.request.buf.Len()
 			r.request = nil
 		}
 		if r.request == nil && age > r.forgetAge {
 			delete(k.byRun, r.run)
-			if k.byName[r.name] == r {
-				delete(k.byName, r.name)
+			if k.byScopedKey[r.scopedKey] == r {
+				delete(k.byScopedKey, r.scopedKey)
 			}
 		}
 	}
 }
 
 // drop forgets a run that another entry holds.
-func (k *keyed) drop(run string) {
+func (k *keyedRuns) drop(run string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, ok := k.byRun[run]
@@ -157,13 +157,13 @@
 		return
 	}
 	delete(k.byRun, run)
-	if k.byName[r.name] == r {
-		delete(k.byName, r.name)
+	if k.byScopedKey[r.scopedKey] == r {
+		delete(k.byScopedKey, r.scopedKey)
 	}
 }
 
 // count returns how many runs are remembered and the bytes of their answers.
-func (k *keyed) count() (runs, bytes int) {
+func (k *keyedRuns) count() (runs, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.byRun), k.bytes
@@ -172,24 +172,24 @@
 // age is how long this process has run, by the monotonic clock.
 func (e *Entry) age() time.Duration { return time.Since(e.startedAt) }
 
-// hold enters a request under its key before anything is sent, so that every
+// reserveKey enters a request under its key before anything is sent, so that every
 // repeat in this process finds it. It returns the request that holds the key
 // here: r itself, or one that r's caller joins.
-func (e *Entry) hold(r *request, body string, forgetAge time.Duration) (*request, *fault.Error) {
-	run := &keyedRun{name: nameOf(r.call.Workspace, r.key), run: r.id, bodyHash: body, request: r, forgetAge: forgetAge}
-	stands, mine, err := e.keyed.enter(run)
+func (e *Entry) reserveKey(r *request, body string, forgetAge time.Duration) (*request, *fault.Error) {
+	run := &keyedRun{scopedKey: scopedKeyOf(r.call.Workspace, r.key), run: r.id, bodyHash: body, request: r, forgetAge: forgetAge}
+	current, added, err := e.keyedRuns.add(run)
 	if err != nil {
 		return nil, err
 	}
-	if mine {
+	if added {
 		return r, nil
 	}
-	return e.joinLocal(stands.run, body)
+	return e.joinLocal(current.run, body)
 }
 
 // joinLocal returns the request of a run by key in this process.
 func (e *Entry) joinLocal(run, body string) (*request, *fault.Error) {
-	s := e.keyed.stateOf(run)
+	s := e.keyedRuns.stateOf(run)
 	switch {
 	case !s.known:
 		return nil, fault.New(fault.KeyUnsettled, fault.MayHaveRun, "The run of this key is no longer known.")
@@ -210,22 +210,22 @@
 
 // keepAnswer is called when a request by key has ended.
 func (e *Entry) keepAnswer(r *request, err *fault.Error) {
-	if r.joined {
-		e.keyed.drop(r.id)
+	if r.following {
+		e.keyedRuns.drop(r.id)
 		return
 	}
 	kept := r.effective.Values.AnswerKept
-	e.keyed.ended(r.id, kept.After(e.Now()), r.buf.Len(), err)
+	e.keyedRuns.recordEnd(r.id, kept.After(e.Now()), r.buf.Len(), err)
 }
 
 // sweep looks through the kept answers until ctx is done.
 func (e *Entry) sweep(ctx context.Context) error {
 	for ctx.Err() == nil {
-		tasks.Pause(ctx, sweepEvery.After(time.Now()))
-		e.keyed.sweep(e.Now(), e.age())
+		tasks.Pause(ctx, sweepInterval.After(time.Now()))
+		e.keyedRuns.sweep(e.Now(), e.age())
 	}
 	return nil
 }
 
-// sweepEvery is how often kept answers are looked through.
-const sweepEvery = config.Span(time.Second)
+// sweepInterval is how often kept answers are looked through.
+const sweepInterval = config.Span(time.Second)
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -26,9 +26,9 @@
 type limit struct {
 	// rate is nil until the first request.
 	rate *rate.Limiter
-	// under counts the requests under way; never more than the setting
+	// inFlight counts the requests inFlight way; never more than the setting
 	// allowed when each was let in.
-	under int
+	inFlight int
 	// budget is how many retries may be made; 0 to retryBurst.
 	budget float64
 }
@@ -60,38 +60,38 @@
 	}
 }
 
-// enter lets a request of the workspace in, or says why not.
-func (l *limits) enter(now time.Time, workspace string, v *config.Values) *fault.Error {
+// acquire lets a request of the workspace in, or says why not.
+func (l *limits) acquire(now time.Time, workspace string, v *config.Values) *fault.Error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.of(workspace)
 	w.setRate(now, *v.RequestRate)
-	if w.under >= *v.Concurrency {
-		return fault.New(fault.RateLimited, fault.NotRun, "The workspace has %d requests under way.", w.under).WithRetryAt(comeBackAfter.After(now))
+	if w.inFlight >= *v.Concurrency {
+		return fault.New(fault.RateLimited, fault.NotRun, "The workspace has %d requests under way.", w.inFlight).WithRetryAt(defaultRetryAfter.After(now))
 	}
 	r := w.rate.ReserveN(now, 1)
 	if !r.OK() {
-		return fault.New(fault.RateLimited, fault.NotRun, "The workspace may send no requests.").WithRetryAt(comeBackAfter.After(now))
+		return fault.New(fault.RateLimited, fault.NotRun, "The workspace may send no requests.").WithRetryAt(defaultRetryAfter.After(now))
 	}
 	if wait := r.DelayFrom(now); wait > 0 {
 		r.CancelAt(now)
 		return fault.New(fault.RateLimited, fault.NotRun, "The workspace sends too many requests.").WithRetryAt(now.Add(wait))
 	}
-	w.under++
+	w.inFlight++
 	w.budget = min(w.budget+*v.RetryShare, retryBurst)
 	return nil
 }
 
-// leave ends a request that was let in.
-func (l *limits) leave(workspace string) {
+// release ends a request that was let in.
+func (l *limits) release(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(workspace).under--
+	l.of(workspace).inFlight--
 }
 
-// retry takes one retry from the workspace's budget and reports whether there
+// takeRetry takes one takeRetry from the workspace's budget and reports whether there
 // was one.
-func (l *limits) retry(workspace string) bool {
+func (l *limits) takeRetry(workspace string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.of(workspace)
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -11,9 +11,9 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
 func values(rate float64, concurrency int, retryShare float64) *config.Values {
 	return &config.Values{RequestRate: &rate, Concurrency: &concurrency, RetryShare: &retryShare}
@@ -48,9 +48,9 @@
 	}
 	for _, s := range steps {
 		if s.leave {
-			l.leave(s.workspace)
+			l.release(s.workspace)
 		}
-		err := l.enter(at(s.at), s.workspace, two)
+		err := l.acquire(at(s.at), s.workspace, two)
 		if got := kindOf(err); got != s.want {
 			t.Errorf("%s: got %q, want %q", s.name, got, s.want)
 		}
@@ -58,9 +58,9 @@
 			t.Errorf("%s: got %v at %v, want not run and a later time", s.name, err, err.RetryAt)
 		}
 	}
-	if err := l.enter(at(2000), "a", values(100, 100, 0)); err == nil {
-		l.leave("a")
-	} else if err := l.enter(at(2100), "a", values(100, 100, 0)); err != nil {
+	if err := l.acquire(at(2000), "a", values(100, 100, 0)); err == nil {
+		l.release("a")
+	} else if err := l.acquire(at(2100), "a", values(100, 100, 0)); err != nil {
 		t.Errorf("after the settings were raised: got %v, want nil", err)
 	}
 }
@@ -70,21 +70,21 @@
 	var l limits
 	v := values(1e6, 1e6, 0.5)
 	for range 100 {
-		if err := l.enter(at(0), "a", v); err != nil {
+		if err := l.acquire(at(0), "a", v); err != nil {
 			t.Fatal(err)
 		}
 	}
 	got := 0
-	for l.retry("a") {
+	for l.takeRetry("a") {
 		got++
 	}
 	if got != retryBurst {
 		t.Errorf("retries after 100 requests: got %d, want %d", got, retryBurst)
 	}
 	for range 2 {
-		_ = l.enter(at(0), "a", v)
+		_ = l.acquire(at(0), "a", v)
 	}
-	if !l.retry("a") || l.retry("a") {
+	if !l.takeRetry("a") || l.takeRetry("a") {
 		t.Error("retries after two more requests: want one")
 	}
 }
--- a/internal/entry/linger.go
+++ b/internal/entry/linger.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// lingerFor bounds how long a connection whose request was refused unread is
+	// lingerTimeout bounds how long a connection whose request was refused unread is
 	// kept for its caller to finish; net/http waits as long.
-	lingerFor = config.Span(500 * time.Millisecond)
-	// lingerMost bounds what is read of it, in bytes.
-	lingerMost = 256 << 10
+	lingerTimeout = config.Span(500 * time.Millisecond)
+	// maxLingerBytes bounds what is read of it, in bytes.
+	maxLingerBytes = 256 << 10
 )
 
-// lingering is a listener whose connections may linger.
-type lingering struct{ net.Listener }
+// lingerListener is a listener whose connections may linger.
+type lingerListener struct{ net.Listener }
 
 // Accept waits for the next connection.
-func (l lingering) Accept() (net.Conn, error) {
+func (l lingerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -42,8 +42,8 @@
 	lingers atomic.Bool
 }
 
-// linger makes the close of a caller's connection wait for the caller.
-func linger(c net.Conn) {
+// setLinger makes the close of a caller's connection wait for the caller.
+func setLinger(c net.Conn) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
@@ -56,8 +56,8 @@
 func (c *lingerConn) Close() error {
 	if t, ok := c.Conn.(*net.TCPConn); ok && c.lingers.Load() {
 		// The connection is at its end: what fails here ends the wait.
-		if t.CloseWrite() == nil && t.SetReadDeadline(lingerFor.After(time.Now())) == nil {
-			_, _ = io.CopyN(io.Discard, t, lingerMost)
+		if t.CloseWrite() == nil && t.SetReadDeadline(lingerTimeout.After(time.Now())) == nil {
+			_, _ = io.CopyN(io.Discard, t, maxLingerBytes)
 		}
 	}
 	return c.Conn.Close()
--- a/internal/entry/names.go
+++ b/internal/entry/names.go
@@ -14,23 +14,23 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// headerKept says "false" where a session's name could not be kept, so that
+// headerSessionKept says "false" where a session's name could not be kept, so that
 // only the token in the answer keeps the session.
-const headerKept = "Traildrift-Session-Kept"
+const headerSessionKept = "Traildrift-Session-Kept"
 
-// namesMost bounds the session names that an entry remembers; the log has all.
-const namesMost = 50_000
+// maxSessionNames bounds the session names that an entry remembers; the log has all.
+const maxSessionNames = 50_000
 
-// nameMost bounds a session's name, in bytes.
-const nameMost = 256
+// maxSessionNameBytes bounds a session's name, in bytes.
+const maxSessionNameBytes = 256
 
-// names remembers the claims on session names that this entry has read.
-type names struct {
+// sessionNames remembers the claims on session sessionNames that this entry has read.
+type sessionNames struct {
 	mu sync.Mutex
 	m  map[string]claim.Record
 }
 
-func (n *names) get(key string) (claim.Record, bool) {
+func (n *sessionNames) get(key string) (claim.Record, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r, ok := n.m[key]
@@ -38,14 +38,14 @@
 }
 
 // put remembers a claim; a full memory forgets any other.
-func (n *names) put(r claim.Record) {
+func (n *sessionNames) put(r claim.Record) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.m == nil {
 		n.m = make(map[string]claim.Record)
 	}
 	for key := range n.m {
-		if len(n.m) < namesMost {
+		if len(n.m) < maxSessionNames {
 			break
 		}
 		delete(n.m, key)
@@ -53,35 +53,35 @@
 	n.m[r.Key] = r
 }
 
-// namedSession pins a request to the version that its session's name stands
+// pinNamedSession pins a request to the version that its session's name stands
 // for. The first use claims the name for the version that is chosen then; of
 // two entries that choose differently the log keeps one, and both follow it.
-func (e *Entry) namedSession(r *request) *fault.Error {
-	if len(r.call.Session) > nameMost {
-		return fault.New(fault.SessionInvalid, fault.NotRun, "A session's name has at most %d bytes.", nameMost)
+func (e *Entry) pinNamedSession(r *request) *fault.Error {
+	if len(r.call.Session) > maxSessionNameBytes {
+		return fault.New(fault.SessionInvalid, fault.NotRun, "A session's name has at most %d bytes.", maxSessionNameBytes)
 	}
 	key := claims.KeyOf(r.call.Workspace, "session\x00"+r.call.Session)
-	held, ok := e.names.get(key)
+	held, ok := e.sessionNames.get(key)
 	if !ok {
 		var err *fault.Error
-		if held, err = e.claimName(r, key, 0); err != nil {
+		if held, err = e.claimSessionName(r, key, 0); err != nil {
 			return err
 		}
 	}
 	for ok := true; ok; {
 		var err *fault.Error
-		if held, ok, err = e.pinTo(r, key, held); err != nil {
+		if held, ok, err = e.pinFromClaim(r, key, held); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// pinTo pins the request to a claim's version. It reports true with a newer
+// pinFromClaim pins the request to a claim's version. It reports true with a newer
 // claim where the session moves.
-func (e *Entry) pinTo(r *request, key string, held claim.Record) (claim.Record, bool, *fault.Error) {
+func (e *Entry) pinFromClaim(r *request, key string, held claim.Record) (claim.Record, bool, *fault.Error) {
 	if held.Value == "" {
-		r.unkept = true
+		r.nameNotStored = true
 		return held, false, nil
 	}
 	var p pin
@@ -91,19 +91,19 @@
 	if !e.Now().Before(p.EndsAt) {
 		return held, false, fault.New(fault.SessionEnded, fault.NotRun, "The session has ended.")
 	}
-	if err := e.keep(r, &p); err != nil {
+	if err := e.applyPin(r, &p); err != nil {
 		return held, false, err
 	}
 	if r.pinned != nil {
 		return held, false, nil
 	}
-	next, err := e.claimName(r, key, held.Generation+1)
+	next, err := e.claimSessionName(r, key, held.Generation+1)
 	return next, err == nil, err
 }
 
-// claimName claims a name for the version that is chosen now and returns the
+// claimSessionName claims a name for the version that is chosen now and returns the
 // claim that stands. Its value is empty if the platform does not take it.
-func (e *Entry) claimName(r *request, key string, generation int) (claim.Record, *fault.Error) {
+func (e *Entry) claimSessionName(r *request, key string, generation int) (claim.Record, *fault.Error) {
 	now := e.Now()
 	view, list := e.peers.view(now)
 	snap := e.Holder.Current()
@@ -118,7 +118,7 @@
 	if err != nil {
 		return claim.Record{}, fault.From(err, fault.NotRun)
 	}
-	ctx, cancel := context.WithDeadline(r.ctx, given(now, r.call.Deadline, nameWithin))
+	ctx, cancel := context.WithDeadline(r.ctx, capDeadline(now, r.call.Deadline, nameClaimTimeout))
 	defer cancel()
 	held, claimErr := e.enterClaim(ctx, claim.Record{
 		Key: key, Generation: generation, Run: r.id, Owner: e.Identity.Incarnation, Link: e.Identity.Link, Value: string(value),
@@ -126,10 +126,10 @@
 	if claimErr != nil {
 		return claim.Record{}, nil
 	}
-	e.names.put(held)
+	e.sessionNames.put(held)
 	return held, nil
 }
 
-// nameWithin bounds the wait for a name's claim; without it the request goes on
+// nameClaimTimeout bounds the wait for a name's claim; without it the request goes on
 // with a token alone.
-const nameWithin = config.Span(claimWithin / 4)
+const nameClaimTimeout = config.Span(claimTimeout / 4)
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -27,8 +27,8 @@
 	headerVersion  = "Traildrift-Version"
 )
 
-// keyMost bounds a caller's key, in bytes.
-const keyMost = 512
+// maxKeyBytes bounds a caller's key, in bytes.
+const maxKeyBytes = 512
 
 // chatPath is where chat completions are asked for, here and at engines.
 const chatPath = "/v1/chat/completions"
@@ -36,7 +36,7 @@
 // authorize finds the workspace of the API key.
 func (e *Entry) authorize(ctx *fasthttp.RequestCtx) (string, *fault.Error) {
 	if e.Holder.Revision() == 0 {
-		return "", fault.New(fault.StaleSettings, fault.NotRun, "The entry has no settings yet.").WithRetryAt(comeBackAfter.After(e.Now()))
+		return "", fault.New(fault.StaleSettings, fault.NotRun, "The entry has no settings yet.").WithRetryAt(defaultRetryAfter.After(e.Now()))
 	}
 	auth := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 	key, ok := strings.CutPrefix(auth, "Bearer ")
@@ -79,8 +79,8 @@
 		c.Deadline = t
 	}
 	key := string(h.Peek(headerKey))
-	if len(key) > keyMost {
-		return c, "", fault.New(fault.BadRequest, fault.NotRun, "%s has at most %d bytes.", headerKey, keyMost)
+	if len(key) > maxKeyBytes {
+		return c, "", fault.New(fault.BadRequest, fault.NotRun, "%s has at most %d bytes.", headerKey, maxKeyBytes)
 	}
 	return c, key, nil
 }
@@ -113,15 +113,15 @@
 		c.Workload = b.Model
 	case "":
 		c.Model, _ = modelOf(b.Model)
-		return e.allowedModel(snap, c)
+		return e.checkModel(snap, c)
 	default:
 		return fault.New(fault.NotAllowed, fault.NotRun, "The workload %s serves no chat.", b.Model)
 	}
 	return nil
 }
 
-// allowedModel refuses a model that the workspace does not allow at all.
-func (e *Entry) allowedModel(snap *config.Snapshot, c *wire.Call) *fault.Error {
+// checkModel refuses a model that the workspace does not allow at all.
+func (e *Entry) checkModel(snap *config.Snapshot, c *wire.Call) *fault.Error {
 	for _, cand := range snap.Candidates(snap.Effective(c.Workspace, "", "")) {
 		if cand.Model == c.Model {
 			return nil
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -23,47 +23,47 @@
 	conn *link.Conn
 	// load is what the guard last said.
 	load wire.Load
-	// restsUntil is until when the endpoint wants no run.
-	restsUntil time.Time
+	// backoffUntil is until when the endpoint wants no run.
+	backoffUntil time.Time
 	// suspectAt is when the endpoint counts as silent; it moves with every
 	// answered heartbeat.
 	suspectAt time.Time
-	// crashesOf is the incarnation of the guard that told of crashes, and crashSeq the number
+	// crashIncarnation is the incarnation of the guard that told of crashes, and crashSeq the number
 	// of the last one.
-	crashesOf string
-	crashSeq  uint64
-	// sent counts this entry's runs there that are not ended.
-	sent int
+	crashIncarnation string
+	crashSeq         uint64
+	// inFlight counts this entry's runs there that are not ended.
+	inFlight int
 	// settled lists runs whose bill is confirmed, for the next heartbeat.
 	settled []wire.RunKey
 	// opened is closed and replaced when a link opens.
 	opened chan struct{}
-	// poke asks for a heartbeat at once.
-	poke chan struct{}
+	// heartbeatNow asks for a heartbeat at once.
+	heartbeatNow chan struct{}
 	// tried says that a link was tried once.
 	tried bool
-	// gone is done when the VM is not to be linked to any more.
-	gone context.Context
-	drop context.CancelFunc
-	// ended is closed when the peer's goroutine has ended.
-	ended chan struct{}
+	// ctx is done when the VM is not to be linked to any more.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// done is closed when the peer's goroutine has done.
+	done chan struct{}
 }
 
-// redialAfter is how long a broken link waits before it is opened again.
-const redialAfter = config.Span(200 * time.Millisecond)
+// redialDelay is how long a broken link waits before it is opened again.
+const redialDelay = config.Span(200 * time.Millisecond)
 
-// keep holds a link to p open and beats on it until ctx is done.
-func (ps *peers) keep(ctx context.Context, p *peer) {
+// maintainLink holds a link to p open and beats on it until ctx is done.
+func (ps *peers) maintainLink(ctx context.Context, p *peer) {
 	for ctx.Err() == nil {
 		c, err := ps.e.Local.Dial(ctx, p.vm.Link)
 		if err == nil {
 			p.open(c)
-			ps.beatOn(ctx, p, c)
+			ps.sendHeartbeats(ctx, p, c)
 			p.close(c)
 			c.Close()
 		}
 		p.setTried()
-		tasks.Pause(ctx, redialAfter.After(time.Now()))
+		tasks.Pause(ctx, redialDelay.After(time.Now()))
 	}
 }
 
@@ -89,16 +89,16 @@
 	}
 }
 
-// beatOn sends heartbeats over c until it breaks or ctx is done.
-func (ps *peers) beatOn(ctx context.Context, p *peer, c *link.Conn) {
+// sendHeartbeats sends heartbeats over c until it breaks or ctx is done.
+func (ps *peers) sendHeartbeats(ctx context.Context, p *peer, c *link.Conn) {
 	for {
-		if !ps.beat(ctx, p, c) {
+		if !ps.sendHeartbeat(ctx, p, c) {
 			return
 		}
-		t := time.NewTimer(time.Until(ps.e.settings.BeatEvery.After(time.Now())))
+		t := time.NewTimer(time.Until(ps.e.settings.HeartbeatInterval.After(time.Now())))
 		select {
 		case <-t.C:
-		case <-p.poke:
+		case <-p.heartbeatNow:
 		case <-c.Done():
 		case <-ctx.Done():
 		}
@@ -109,12 +109,12 @@
 	}
 }
 
-// beat sends one heartbeat and reports false when the link is of no more use.
-func (ps *peers) beat(ctx context.Context, p *peer, c *link.Conn) bool {
+// sendHeartbeat sends one heartbeat and reports false when the link is of no more use.
+func (ps *peers) sendHeartbeat(ctx context.Context, p *peer, c *link.Conn) bool {
 	p.mu.Lock()
 	settled := p.settled
 	p.settled = nil
-	released := p.load.Leaving && p.sent == 0
+	released := p.load.Leaving && p.inFlight == 0
 	p.mu.Unlock()
 	call, cancel := context.WithDeadline(ctx, ps.e.settings.SuspectAfter.After(time.Now()))
 	defer cancel()
@@ -130,7 +130,7 @@
 	if reply.Revision == ps.e.Holder.Revision() {
 		ps.e.Holder.Heard()
 	}
-	ps.e.takeCrashes(p, c.Peer.Incarnation, reply.Load.Crashes)
+	ps.e.recordCrashes(p, c.Peer.Incarnation, reply.Load.Crashes)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tried = true
@@ -142,34 +142,34 @@
 // setLoad takes over what the guard says; p.mu is held. A guard that leaves is
 // told at once when this entry has no run there.
 func (p *peer) setLoad(l wire.Load, now time.Time) {
-	news := l.Leaving && !p.load.Leaving
+	startsLeaving := l.Leaving && !p.load.Leaving
 	p.load = l
 	// Without a rest it is zero: a request that looks now may have read the clock before.
-	p.restsUntil = time.Time{}
+	p.backoffUntil = time.Time{}
 	if l.BackoffMs > 0 {
-		p.restsUntil = now.Add(time.Duration(l.BackoffMs) * time.Millisecond)
+		p.backoffUntil = now.Add(time.Duration(l.BackoffMs) * time.Millisecond)
 	}
-	if news && p.sent == 0 {
-		p.pokeNow()
+	if startsLeaving && p.inFlight == 0 {
+		p.requestHeartbeat()
 	}
 }
 
-func (p *peer) pokeNow() {
+func (p *peer) requestHeartbeat() {
 	select {
-	case p.poke <- struct{}{}:
+	case p.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
-// begin counts a run that is about to be sent and returns the link for it, or
+// beginRun counts a run that is about to be sent and returns the link for it, or
 // nil if none may be sent.
-func (p *peer) begin() *link.Conn {
+func (p *peer) beginRun() *link.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn == nil || p.load.Leaving {
 		return nil
 	}
-	p.sent++
+	p.inFlight++
 	return p.conn
 }
 
@@ -178,20 +178,20 @@
 func (p *peer) dropIfIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.sent > 0 {
+	if p.inFlight > 0 {
 		return false
 	}
-	p.drop()
+	p.cancel()
 	return true
 }
 
-// done uncounts a run.
-func (p *peer) done() {
+// endRun uncounts a run.
+func (p *peer) endRun() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sent--
-	if p.sent == 0 && p.load.Leaving {
-		p.pokeNow()
+	p.inFlight--
+	if p.inFlight == 0 && p.load.Leaving {
+		p.requestHeartbeat()
 	}
 }
 
@@ -203,7 +203,7 @@
 	if !ok {
 		return
 	}
-	e.takeCrashes(p, c.Peer.Incarnation, n.Load.Crashes)
+	e.recordCrashes(p, c.Peer.Incarnation, n.Load.Crashes)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn == c {
@@ -213,5 +213,5 @@
 
 // usable reports whether p may get new work; p.mu is held.
 func (p *peer) usable(now time.Time) bool {
-	return p.conn != nil && !p.load.Leaving && !p.load.Down && !now.Before(p.restsUntil) && now.Before(p.suspectAt)
+	return p.conn != nil && !p.load.Leaving && !p.load.Down && !now.Before(p.backoffUntil) && now.Before(p.suspectAt)
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -34,14 +34,14 @@
 	listed bool
 }
 
-// listWithin bounds one reading of the VM list.
-const listWithin = 3 * time.Second
+// listTimeout bounds one reading of the VM list.
+const listTimeout = 3 * time.Second
 
-// follow reads the VM list until ctx is done.
-func (ps *peers) follow(ctx context.Context) error {
+// pollVMs reads the VM list until ctx is done.
+func (ps *peers) pollVMs(ctx context.Context) error {
 	defer ps.dropAll()
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, listWithin)
+		call, cancel := context.WithTimeout(ctx, listTimeout)
 		vms, err := ps.e.VMs.List(call)
 		cancel()
 		if err == nil {
@@ -49,7 +49,7 @@
 		} else {
 			ps.e.Log.Warn("peers: The VM list does not answer.", logs.Err(err))
 		}
-		tasks.Pause(ctx, ps.e.settings.ListEvery.After(time.Now()))
+		tasks.Pause(ctx, ps.e.settings.ListInterval.After(time.Now()))
 	}
 	return nil
 }
@@ -112,19 +112,19 @@
 	}
 }
 
-// linked returns how many endpoints the entry links to.
-func (ps *peers) linked() int {
+// linkCount returns how many endpoints the entry links to.
+func (ps *peers) linkCount() int {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	return len(ps.byVM)
 }
 
 func (ps *peers) start(ctx context.Context, vm store.VM) *peer {
-	p := &peer{vm: vm, opened: make(chan struct{}), poke: make(chan struct{}, 1), ended: make(chan struct{})}
-	p.gone, p.drop = context.WithCancel(ctx)
+	p := &peer{vm: vm, opened: make(chan struct{}), heartbeatNow: make(chan struct{}, 1), done: make(chan struct{})}
+	p.ctx, p.cancel = context.WithCancel(ctx)
 	go func() {
-		defer close(p.ended)
-		ps.keep(p.gone, p)
+		defer close(p.done)
+		ps.maintainLink(p.ctx, p)
 	}()
 	return p
 }
@@ -133,12 +133,12 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for _, p := range ps.byVM {
-		p.drop()
-		<-p.ended
+		p.cancel()
+		<-p.done
 	}
 	for _, p := range ps.retired {
-		p.drop()
-		<-p.ended
+		p.cancel()
+		<-p.done
 	}
 	clear(ps.byVM)
 	ps.retired = nil
@@ -159,13 +159,13 @@
 	return ps.listed
 }
 
-// pokeAll asks every link for a heartbeat at once, so that a new revision
+// requestHeartbeats asks every link for a heartbeat at once, so that a new revision
 // spreads.
-func (ps *peers) pokeAll() {
+func (ps *peers) requestHeartbeats() {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for _, p := range ps.byVM {
-		p.pokeNow()
+		p.requestHeartbeat()
 	}
 }
 
@@ -189,7 +189,7 @@
 			Slots:            p.load.Slots,
 			Running:          p.load.Running,
 			Queued:           p.load.Queued,
-			InFlight:         p.sent,
+			InFlight:         p.inFlight,
 			Versions:         p.load.Versions,
 			Usable:           p.usable(now),
 		}
--- a/internal/entry/recent.go
+++ b/internal/entry/recent.go
@@ -9,8 +9,8 @@
 	"github.com/traildrift/traildrift/pkg/trail"
 )
 
-// recentMost bounds the records that are kept for explain.
-const recentMost = 2048
+// maxRecent bounds the records that are kept for explain.
+const maxRecent = 2048
 
 // recent keeps the last trail records by request ID, in a ring.
 type recent struct {
@@ -18,31 +18,31 @@
 	ring []trail.Record
 	// next is the place of the next record once the ring is full.
 	next int
-	// place finds a record in the ring.
-	place map[string]int
+	// index finds a record in the ring.
+	index map[string]int
 }
 
 func (r *recent) put(rec trail.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.place == nil {
-		r.place = make(map[string]int)
+	if r.index == nil {
+		r.index = make(map[string]int)
 	}
-	if len(r.ring) < recentMost {
-		r.place[rec.RequestID] = len(r.ring)
+	if len(r.ring) < maxRecent {
+		r.index[rec.RequestID] = len(r.ring)
 		r.ring = append(r.ring, rec)
 		return
 	}
-	delete(r.place, r.ring[r.next].RequestID)
+	delete(r.index, r.ring[r.next].RequestID)
 	r.ring[r.next] = rec
-	r.place[rec.RequestID] = r.next
-	r.next = (r.next + 1) % recentMost
+	r.index[rec.RequestID] = r.next
+	r.next = (r.next + 1) % maxRecent
 }
 
 func (r *recent) get(requestID string) (trail.Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i, ok := r.place[requestID]
+	i, ok := r.index[requestID]
 	if !ok {
 		return trail.Record{}, false
 	}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -23,8 +23,8 @@
 type request struct {
 	id   string
 	call wire.Call
-	// named is the request's fingerprint; zero before it was asked for.
-	named poison.Fingerprint
+	// cachedFingerprint is the request's fingerprint; zero before it was asked for.
+	cachedFingerprint poison.Fingerprint
 	// key is the caller's own key or ticket; empty without one.
 	key string
 	// effective is what was in force when the request arrived.
@@ -34,12 +34,12 @@
 	repeatable bool
 	// pinned is the session's version; nil without a session.
 	pinned *pin
-	// joined says that another entry runs the request and bills it; joins
+	// following says that another entry runs the request and bills it; joins
 	// counts how often one was followed.
-	joined bool
-	joins  int
-	// unkept says that the name of the request's session could not be kept.
-	unkept bool
+	following      bool
+	followAttempts int
+	// nameNotStored says that the name of the request's session could not be kept.
+	nameNotStored bool
 	// buf takes the answer. It is finished exactly once.
 	buf *stream.Buffer
 	// record is written by the goroutine that runs the request, until done.
@@ -70,7 +70,7 @@
 		key:        key,
 		effective:  eff,
 		repeatable: *eff.Values.Repeatable,
-		buf:        stream.New(maxAnswer),
+		buf:        stream.New(maxAnswerBytes),
 		seed:       seq ^ uint64(now.UnixNano()),
 		done:       make(chan struct{}),
 	}
@@ -159,8 +159,8 @@
 	s.Timer("request").Record(r.record.Ended.Sub(r.record.Arrived))
 }
 
-// given returns the earlier of a deadline and a time that lies s after now.
-func given(now, deadline time.Time, s config.Span) time.Time {
+// capDeadline returns the earlier of a deadline and a time that lies s after now.
+func capDeadline(now, deadline time.Time, s config.Span) time.Time {
 	if t := s.After(now); t.Before(deadline) {
 		return t
 	}
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -18,11 +18,11 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// orderWithin bounds an order, which may fetch weights.
-const orderWithin = config.Span(time.Minute)
+// orderTimeout bounds an order, which may fetch weights.
+const orderTimeout = config.Span(time.Minute)
 
-// probeWithin bounds a question to a guard that no link is kept to.
-const probeWithin = config.Span(time.Second)
+// probeTimeout bounds a question to a guard that no link is kept to.
+const probeTimeout = config.Span(time.Second)
 
 // newDriver returns the driver of roll-outs of this entry. Those entries drive
 // that watch the platform.
@@ -71,7 +71,7 @@
 		defer p.mu.Unlock()
 		return p.load, p.usable(e.Now())
 	}
-	ctx, cancel := context.WithDeadline(e.kill, probeWithin.After(time.Now()))
+	ctx, cancel := context.WithDeadline(e.kill, probeTimeout.After(time.Now()))
 	defer cancel()
 	c, err := e.linkTo(ctx, vm)
 	if err != nil {
@@ -86,23 +86,23 @@
 // way is not given again.
 func (e *Entry) order(vm string, o wire.Order) {
 	key := vm + "/" + o.Model + "@" + o.Version
-	if _, under := e.orders.LoadOrStore(key, true); under {
+	if _, active := e.activeOrders.LoadOrStore(key, true); active {
 		return
 	}
 	o.Stamp = e.Stamp()
 	err := e.submit(func() {
-		defer e.orders.Delete(key)
-		if err := e.giveOrder(vm, &o); err != nil {
+		defer e.activeOrders.Delete(key)
+		if err := e.sendOrder(vm, &o); err != nil {
 			e.Log.Warn("rollouts: An order was not followed.", zap.String("vm", vm), logs.Err(err))
 		}
 	})
 	if err != nil {
-		e.orders.Delete(key)
+		e.activeOrders.Delete(key)
 	}
 }
 
-func (e *Entry) giveOrder(vm string, o *wire.Order) error {
-	ctx, cancel := context.WithDeadline(e.kill, orderWithin.After(time.Now()))
+func (e *Entry) sendOrder(vm string, o *wire.Order) error {
+	ctx, cancel := context.WithDeadline(e.kill, orderTimeout.After(time.Now()))
 	defer cancel()
 	c, err := e.linkTo(ctx, vm)
 	if err != nil {
@@ -121,7 +121,7 @@
 	if p != nil {
 		return p.link(ctx)
 	}
-	return e.entryLinks.to(ctx, e.Local, addr, "")
+	return e.linkCache.get(ctx, e.Local, addr, "")
 }
 
 // endpointVMs returns the live endpoint VMs by name.
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -57,11 +57,11 @@
 
 // send runs the request at p once and returns what came of it.
 func (e *Entry) send(r *request, p *peer, attempt int, d *route.Decision) wire.RunReply {
-	c := p.begin()
+	c := p.beginRun()
 	if c == nil {
 		return wire.RunReply{Err: fault.New(fault.EndpointLost, fault.NotRun, "The endpoint takes no work.")}
 	}
-	defer p.done()
+	defer p.endRun()
 	key := wire.RunKey{RunID: r.id, Attempt: attempt}
 	if !r.buf.SelectAttempt(attempt) {
 		return wire.RunReply{Err: fault.New(fault.Internal, fault.MayHaveRun, "The answer was begun by another attempt.")}
@@ -70,14 +70,14 @@
 	defer e.sinks.remove(key)
 	stop := context.AfterFunc(r.ctx, func() { _ = c.Notify(context.Background(), wire.MethodCancel, wire.Cancel{Key: key}) })
 	defer stop()
-	e.owe(key, p)
+	e.addUnbilled(key, p)
 	ctx, cancel := context.WithDeadline(e.kill, r.call.Deadline.Add(replyGrace))
 	defer cancel()
 	var reply wire.RunReply
 	run := wire.Run{Stamp: e.Stamp(), Key: key, Work: r.work(d), Guard: c.Peer.Incarnation}
 	err := c.Call(ctx, wire.MethodRun, run, &reply)
 	if errors.Is(err, link.ErrBroken) {
-		reply, err = e.ask(ctx, r, p, key, c.Peer.Incarnation)
+		reply, err = e.queryRun(ctx, r, p, key, c.Peer.Incarnation)
 	}
 	if err != nil {
 		return wire.RunReply{Err: sendFault(err)}
@@ -101,14 +101,14 @@
 	return fault.New(fault.EndpointLost, fault.MayHaveRun, "The endpoint was lost while it had the request.")
 }
 
-// askWithin is how long a broken link's VM is waited for before a request
+// runQueryTimeout is how long a broken link's VM is waited for before a request
 // counts as one that may have run.
-const askWithin = config.Span(3 * time.Second)
+const runQueryTimeout = config.Span(3 * time.Second)
 
-// ask finds out what became of a run after its link broke. Only the guard
+// queryRun finds out what became of a run after its link broke. Only the guard
 // incarnation that was sent the request can tell.
-func (e *Entry) ask(ctx context.Context, r *request, p *peer, key wire.RunKey, incarnation string) (wire.RunReply, error) {
-	ctx, cancel := context.WithDeadline(ctx, given(e.Now(), r.call.Deadline, askWithin))
+func (e *Entry) queryRun(ctx context.Context, r *request, p *peer, key wire.RunKey, incarnation string) (wire.RunReply, error) {
+	ctx, cancel := context.WithDeadline(ctx, capDeadline(e.Now(), r.call.Deadline, runQueryTimeout))
 	defer cancel()
 	for {
 		c, err := p.link(ctx)
@@ -120,9 +120,9 @@
 		}
 		var reply wire.RunReply
 		// The answer itself may take until the request's own deadline.
-		whole, done := context.WithDeadline(e.kill, r.call.Deadline.Add(replyGrace))
-		err = c.Call(whole, wire.MethodRunQuery, wire.RunQuery{Stamp: e.Stamp(), Key: key, Guard: incarnation, Offset: r.buf.Len(), Deadline: r.call.Deadline}, &reply)
-		done()
+		callCtx, cancelCall := context.WithDeadline(e.kill, r.call.Deadline.Add(replyGrace))
+		err = c.Call(callCtx, wire.MethodRunQuery, wire.RunQuery{Stamp: e.Stamp(), Key: key, Guard: incarnation, Offset: r.buf.Len(), Deadline: r.call.Deadline}, &reply)
+		cancelCall()
 		if !errors.Is(err, link.ErrBroken) {
 			e.Log.Info("entry: Asked about a run after a broken link.", zap.String("request", r.id), zap.String("vm", p.vm.Name))
 			return reply, err
@@ -141,7 +141,7 @@
 		}
 		select {
 		case <-opened:
-		case <-p.gone.Done():
+		case <-p.ctx.Done():
 			return nil, fault.EndpointLost
 		case <-ctx.Done():
 			return nil, ctx.Err()
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -24,36 +24,36 @@
 		e.answer(ctx, r, func() {})
 		return
 	}
-	leave := func() { e.limits.leave(call.Workspace) }
-	r, err := e.place(call, key, eff)
+	release := func() { e.limits.release(call.Workspace) }
+	r, err := e.startOrJoin(call, key, eff)
 	if err != nil {
-		leave()
+		release()
 		e.refuse(ctx, err)
 		return
 	}
-	e.answer(ctx, r, leave)
+	e.answer(ctx, r, release)
 }
 
 const (
-	// hearWithin is how long settings count as heard of; heartbeats confirm
+	// maxConfirmationAge is how long settings count as heard of; heartbeats confirm
 	// them far more often, unless this process was frozen or is cut off.
-	hearWithin = config.Span(3 * time.Second)
-	// catchUpWithin bounds the wait for a peer's word before a request is
+	maxConfirmationAge = config.Span(3 * time.Second)
+	// catchUpTimeout bounds the wait for a peer's word before a request is
 	// decided without it.
-	catchUpWithin = config.Span(500 * time.Millisecond)
+	catchUpTimeout = config.Span(500 * time.Millisecond)
 )
 
 // catchUp asks the peers before a request is decided, if nothing was heard of
 // the settings for long: a process that was frozen finds out here.
 func (e *Entry) catchUp() {
 	now := e.Now()
-	if now.Before(hearWithin.After(e.Holder.HeardAt())) {
+	if now.Before(maxConfirmationAge.After(e.Holder.HeardAt())) {
 		return
 	}
-	e.peers.pokeAll()
-	deadline := catchUpWithin.After(now)
+	e.peers.requestHeartbeats()
+	deadline := catchUpTimeout.After(now)
 	for e.Now().Before(deadline) && e.Holder.HeardAt().Before(now) {
-		tasks.Pause(e.kill, stopPoll.After(time.Now()))
+		tasks.Pause(e.kill, pollInterval.After(time.Now()))
 	}
 }
 
@@ -63,19 +63,19 @@
 	if !*eff.Values.Enabled {
 		return fault.New(fault.NotCutOver, fault.NotRun, "Requests are not served here: enabled is false at %q.", eff.Setting("enabled").Origin.Path)
 	}
-	if held, _ := e.bills.Held(); held >= e.settings.RecordsHeld && *eff.Values.OnBillsFull == config.Refuse {
-		return fault.New(fault.PlatformDown, fault.NotRun, "%d bill lines wait for the platform.", held).WithRetryAt(comeBackAfter.After(e.Now()))
+	if held, _ := e.bills.Held(); held >= e.settings.MaxHeldRecords && *eff.Values.OnBillsFull == config.Refuse {
+		return fault.New(fault.PlatformDown, fault.NotRun, "%d bill lines wait for the platform.", held).WithRetryAt(defaultRetryAfter.After(e.Now()))
 	}
-	return e.limits.enter(e.Now(), call.Workspace, &eff.Values)
+	return e.limits.acquire(e.Now(), call.Workspace, &eff.Values)
 }
 
-// place starts the call's request, or finds the one that a key names.
-func (e *Entry) place(call wire.Call, key string, eff *config.Effective) (*request, *fault.Error) {
+// startOrJoin starts the call's request, or finds the one that a key names.
+func (e *Entry) startOrJoin(call wire.Call, key string, eff *config.Effective) (*request, *fault.Error) {
 	if isTicket(key) {
-		return e.placeTicket(call, key)
+		return e.startOrJoinTicket(call, key)
 	}
 	if key != "" && !*eff.Values.Repeatable {
-		return e.placeClaimed(call, key)
+		return e.startOrJoinClaimed(call, key)
 	}
 	r := e.newRequest(call, key)
 	if err := e.start(r); err != nil {
@@ -91,14 +91,14 @@
 
 // submit runs a task in the bounded pool; it counts as under way.
 func (e *Entry) submit(task func()) *fault.Error {
-	e.under.Add(1)
+	e.inFlight.Add(1)
 	err := e.runs.Submit(func() {
-		defer e.under.Add(-1)
+		defer e.inFlight.Add(-1)
 		task()
 	})
 	if err == nil {
 		return nil
 	}
-	e.under.Add(-1)
-	return fault.New(fault.Overloaded, fault.NotRun, "The entry has too many requests under way.").WithRetryAt(comeBackAfter.After(e.Now()))
+	e.inFlight.Add(-1)
+	return fault.New(fault.Overloaded, fault.NotRun, "The entry has too many requests under way.").WithRetryAt(defaultRetryAfter.After(e.Now()))
 }
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -14,8 +14,8 @@
 // sessionPrefix begins a session token.
 const sessionPrefix = "tds1"
 
-// openSession is the header value that opens a session.
-const openSession = "new"
+// newSession is the header value that opens a session.
+const newSession = "new"
 
 // pin is what a session token says.
 type pin struct {
@@ -26,18 +26,18 @@
 	EndsAt    time.Time `json:"endsAt"`
 }
 
-// sessionOf reads the session header of a request and pins its version.
-func (e *Entry) sessionOf(r *request) *fault.Error {
+// resolveSession reads the session header of a request and pins its version.
+func (e *Entry) resolveSession(r *request) *fault.Error {
 	token := r.call.Session
 	if token == "" {
 		return nil
 	}
-	if token == openSession {
+	if token == newSession {
 		r.record.Session = "opened"
 		return nil
 	}
 	if !strings.HasPrefix(token, sessionPrefix+".") {
-		return e.namedSession(r)
+		return e.pinNamedSession(r)
 	}
 	var p pin
 	if err := e.Tokens.Open(sessionPrefix, token, &p); err != nil {
@@ -49,12 +49,12 @@
 	if !e.Now().Before(p.EndsAt) {
 		return fault.New(fault.SessionEnded, fault.NotRun, "The session ended at %s.", p.EndsAt.Format(time.RFC3339))
 	}
-	return e.keep(r, &p)
+	return e.applyPin(r, &p)
 }
 
-// keep pins the request to the session's version, or moves the session where
+// applyPin pins the request to the session's version, or moves the session where
 // the settings say so.
-func (e *Entry) keep(r *request, p *pin) *fault.Error {
+func (e *Entry) applyPin(r *request, p *pin) *fault.Error {
 	v, ok := e.Holder.Current().Version(p.Model, p.Version)
 	if ok && v.State != config.StateWithdrawn {
 		r.pinned = p
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -13,29 +13,29 @@
 
 // Settings are the process settings of an entry.
 type Settings struct {
-	proc.Common  `yaml:",inline"`
-	Listen       netip.AddrPort `yaml:"listen" doc:"Where callers reach the entry."`
-	TLS          secure.Files   `yaml:"tls,omitempty" doc:"Files cert and key for TLS towards callers; plain HTTP without."`
-	MaxBody      int            `yaml:"maxBody,omitempty" doc:"Greatest size of a request's body, in bytes."`
-	MaxHeader    int            `yaml:"maxHeader,omitempty" doc:"Greatest size of a request's headers, in bytes."`
-	ReadWithin   config.Span    `yaml:"readWithin,omitempty" doc:"How long the reading of a request may take."`
-	LinksPerPool int            `yaml:"linksPerPool,omitempty" doc:"How many endpoints of each pool the entry keeps links to."`
-	BeatEvery    config.Span    `yaml:"beatEvery,omitempty" doc:"How often each link carries a heartbeat."`
-	SuspectAfter config.Span    `yaml:"suspectAfter,omitempty" doc:"How long an endpoint may be silent before it gets no new work."`
-	RecordsHeld  int            `yaml:"recordsHeld,omitempty" doc:"How many bill lines, and trail records, may wait for the platform; 100000 if left out."`
-	ListEvery    config.Span    `yaml:"listEvery,omitempty" doc:"How often the VM list is read."`
+	proc.Common       `yaml:",inline"`
+	Listen            netip.AddrPort `yaml:"listen" doc:"Where callers reach the entry."`
+	TLS               secure.Files   `yaml:"tls,omitempty" doc:"Files cert and key for TLS towards callers; plain HTTP without."`
+	MaxBody           int            `yaml:"maxBody,omitempty" doc:"Greatest size of a request's body, in bytes."`
+	MaxHeader         int            `yaml:"maxHeader,omitempty" doc:"Greatest size of a request's headers, in bytes."`
+	ReadTimeout       config.Span    `yaml:"readWithin,omitempty" doc:"How long the reading of a request may take."`
+	LinksPerPool      int            `yaml:"linksPerPool,omitempty" doc:"How many endpoints of each pool the entry keeps links to."`
+	HeartbeatInterval config.Span    `yaml:"beatEvery,omitempty" doc:"How often each link carries a heartbeat."`
+	SuspectAfter      config.Span    `yaml:"suspectAfter,omitempty" doc:"How long an endpoint may be silent before it gets no new work."`
+	MaxHeldRecords    int            `yaml:"recordsHeld,omitempty" doc:"How many bill lines, and trail records, may wait for the platform; 100000 if left out."`
+	ListInterval      config.Span    `yaml:"listEvery,omitempty" doc:"How often the VM list is read."`
 }
 
 // Defaults of the settings.
 const (
-	defaultMaxBody      = 4 << 20
-	defaultMaxHeader    = 16 << 10
-	defaultReadWithin   = "10s"
-	defaultLinksPerPool = 24
-	defaultRecordsHeld  = 100_000
-	defaultBeatEvery    = "1s"
-	defaultSuspectAfter = "3s"
-	defaultListEvery    = "5s"
+	defaultMaxBody           = 4 << 20
+	defaultMaxHeader         = 16 << 10
+	defaultReadTimeout       = "10s"
+	defaultLinksPerPool      = 24
+	defaultMaxHeldRecords    = 100_000
+	defaultHeartbeatInterval = "1s"
+	defaultSuspectAfter      = "3s"
+	defaultListInterval      = "5s"
 )
 
 // fill sets defaults.
@@ -43,11 +43,11 @@
 	fillInt(&s.MaxBody, defaultMaxBody)
 	fillInt(&s.MaxHeader, defaultMaxHeader)
 	fillInt(&s.LinksPerPool, defaultLinksPerPool)
-	fillInt(&s.RecordsHeld, defaultRecordsHeld)
-	fillSpan(&s.ReadWithin, defaultReadWithin)
-	fillSpan(&s.BeatEvery, defaultBeatEvery)
+	fillInt(&s.MaxHeldRecords, defaultMaxHeldRecords)
+	fillSpan(&s.ReadTimeout, defaultReadTimeout)
+	fillSpan(&s.HeartbeatInterval, defaultHeartbeatInterval)
 	fillSpan(&s.SuspectAfter, defaultSuspectAfter)
-	fillSpan(&s.ListEvery, defaultListEvery)
+	fillSpan(&s.ListInterval, defaultListInterval)
 }
 
 func fillInt(dst *int, n int) {
@@ -71,17 +71,17 @@
 	if t := s.TLS; t.Set() && (t.Cert == "" || t.Key == "" || t.CA != "") {
 		report("tls", "cert and key are required, ca is not allowed")
 	}
-	for key, n := range map[string]int{"maxBody": s.MaxBody, "maxHeader": s.MaxHeader, "linksPerPool": s.LinksPerPool, "recordsHeld": s.RecordsHeld} {
+	for key, n := range map[string]int{"maxBody": s.MaxBody, "maxHeader": s.MaxHeader, "linksPerPool": s.LinksPerPool, "recordsHeld": s.MaxHeldRecords} {
 		if n < 0 {
 			report(key, "0 (the default) or more is allowed")
 		}
 	}
-	for key, n := range map[string]config.Span{"readWithin": s.ReadWithin, "beatEvery": s.BeatEvery, "suspectAfter": s.SuspectAfter, "listEvery": s.ListEvery} {
+	for key, n := range map[string]config.Span{"readWithin": s.ReadTimeout, "beatEvery": s.HeartbeatInterval, "suspectAfter": s.SuspectAfter, "listEvery": s.ListInterval} {
 		if n < 0 {
 			report(key, "0s (the default) or more is allowed")
 		}
 	}
-	if s.MaxBody > maxAnswer {
+	if s.MaxBody > maxAnswerBytes {
 		report("maxBody", "8388608 or less is allowed")
 	}
 }
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -23,43 +23,43 @@
 	return body, err == nil
 }
 
-// dumped is what the dump shows of an entry.
-type dumped struct {
-	UnderWay  int64        `json:"underWay"`
-	Followers int64        `json:"followers"`
-	Stopping  bool         `json:"stopping"`
-	Watching  bool         `json:"watching"`
-	Endpoints []dumpedPeer `json:"endpoints"`
-	BillsHeld int          `json:"billsHeld"`
-	BillsLost int64        `json:"billsLost"`
-	TrailHeld int          `json:"trailHeld"`
-	TrailLost int64        `json:"trailLost"`
-	Keys      int          `json:"keys"`
-	KeysBytes int          `json:"keysBytes"`
-	Claims    int64        `json:"claims"`
-	ClaimPuts int64        `json:"claimPuts"`
+// stateDump is what the dump shows of an entry.
+type stateDump struct {
+	UnderWay  int64          `json:"underWay"`
+	Followers int64          `json:"followers"`
+	Stopping  bool           `json:"stopping"`
+	Watching  bool           `json:"watching"`
+	Endpoints []endpointDump `json:"endpoints"`
+	BillsHeld int            `json:"billsHeld"`
+	BillsLost int64          `json:"billsLost"`
+	TrailHeld int            `json:"trailHeld"`
+	TrailLost int64          `json:"trailLost"`
+	Keys      int            `json:"keys"`
+	KeysBytes int            `json:"keysBytes"`
+	Claims    int64          `json:"claims"`
+	ClaimPuts int64          `json:"claimPuts"`
 }
 
-type dumpedPeer struct {
+type endpointDump struct {
 	VM        string    `json:"vm"`
 	Pool      string    `json:"pool"`
 	Linked    bool      `json:"linked"`
 	Usable    bool      `json:"usable"`
-	Sent      int       `json:"sent"`
+	InFlight  int       `json:"sent"`
 	SuspectAt time.Time `json:"suspectAt"`
 	Load      wire.Load `json:"load"`
 }
 
 func (e *Entry) state() any {
-	d := dumped{UnderWay: e.under.Load(), Followers: e.followers.Load(), Stopping: e.stopping.Load(), Watching: e.peers.watching()}
+	d := stateDump{UnderWay: e.inFlight.Load(), Followers: e.followers.Load(), Stopping: e.stopping.Load(), Watching: e.peers.watching()}
 	d.BillsHeld, d.BillsLost = e.bills.Held()
 	d.TrailHeld, d.TrailLost = e.trail.Held()
-	d.Keys, d.KeysBytes = e.keyed.count()
+	d.Keys, d.KeysBytes = e.keyedRuns.count()
 	d.Claims, d.ClaimPuts = e.claims.Claims.Load(), e.claims.Writes.Load()
 	_, list := e.peers.view(e.Now())
 	for _, p := range list {
 		p.mu.Lock()
-		d.Endpoints = append(d.Endpoints, dumpedPeer{p.vm.Name, p.vm.Pool, p.conn != nil, p.usable(e.Now()), p.sent, p.suspectAt, p.load})
+		d.Endpoints = append(d.Endpoints, endpointDump{p.vm.Name, p.vm.Pool, p.conn != nil, p.usable(e.Now()), p.inFlight, p.suspectAt, p.load})
 		p.mu.Unlock()
 	}
 	return d
--- a/internal/entry/ticket.go
+++ b/internal/entry/ticket.go
@@ -18,9 +18,9 @@
 // ticketPrefix begins a ticket.
 const ticketPrefix = "tdt1"
 
-// ticketFor is how long a ticket may be started, by the monotonic clock of the
+// ticketTTL is how long a ticket may be started, by the monotonic clock of the
 // entry that issued it.
-const ticketFor = 15 * time.Minute
+const ticketTTL = 15 * time.Minute
 
 // ticket is what a ticket says. One process alone may start its request, so
 // that neither a write nor a clock of another process is needed.
@@ -38,8 +38,8 @@
 
 func isTicket(key string) bool { return strings.HasPrefix(key, ticketPrefix+".") }
 
-// ticketAnswer is the answer to POST /v1/tickets.
-type ticketAnswer struct {
+// ticketResponse is the answer to POST /v1/tickets.
+type ticketResponse struct {
 	Ticket string    `json:"ticket"`
 	EndsAt time.Time `json:"endsAt"`
 }
@@ -56,7 +56,7 @@
 		return
 	}
 	if e.stopping.Load() {
-		e.refuse(ctx, fault.New(fault.Stopping, fault.NotRun, "The entry is stopping.").WithRetryAt(comeBackAfter.After(e.Now())))
+		e.refuse(ctx, fault.New(fault.Stopping, fault.NotRun, "The entry is stopping.").WithRetryAt(defaultRetryAfter.After(e.Now())))
 		return
 	}
 	t := ticket{
@@ -64,15 +64,15 @@
 		Incarnation: e.Identity.Incarnation,
 		Link:        e.Identity.Link,
 		Nonce:       proc.NewID(),
-		EndsAge:     e.age() + ticketFor,
-		EndsAt:      e.Now().Add(ticketFor),
+		EndsAge:     e.age() + ticketTTL,
+		EndsAt:      e.Now().Add(ticketTTL),
 	}
 	text, sealErr := e.Tokens.Seal(ticketPrefix, t)
 	if sealErr != nil {
 		e.refuse(ctx, fault.From(sealErr, fault.NotRun))
 		return
 	}
-	writeJSON(ctx, ticketAnswer{Ticket: text, EndsAt: t.EndsAt})
+	writeJSON(ctx, ticketResponse{Ticket: text, EndsAt: t.EndsAt})
 }
 
 // openTicket verifies a ticket of the workspace.
@@ -87,9 +87,9 @@
 	return t, nil
 }
 
-// placeTicket starts the request of a ticket here, or brings it to the entry
+// startOrJoinTicket starts the request of a ticket here, or brings it to the entry
 // that alone may start it.
-func (e *Entry) placeTicket(call wire.Call, key string) (*request, *fault.Error) {
+func (e *Entry) startOrJoinTicket(call wire.Call, key string) (*request, *fault.Error) {
 	t, err := e.openTicket(call.Workspace, key)
 	if err != nil {
 		return nil, err
@@ -114,9 +114,9 @@
 	body := bodyHash(&call)
 	if e.age() >= t.EndsAge {
 		r.cancel()
-		return e.endedTicket(call.Workspace, key, body, t)
+		return e.joinExpiredTicket(call.Workspace, key, body, t)
 	}
-	holder, err := e.hold(r, body, t.EndsAge+ticketFor)
+	holder, err := e.reserveKey(r, body, t.EndsAge+ticketTTL)
 	if holder != r {
 		r.cancel()
 		return holder, err
@@ -127,10 +127,10 @@
 	return r, nil
 }
 
-// endedTicket answers a ticket that may not be started any more.
-func (e *Entry) endedTicket(workspace, key, body string, t *ticket) (*request, *fault.Error) {
-	run, ok := e.keyed.runOf(nameOf(workspace, key))
-	if !ok && e.age() < t.EndsAge+ticketFor {
+// joinExpiredTicket answers a ticket that may not be started any more.
+func (e *Entry) joinExpiredTicket(workspace, key, body string, t *ticket) (*request, *fault.Error) {
+	run, ok := e.keyedRuns.runOf(scopedKeyOf(workspace, key))
+	if !ok && e.age() < t.EndsAge+ticketTTL {
 		return nil, fault.New(fault.KeyInvalid, fault.NotRun, "The ticket has ended; it was never started.")
 	}
 	if !ok {
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -32,7 +32,7 @@
     "doubtForgotten": ("internal/entry/keyed.go", "		k.close(run)\n		return", "		k.drop(run)\n		return", "./internal/rig", "TestPlatformDown"),
     "ticketAnywhere": ("internal/entry/ticket.go", "if t.Incarnation == e.Identity.Incarnation {", "if true {", "./internal/rig", "TestRepeats|TestEntryKilled"),
     "keyBindsNothing": ("internal/entry/keyed.go", "case s.body != body:", "case false:", "./internal/rig", "TestRepeats"),
-    "noAsk": ("internal/entry/send.go", "if errors.Is(err, link.ErrBroken) {\n		reply, err = e.ask", "if false {\n		reply, err = e.ask", "./internal/rig", "TestLinkCut"),
+    "noAsk": ("internal/entry/send.go", "if errors.Is(err, link.ErrBroken) {\n		reply, err = e.queryRun", "if false {\n		reply, err = e.queryRun", "./internal/rig", "TestLinkCut"),
     "restartedIsNotRun": ("internal/entry/send.go", 'fault.MayHaveRun, "The endpoint was restarted while it had the request.")', 'fault.NotRun, "x")', "./internal/rig", "TestGuardKilled"),
     "silentIsNotRun": ("internal/entry/send.go", """p.link(ctx)
 		if err != nil {
@@ -52,7 +52,7 @@
     "stopWaitsForNobody": ("internal/guard/drain.go", "running, linked := g.busy()", "running, linked := 0, 0", "./internal/rig", "TestPlannedStop"),
     "stopBeforeEntriesKnow": ("internal/guard/drain.go", "} else if linked == 0 ||", "} else if linked >= 0 ||", "./internal/guard", "TestStopWaitsForEntries"),
     "anyLinkKey": ("internal/link/conn.go", "if !l.Keys.Verifies(proofText(\"answer\"", "if false && !l.Keys.Verifies(proofText(\"answer\"", "./internal/guard", "TestLinkKey"),
-    "sessionMoves": ("internal/entry/dispatch.go", "if err := e.sessionOf(r); err != nil {", "if err := e.sessionOf(r); err != nil && false {", "./internal/rig", "TestSession"),
+    "sessionMoves": ("internal/entry/dispatch.go", "if err := e.resolveSession(r); err != nil {", "if err := e.resolveSession(r); err != nil && false {", "./internal/rig", "TestSession"),
     "anyWorkspacesToken": ("internal/entry/session.go", "if p.Workspace != r.call.Workspace {", "if false {", "./internal/rig", "TestSession"),
     "noResume": ("internal/guard/endpoint.go", "i < maxIdleResumes &&", "i < 0 &&", "./internal/rig", "TestCutAnswers"),
     "noEndMarker": ("internal/guard/endpoint.go", 'err == nil && w.Model != ""', "false", "./internal/rig", "TestCutAnswers"),
@@ -70,8 +70,8 @@
     "overlapTaken": ("internal/commit/apply.go", "	if len(o.Paths) == 0 {", "	if true {", "./internal/commit", "TestRace"),
     "changeAppliedTwice": ("internal/commit/apply.go", "if done, ok := head.Has(e.ID); ok {", "if done, ok := head.Has(e.ID); ok && false {", "./internal/commit", "TestSameChange|TestManyOperators"),
     "mergedNotChecked": ("internal/commit/apply.go", 'if err := config.CheckNodes("(merged)", snap.Nodes()); err != nil {', 'if err := config.CheckNodes("(merged)", snap.Nodes()); err != nil && false {', "./internal/commit", "TestUnsound"),
-    "retiredDroppedAtOnce": ("internal/entry/peer.go", "	if p.sent > 0 {\n		return false", "	if false {\n		return false", "./internal/rig", "TestLeavingInList"),
-    "noRetryBudget": ("internal/entry/dispatch.go", "return e.limits.retry(r.call.Workspace)", "return true", "./internal/rig", "TestRetryBudget"),
+    "retiredDroppedAtOnce": ("internal/entry/peer.go", "	if p.inFlight > 0 {\n		return false", "	if false {\n		return false", "./internal/rig", "TestLeavingInList"),
+    "noRetryBudget": ("internal/entry/dispatch.go", "return e.limits.takeRetry(r.call.Workspace)", "return true", "./internal/rig", "TestRetryBudget"),
     "cancelForgotten": ("internal/entry/answer.go", '	if r.key == "" {\n		r.cancel()', '	if false {\n		r.cancel()', "./internal/rig", "TestCallerGone"),
     "headerNotBounded": ("internal/entry/http.go", "ReadBufferSize:               e.settings.MaxHeader,", "ReadBufferSize:               1 << 20,", "./internal/rig", "TestDoor"),
     "anyAuthority": ("internal/secure/files.go", "VerifyConnection: s.verify,", "", "./internal/rig", "TestTLS"),
