--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -16,7 +16,8 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// refuse answers a failure before any byte of an answer.
+// refuse sends an error in place of an answer. It sets Retry-After, in seconds, if the
+// error has a time for a retry.
 func (e *Entry) refuse(ctx *fasthttp.RequestCtx, err *fault.Error) {
 	body, _ := json.Marshal(fault.Body{Error: err})
 	ctx.SetStatusCode(err.Kind.Answer().Status)
@@ -28,7 +29,7 @@
 	}
 }
 
-// answer sends a request's answer, whole or in pieces. leave is called once the
+// answer sends the answer of a request, in one piece or streamed. It calls release once the
 // caller has been answered.
 func (e *Entry) answer(ctx *fasthttp.RequestCtx, r *request, release func()) {
 	if !e.answerWhole(ctx, r) {
@@ -38,8 +39,9 @@
 	release()
 }
 
-// answerWhole sends an answer that is not streamed; it reports false for one
-// that is, with its head set.
+// answerWhole sends an answer that is not streamed, or the error of a streamed one that
+// failed before its first byte. It returns false for an answer to stream, with its head
+// set.
 func (e *Entry) answerWhole(ctx *fasthttp.RequestCtx, r *request) bool {
 	ctx.Response.Header.Set(headerRequest, r.id)
 	head, _, end, err := r.buf.Next(e.kill, 0)
@@ -65,6 +67,7 @@
 	return true
 }
 
+// setHead sets the status and the headers of a successful answer.
 func (e *Entry) setHead(ctx *fasthttp.RequestCtx, r *request, head stream.Head) {
 	ctx.SetStatusCode(max(head.Status, fasthttp.StatusOK))
 	ctx.SetContentType(head.ContentType)
@@ -81,26 +84,29 @@
 	}
 }
 
-// answerStream sends the answer as it grows.
+// answerStream sends the answer while it arrives.
 func (e *Entry) answerStream(ctx *fasthttp.RequestCtx, r *request, release func()) {
 	ctx.SetBodyStream(&answerReader{e: e, r: r, release: release}, -1)
 }
 
-// answerReader is the body of a streamed answer. Where the answer ends before
-// it is whole, a last event says why and an error breaks the connection off, so
-// that no caller takes it for whole.
+// answerReader is the body of a streamed answer. If the answer ends incomplete, it sends a
+// last event with the error and then fails, which aborts the connection, so that no caller
+// takes the answer for complete.
 type answerReader struct {
-	e      *Entry
-	r      *request
+	e *Entry
+	r *request
+	// offset is the number of bytes of the answer that were read.
 	offset int
-	// errorEvent is what is left of the event that says why.
+	// errorEvent is the unread rest of the event with the error.
 	errorEvent []byte
 	// end is set once the whole answer was read.
-	end     *stream.End
+	end *stream.End
+	// release is called once the caller has been answered or has disconnected.
 	release func()
 }
 
-// Read waits for more of the answer.
+// Read waits for more of the answer. It returns the error of an incomplete answer after its
+// event.
 func (a *answerReader) Read(p []byte) (int, error) {
 	if a.end != nil {
 		return a.readEnd(p)
@@ -125,6 +131,8 @@
 	return a.readEnd(p)
 }
 
+// readEnd reads what follows the bytes of the answer: the error event, then the error or
+// io.EOF.
 func (a *answerReader) readEnd(p []byte) (int, error) {
 	if len(a.errorEvent) > 0 {
 		n := copy(p, a.errorEvent)
@@ -137,7 +145,7 @@
 	return 0, io.EOF
 }
 
-// Close is called once the caller was sent everything, or has gone.
+// Close is called once the caller was sent everything or has disconnected.
 func (a *answerReader) Close() error {
 	if a.end == nil {
 		a.e.callerGone(a.r)
@@ -146,8 +154,8 @@
 	return nil
 }
 
-// callerGone gives up a request whose caller no longer listens, unless a
-// repeat by its key may still ask for the answer.
+// callerGone cancels a request whose caller has disconnected. A request with a key goes on,
+// as a repeat may ask for its answer.
 func (e *Entry) callerGone(r *request) {
 	e.counts.callersGone.Inc(1)
 	if r.key == "" {
--- a/internal/entry/bucket.go
+++ b/internal/entry/bucket.go
@@ -18,14 +18,16 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// forwardTimeout is how long the entry that serves a bucket may take before a
-// claim is entered here instead.
+// forwardTimeout bounds the wait for the entry that serves a bucket. After it the claim is
+// entered here.
 const forwardTimeout = config.Span(400 * time.Millisecond)
 
-// enterClaim enters a record in the claim log, through the entry that serves
-// the record's bucket. That is for speed only: one writer for each bucket can
-// put many claims in one update. Two writers collide at the platform and one
-// reads again, so a claim that gets no answer is simply entered here too.
+// enterClaim enters a record in the claim log through the entry that serves the record's
+// bucket, and returns the record that stands. Forwarding only increases throughput: a
+// single writer per bucket puts many claims into one update. Several writers are safe, as
+// the platform rejects one of two conflicting updates and its writer reads again. A claim
+// that gets no answer is therefore entered here too. The error is claims.ErrNotWritten or
+// claims.ErrDoubt.
 func (e *Entry) enterClaim(ctx context.Context, r claim.Record) (claim.Record, error) {
 	vm, local := e.peers.bucketServer(claims.BucketOf(r.Key))
 	if local {
@@ -43,6 +45,8 @@
 	return held, err
 }
 
+// forwardClaim enters a record through the entry on vm. After any error but
+// claims.ErrNotWritten and claims.ErrDoubt no reply has arrived.
 func (e *Entry) forwardClaim(ctx context.Context, vm store.VM, r claim.Record) (claim.Record, error) {
 	call, cancel := context.WithDeadline(ctx, forwardTimeout.After(time.Now()))
 	defer cancel()
@@ -64,7 +68,7 @@
 	}
 }
 
-// handleClaim enters another entry's record.
+// handleClaim enters the record of another entry.
 func (e *Entry) handleClaim(ctx context.Context, _ *link.Conn, p wire.Claim) (wire.ClaimReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, claimTimeout.After(time.Now()))
 	defer cancel()
@@ -77,8 +81,8 @@
 	}, nil
 }
 
-// bucketServer returns the live entry VM that bucketServer a bucket, and whether it is this
-// one, by rendezvous hashing over the VM list.
+// bucketServer returns the live entry VM that serves a bucket, and whether it is this one.
+// It is chosen by rendezvous hashing over the VM list.
 func (ps *peers) bucketServer(bucket int) (vm store.VM, local bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -21,16 +21,18 @@
 const (
 	// claimTimeout bounds the wait for the claim log.
 	claimTimeout = config.Span(2 * time.Second)
-	// keyRetention is how long the entry that ran a key remembers that it did.
+	// keyRetention is how long the entry that ran a request remembers its key.
 	keyRetention = 24 * time.Hour
-	// maxClaimAttempts bounds how often a key whose runs were closed is claimed
-	// again for one request.
+	// maxClaimAttempts is the maximum number of claims on a key for one request, as a key
+	// whose run was closed is claimed again.
 	maxClaimAttempts = 4
-	// unsettledRetryAfter is when the caller of a key in doubt may ask again.
+	// unsettledRetryAfter is the time after which the caller of a key with an unknown
+	// outcome may retry.
 	unsettledRetryAfter = config.Span(5 * time.Second)
 )
 
-// bodyHash is what a key binds: the request without its deadline and session.
+// bodyHash returns the hash that binds a key to its request. It covers the target and the
+// body of the call, but not its deadline, session, priority and content type.
 func bodyHash(c *wire.Call) string {
 	h := sha256.New()
 	for _, part := range []string{c.Workload, c.District, c.Model, c.Service, c.Method, c.Path} {
@@ -41,9 +43,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// startOrJoinClaimed claims the caller's own key in the log and starts the request,
-// or joins the run that holds the key. Repeats in this process join the first
-// before the log is asked.
+// startOrJoinClaimed claims the caller's own key in the log and starts the request, or
+// joins the run that holds the key. A repeat in this process joins the first request
+// without reading the log.
 func (e *Entry) startOrJoinClaimed(call wire.Call, key string) (*request, *fault.Error) {
 	r := e.newRequest(call, key)
 	body := bodyHash(&call)
@@ -58,8 +60,8 @@
 	return r, nil
 }
 
-// claimKey claims the key of r and starts r, or makes r follow the run that
-// holds the key elsewhere.
+// claimKey claims the key of r and starts r, or makes r follow the run of another entry
+// that holds the key.
 func (e *Entry) claimKey(r *request, body string) *fault.Error {
 	r.record.Key = "claimed"
 	generation := 0
@@ -80,8 +82,8 @@
 	return e.keyUnsettled("The key was claimed again and again.")
 }
 
-// follow makes r follow the run that a claim names. It returns errClosed if
-// that run did not and will not run.
+// follow makes r follow the run that a claim names. It returns errClosed if that run did
+// not run and never will.
 func (e *Entry) follow(r *request, body string, held *claim.Record) *fault.Error {
 	if held.BodyHash != body {
 		return fault.New(fault.KeyReused, fault.NotRun, "The key was used with another request.")
@@ -96,13 +98,15 @@
 	return e.keyUnsettled("The key's run in this process is no longer held under its name.")
 }
 
+// keyUnsettled returns the error for a key whose outcome is unknown.
 func (e *Entry) keyUnsettled(message string) *fault.Error {
 	return fault.New(fault.KeyUnsettled, fault.MayHaveRun, "%s", message).WithRetryAt(unsettledRetryAfter.After(e.Now()))
 }
 
-// enterKeyClaim enters the enterKeyClaim of r and returns the one that stands. If it fails the
-// request is refused as not run and never starts here: it stays closed, and a
-// repeat that finds the enterKeyClaim in the log after all is told so.
+// enterKeyClaim enters the claim of r and returns the claim that stands. If it fails, the
+// request is refused as not run and never starts here. If the claim may be in the log, the
+// run stays closed in this process, and a repeat that finds the claim is told that it did
+// not run.
 func (e *Entry) enterKeyClaim(r *request, body string, generation int) (claim.Record, *fault.Error) {
 	now := e.Now()
 	ctx, cancel := context.WithDeadline(r.ctx, capDeadline(now, r.call.Deadline, claimTimeout))
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -17,7 +17,8 @@
 	"github.com/traildrift/traildrift/pkg/tries"
 )
 
-// run takes a request from endpoint to endpoint until it is answered.
+// run attempts a request at one endpoint after another until it is answered or may not be
+// retried.
 func (e *Entry) run(r *request) {
 	if err := e.resolveSession(r); err != nil {
 		e.finish(r, 0, err)
@@ -36,8 +37,8 @@
 	}
 }
 
-// shouldRetry reports whether the request goes to another endpoint after err, and pays
-// for it where the fleet has to.
+// shouldRetry reports whether the request is retried at another endpoint after err. A retry
+// that adds work to the fleet is taken from the workspace's retry budget.
 func (e *Entry) shouldRetry(r *request, err *fault.Error, attempts int) bool {
 	rules := tries.Rules{Repeatable: r.repeatable, MaxAttempts: *r.effective.Values.MaxAttempts}
 	over := r.ctx.Err() != nil || r.buf.Ended() != nil
@@ -51,7 +52,9 @@
 	}
 }
 
-// attempt decides once and sends the request there.
+// attempt makes one routing decision and sends the request to the chosen endpoint. It adds
+// a step to the trail record, and a billed attempt unless the request did not run. It
+// returns the length of the answer in bytes.
 func (e *Entry) attempt(r *request, tried *[]string) (int, *fault.Error) {
 	if err := e.checkQuarantine(r); err != nil {
 		return 0, err
@@ -93,9 +96,9 @@
 	return reply.Length, reply.Err
 }
 
-// choose decides under the settings in force. A request that was sent back by
-// an endpoint as not run waits a little for another one to be linked again:
-// a fault that breaks one link often breaks all of a pool for a moment.
+// choose decides under the settings in force. A request that an endpoint returned as not
+// run waits up to relinkTimeout for a usable endpoint, as a fault that breaks one link
+// often breaks all links to a pool for a moment.
 func (e *Entry) choose(r *request, tried []string) (*config.Snapshot, []*peer, route.Decision, *fault.Error) {
 	until := capDeadline(e.Now(), r.call.Deadline, relinkTimeout)
 	for {
@@ -115,17 +118,18 @@
 }
 
 const (
-	// relinkTimeout is how long a request that was sent back waits for another
-	// endpoint, relinkPoll how often it looks.
+	// relinkTimeout is how long a request that was returned as not run waits for a usable
+	// endpoint, relinkPollInterval the interval between checks.
 	relinkTimeout      = config.Span(time.Second)
 	relinkPollInterval = config.Span(20 * time.Millisecond)
 )
 
-// defaultRetryAfter is when a caller is asked to come back where nothing better is
-// known.
+// defaultRetryAfter is the time after which a refused caller may retry, where no better
+// estimate is known.
 const defaultRetryAfter = config.Span(time.Second)
 
-// checkSettingsAge refuses under stale settings where the settings say so.
+// checkSettingsAge refuses a request if the settings are older than StaleAfter and OnStale
+// says to refuse.
 func (e *Entry) checkSettingsAge(eff *config.Effective, now time.Time) *fault.Error {
 	if *eff.Values.OnStale != config.Refuse || now.Before(eff.Values.StaleAfter.After(e.Holder.HeardAt())) {
 		return nil
@@ -133,6 +137,8 @@
 	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").WithRetryAt(defaultRetryAfter.After(now))
 }
 
+// decide returns the routing decision for a request. v and list describe the same endpoints
+// in the same order; those on the VMs in tried are avoided.
 func (e *Entry) decide(r *request, snap *config.Snapshot, eff *config.Effective, v *route.View, list []*peer, tried []string) route.Decision {
 	var avoid []int
 	for i, p := range list {
@@ -156,21 +162,23 @@
 	return d
 }
 
-// addUnbilled notes that the guard of p must hear when the run's bill is confirmed.
+// addUnbilled records that the guard of p has to be informed once the bill line of the run
+// is confirmed.
 func (e *Entry) addUnbilled(key wire.RunKey, p *peer) {
 	e.unbilledMu.Lock()
 	defer e.unbilledMu.Unlock()
 	e.unbilled[key] = p
 }
 
-// removeUnbilled forgets a run that did not run and so has no bill.
+// removeUnbilled removes an attempt that did not run and has no bill line.
 func (e *Entry) removeUnbilled(r *request, attempt int) {
 	e.unbilledMu.Lock()
 	defer e.unbilledMu.Unlock()
 	delete(e.unbilled, wire.RunKey{RunID: r.id, Attempt: attempt})
 }
 
-// markSettled tells the guards which runs are billed.
+// markSettled queues the confirmed runs of bill lines for the next heartbeats to their
+// guards.
 func (e *Entry) markSettled(lines []bill.Line) {
 	e.unbilledMu.Lock()
 	defer e.unbilledMu.Unlock()
@@ -189,7 +197,7 @@
 	}
 }
 
-// modelOf splits a model@version name.
+// modelOf splits a name of the form model@version. version is empty without @.
 func modelOf(name string) (model, version string) {
 	model, version, _ = strings.Cut(name, "@")
 	return model, version
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -32,64 +32,71 @@
 )
 
 const (
-	// maxAnswerBytes bounds one answer, in bytes.
+	// maxAnswerBytes is the maximum size of one answer, in bytes.
 	maxAnswerBytes = 8 << 20
-	// maxHandlers bounds the link messages that are handled at a time.
+	// maxHandlers is the maximum number of link messages that are handled concurrently.
 	maxHandlers = 4096
-	// maxRuns bounds the requests under way.
+	// maxRuns is the maximum number of tasks in the worker pool: requests, joined runs and
+	// orders to guards.
 	maxRuns = 20_000
-	// drainDelay is how long a stopping entry still takes requests, so that
-	// the balancer can see that it is not ready.
+	// drainDelay is how long a stopping entry still accepts requests, so that the load
+	// balancer can see that it is no longer ready.
 	drainDelay = config.Span(500 * time.Millisecond)
 )
 
-// Entry is one entry process. Use New.
+// Entry is one entry process. It must be created with New.
 type Entry struct {
 	*proc.Proc
 	settings Settings
-	kill     context.Context
-	killNow  context.CancelFunc
-	// startedAt is when the process began, with the monotonic clock.
+	// kill is done when the stop deadline has passed or Run returns; killNow cancels it.
+	kill    context.Context
+	killNow context.CancelFunc
+	// startedAt is when the process started; it holds the monotonic clock.
 	startedAt    time.Time
 	peers        *peers
 	keyedRuns    keyedRuns
 	sessionNames sessionNames
 	claims       *claims.Log
 	linkCache    linkCache
-	// activeOrders holds the roll-outs' activeOrders that are under way.
+	// activeOrders holds the roll-out orders that are being sent, as vm/model@version.
 	activeOrders sync.Map
 	limits       limits
 	sinks        sinks
 	recent       recent
 	bills        *ledger.Writer[bill.Line]
 	trail        *ledger.Writer[trail.Record]
-	// runs runs the requests; it is bounded.
+	// runs is the bounded worker pool that runs the requests.
 	runs *ants.Pool
-	// inFlight counts the requests inFlight way.
+	// inFlight is the number of tasks that were submitted to runs and have not ended.
 	inFlight atomic.Int64
-	// followers counts the other entries that follow a run of this one.
+	// followers is the number of calls in which other entries follow a run of this one.
 	followers atomic.Int64
-	// seq numbers the requests of this incarnation.
+	// seq is the number of requests that this incarnation has created.
 	seq atomic.Uint64
-	// stopping says that the balancer should send no more; it never goes
-	// back.
-	stopping   atomic.Bool
+	// stopping is set once a planned stop has begun and is never reset. The load balancer
+	// then sees that the entry is not ready.
+	stopping atomic.Bool
+	// unbilledMu guards unbilled.
 	unbilledMu sync.Mutex
-	// unbilled holds the guards that must hear of a run's bill.
+	// unbilled holds, for each attempt that was sent and whose bill line is not confirmed
+	// yet, the peer whose guard has to be informed of the confirmation.
 	unbilled map[wire.RunKey]*peer
 	listener net.Listener
 	counts   counts
-	// quarantine holds the requests that crash endpoints.
+	// quarantine holds the requests that are suspected or known to crash endpoints.
 	quarantine quarantine
 }
 
-// counts are the entry's metrics.
+// counts holds the entry's metrics: chunks of ended attempts, callers that closed a
+// streamed answer before its end, bill lines and trail records that were dropped, and the
+// tasks in flight.
 type counts struct {
 	lateChunks, callersGone, billsLost, trailLost tally.Counter
 	inFlight                                      tally.Gauge
 }
 
-// New opens the listeners and builds an entry; Run starts it.
+// New opens the listeners and returns an entry that Run starts. s must have passed Check;
+// unset settings get their defaults.
 func New(s Settings) (*Entry, error) {
 	s.fill()
 	e := &Entry{settings: s, startedAt: time.Now(), unbilled: make(map[wire.RunKey]*peer)}
@@ -136,7 +143,7 @@
 	return e, nil
 }
 
-// listen opens the callers' listener, with TLS if the settings name files.
+// listen opens the listener for callers, with TLS if the settings name its files.
 func listen(s Settings) (net.Listener, error) {
 	plain, err := net.Listen("tcp", s.Listen.String())
 	if err != nil {
@@ -154,8 +161,8 @@
 	return tls.NewListener(ln, source.Server()), nil
 }
 
-// Run serves until the stages end it. It returns nil after a planned stop that
-// cut off nothing.
+// Run starts the entry and serves until the stages end it. It returns nil after a planned
+// stop that interrupted no request.
 func (e *Entry) Run(stages proc.Stages) error {
 	e.kill, e.killNow = context.WithCancel(stages.Kill)
 	defer e.killNow()
@@ -184,18 +191,19 @@
 	return err
 }
 
-// stop ends an entry as planned: not ready, no new work, all answered, all
-// written.
+// stop performs a planned stop: the entry reports that it is not ready, accepts no new
+// requests, finishes those in flight, and writes all bill lines and trail records. It
+// returns an error if kill is done first.
 func (e *Entry) stop(kill context.Context, http *fasthttp.Server) error {
 	e.stopping.Store(true)
 	e.Log.Info("entry: Stopping.", zap.Int64("underWay", e.inFlight.Load()))
 	tasks.Pause(kill, drainDelay.After(time.Now()))
 	if err := http.ShutdownWithContext(kill); err != nil {
-		return errors.Wrapf(err, "entry: %d requests were cut off", e.inFlight.Load())
+		return errors.Wrapf(err, "entry: stop interrupted %d requests", e.inFlight.Load())
 	}
 	for e.inFlight.Load() > 0 {
 		if kill.Err() != nil {
-			return errors.Newf("entry: %d requests were cut off", e.inFlight.Load())
+			return errors.Newf("entry: stop interrupted %d requests", e.inFlight.Load())
 		}
 		tasks.Pause(kill, pollInterval.After(time.Now()))
 	}
@@ -205,5 +213,6 @@
 	return errors.CombineErrors(e.bills.Flush(kill), e.trail.Flush(kill))
 }
 
-// pollInterval is how often a stopping entry looks whether all are answered.
+// pollInterval is the interval at which a stopping entry checks for requests in flight, and
+// at which catchUp checks for a confirmation of the settings.
 const pollInterval = config.Span(20 * time.Millisecond)
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -13,7 +13,7 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// newHTTP returns the callers' listener's server.
+// newHTTP returns the HTTP server for callers.
 func (e *Entry) newHTTP() *fasthttp.Server {
 	readTimeout := e.settings.ReadTimeout.After(time.Time{}).Sub(time.Time{})
 	return &fasthttp.Server{
@@ -31,10 +31,11 @@
 	}
 }
 
-// idleTimeout bounds how long a connection of a caller may be idle.
+// idleTimeout bounds how long a caller's connection may be idle.
 const idleTimeout = 60 * time.Second
 
-// handleReadError answers requests that could not be read.
+// handleReadError answers a request that could not be read: too large, malformed or not
+// received within ReadTimeout. It matches the text of fasthttp's errors.
 func (e *Entry) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	ctx.SetConnectionClose()
 	setLinger(ctx.Conn())
@@ -48,7 +49,7 @@
 	}
 }
 
-// handle routes one call.
+// handle dispatches a call by its path.
 func (e *Entry) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -69,7 +70,7 @@
 	}
 }
 
-// serveReady tells the balancer whether new work is welcome.
+// serveReady reports to the load balancer whether the entry accepts new requests.
 func (e *Entry) serveReady(ctx *fasthttp.RequestCtx) {
 	switch {
 	case e.stopping.Load():
@@ -133,7 +134,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// serveModels lists the models and chat workloads of the workspace.
+// serveModels lists the models and chat workloads that the workspace may use.
 func (e *Entry) serveModels(ctx *fasthttp.RequestCtx) {
 	workspace, err := e.authorize(ctx)
 	if err != nil {
--- a/internal/entry/join.go
+++ b/internal/entry/join.go
@@ -21,24 +21,26 @@
 )
 
 const (
-	// joinTimeout is how long another entry may take to say that it has a run, and
-	// aliveWithin how long it may take later to say that it still runs: a caller
-	// should hear at once, which is within 8 s, that its run's entry is silent.
+	// joinTimeout bounds the wait until another entry confirms that it has a run, and
+	// pingTimeout the wait for each answer while it runs. They let a caller know within 8 s
+	// that the entry of its run does not answer.
 	joinTimeout = config.Span(2 * time.Second)
 	pingTimeout = joinTimeout
-	// pingInterval is how often an entry that is followed is asked.
+	// pingInterval is the interval between pings to an entry that is followed.
 	pingInterval = config.Span(time.Second)
 )
 
-// linkCache keeps one link to each process that was spoken to on demand:
-// entries, and guards that are not among the peers.
+// linkCache holds one link for each process that was dialled on demand: entries, and guards
+// that are not among the peers.
 type linkCache struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// byAddr holds the links by the address of the process.
 	byAddr map[netip.AddrPort]*link.Conn
 }
 
-// get returns an open link get the incarnation at addr; an empty incarnation
-// means any.
+// get returns an open link to the process at addr, and dials it if there is none. It
+// returns errOtherIncarnation if that is not the given incarnation; an empty incarnation
+// allows any.
 func (l *linkCache) get(ctx context.Context, local *link.Local, addr netip.AddrPort, incarnation string) (*link.Conn, error) {
 	l.mu.Lock()
 	c, ok := l.byAddr[addr]
@@ -67,7 +69,7 @@
 	return c, nil
 }
 
-// closeAll ends every link.
+// closeAll closes every link.
 func (l *linkCache) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,13 +78,13 @@
 	}
 }
 
-// errOtherIncarnation says that the process at an address was restarted.
-var errOtherIncarnation = errors.New("entry: another incarnation answers")
+// errOtherIncarnation reports that the process at an address was restarted.
+var errOtherIncarnation = errors.New("entry: the process at the address has another incarnation")
 
-// joinRemote makes r follow a run at another entry, whose answer comes in chunks
-// as from a guard. r is then a stand-in, which is not billed. It returns once
-// the other entry has the run, or is silent for too long; errClosed says that
-// the run did not and will not run.
+// joinRemote makes r follow a run at another entry, which sends the answer in chunks as a
+// guard does. r is not billed here. It returns nil once the other entry has confirmed that
+// it has the run or the run has ended, and an error if the entry does not answer within
+// joinTimeout. errClosed reports that the run did not run and never will.
 func (e *Entry) joinRemote(r *request, j wire.Join, addr netip.AddrPort) *fault.Error {
 	r.following = true
 	r.record.Key = "joined " + j.Incarnation
@@ -105,8 +107,9 @@
 	return e.awaitJoin(r, joined)
 }
 
-// awaitJoin waits until the other entry has the run, so that a closed one can
-// be claimed again and a silent entry is answered for at once.
+// awaitJoin waits until the other entry has confirmed that it has the run. The caller can
+// then claim a closed run's key again, and answers at once for an entry that does not
+// respond.
 func (e *Entry) awaitJoin(r *request, joined <-chan *fault.Error) *fault.Error {
 	t := time.NewTimer(time.Until(joinTimeout.After(time.Now())))
 	defer t.Stop()
@@ -120,7 +123,8 @@
 	}
 }
 
-// followRemote makes the call and finishes the stand-in with its outcome.
+// followRemote calls the other entry and finishes r with the outcome of the run. It sends
+// errClosed to joined if the run is closed, and nil otherwise.
 func (e *Entry) followRemote(r *request, c *link.Conn, j wire.Join, joined chan<- *fault.Error) {
 	defer e.sinks.remove(j.StreamKey)
 	ctx, cancel := context.WithDeadline(e.kill, r.call.Deadline.Add(replyGrace))
@@ -147,9 +151,9 @@
 	joined <- nil
 }
 
-// pingRemote asks an entry that is followed whether it still answers, until ctx is
-// done. One that is frozen or cut off says nothing and ends no connection, so its
-// silence ends the wait with an error that tells the caller.
+// pingRemote pings an entry that is followed until ctx is done. An entry that is suspended
+// or partitioned closes no connection, so a ping without an answer ends the wait: giveUp
+// gets the error for the caller.
 func (e *Entry) pingRemote(ctx context.Context, c *link.Conn, giveUp context.CancelCauseFunc) error {
 	for {
 		tasks.Pause(ctx, pingInterval.After(time.Now()))
@@ -163,20 +167,21 @@
 			return nil
 		}
 		if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, link.ErrBroken) {
-			e.Log.Warn("entry: An entry that is followed has fallen silent.", zap.String("vm", c.Peer.VM), logs.Err(err))
+			e.Log.Warn("entry: The entry that holds a followed run did not answer a ping; the wait for its outcome ends.", zap.String("vm", c.Peer.VM), logs.Err(err))
 			giveUp(e.keyUnsettled("The entry that holds the key has fallen silent."))
 			return nil
 		}
 	}
 }
 
-// handlePing answers an entry that asks whether this one still runs.
+// handlePing answers the ping of an entry that follows a run here.
 func (e *Entry) handlePing(context.Context, *link.Conn, wire.Ping) (wire.Empty, error) {
 	return wire.Empty{Stamp: e.Stamp()}, nil
 }
 
-// handleJoin answers another entry that holds a caller's repeat, or brings the
-// request of a ticket that only this entry may start.
+// handleJoin serves another entry that received a repeat of a request by key, or the
+// request of a ticket that only this entry may start. It sends the answer in chunks and
+// returns the outcome.
 func (e *Entry) handleJoin(ctx context.Context, c *link.Conn, j wire.Join) (wire.RunReply, error) {
 	r, err := e.joinTarget(&j)
 	if err != nil {
@@ -196,6 +201,7 @@
 	return wire.RunReply{Stamp: e.Stamp(), Length: r.buf.Len(), Err: r.buf.Ended().Err}, nil
 }
 
+// joinTarget returns the request to follow. It starts the request of a ticket.
 func (e *Entry) joinTarget(j *wire.Join) (*request, *fault.Error) {
 	if j.Incarnation != e.Identity.Incarnation {
 		return nil, e.keyUnsettled("The entry that holds the key was restarted.")
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxKeyedRuns bounds the runs by key that an entry remembers.
+	// maxKeyedRuns is the maximum number of runs by key that an entry holds.
 	maxKeyedRuns = 100_000
-	// maxKeptAnswerBytes bounds the bytes of kept answers.
+	// maxKeptAnswerBytes is the maximum total size of kept answers, in bytes.
 	maxKeptAnswerBytes = 24 << 20
 )
 
@@ -24,37 +24,37 @@
 type keyedRun struct {
 	// scopedKey is the key with its workspace, run the request ID.
 	scopedKey, run string
-	// bodyHash is what the key binds; it never changes.
+	// bodyHash is the hash that the key binds; it never changes.
 	bodyHash string
-	// request is nil once the answer is no longer kept, or if the run was
-	// closed before it started.
+	// request is nil once the answer is no longer kept, or if the run was closed before it
+	// started.
 	request *request
-	// closed says that the run did not and will not run; it never goes back.
+	// closed reports that the run did not run and never will; it is never reset.
 	closed bool
-	// keptUntil is when the answer may go; zero while the request runs.
+	// keptUntil is the time until which the answer is kept; zero while the request runs.
 	keptUntil time.Time
-	// forgetAge is the age of this process at which the whole run may be
-	// forgotten; until then a second start is refused.
+	// forgetAge is the age of this process at which the record itself may be deleted. Until
+	// then a second start is refused.
 	forgetAge time.Duration
 }
 
-// keyedRuns remembers the runs that keys name in this process. A run is entered
-// before it starts, and for one name there is never a second run unless the
-// first is closed.
+// keyedRuns holds the runs in this process that keys name. A run is added before it starts.
+// A key gets a second run only if the first is closed.
 type keyedRuns struct {
 	mu sync.Mutex
-	// byScopedKey holds the newest run of each name, byRun every run.
+	// byScopedKey holds the newest run of each scoped key, byRun every run by its request
+	// ID.
 	byScopedKey map[string]*keyedRun
 	byRun       map[string]*keyedRun
-	// bytes is the size of the kept answers.
+	// bytes is the total size of the kept answers.
 	bytes int
 }
 
 // scopedKeyOf joins a workspace and a key.
 func scopedKeyOf(workspace, key string) string { return workspace + "\x00" + key }
 
-// add adds a run unless its name has one that is not closed; it returns the
-// run that stands and whether it is the new one. A full memory refuses.
+// add adds a run, unless its key has one that is not closed. It returns the run that holds
+// the key and whether that is the new one. It returns fault.Overloaded at maxKeyedRuns.
 func (k *keyedRuns) add(n *keyedRun) (*keyedRun, bool, *fault.Error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -73,7 +73,8 @@
 	return n, true, nil
 }
 
-// keyState is what is known of a run by key.
+// keyState is a copy of the state of a keyed run. known is false if the process holds no
+// such run.
 type keyState struct {
 	request *request
 	closed  bool
@@ -81,6 +82,7 @@
 	body    string
 }
 
+// stateOf returns the state of a run by its request ID.
 func (k *keyedRuns) stateOf(run string) keyState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -91,7 +93,7 @@
 	return keyState{request: r.request, closed: r.closed, known: true, body: r.bodyHash}
 }
 
-// runOf returns the run that a name stands for.
+// runOf returns the request ID of the newest run of a scoped key.
 func (k *keyedRuns) runOf(name string) (run string, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -102,7 +104,7 @@
 	return r.run, true
 }
 
-// close marks a run that did not and will not run.
+// close marks a run that did not run and never will.
 func (k *keyedRuns) close(run string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -112,8 +114,8 @@
 	}
 }
 
-// recordEnd keeps the answer of a run for a while, or closes the run if it did not
-// run.
+// recordEnd keeps the answer of a run, of size bytes, until keptUntil. It closes a run that
+// did not run.
 func (k *keyedRuns) recordEnd(run string, keptUntil time.Time, size int, err *fault.Error) {
 	if err != nil && err.Run == fault.NotRun {
 		k.close(run)
@@ -129,8 +131,9 @@
 	k.bytes += size
 }
 
-// sweep gives up answers whose time has come, or any while there are too many
-// bytes, and forgets runs whose time has come.
+// sweep drops the answers whose keptUntil has passed, and arbitrary others while their
+// total size exceeds maxKeptAnswerBytes. It deletes runs without an answer whose forgetAge
+// has passed.
 func (k *keyedRuns) sweep(now time.Time, age time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -148,7 +151,7 @@
 	}
 }
 
-// drop forgets a run that another entry holds.
+// drop deletes a run that another entry holds or that has no claim in the log.
 func (k *keyedRuns) drop(run string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -162,19 +165,19 @@
 	}
 }
 
-// count returns how many runs are remembered and the bytes of their answers.
+// count returns the number of runs and the total size of their answers in bytes.
 func (k *keyedRuns) count() (runs, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.byRun), k.bytes
 }
 
-// age is how long this process has run, by the monotonic clock.
+// age returns how long this process has run, by the monotonic clock.
 func (e *Entry) age() time.Duration { return time.Since(e.startedAt) }
 
-// reserveKey enters a request under its key before anything is sent, so that every
-// repeat in this process finds it. It returns the request that holds the key
-// here: r itself, or one that r's caller joins.
+// reserveKey adds a request under its key before anything is sent, so that every repeat in
+// this process finds it. It returns the request that holds the key: r itself, or the one
+// that r's caller joins.
 func (e *Entry) reserveKey(r *request, body string, forgetAge time.Duration) (*request, *fault.Error) {
 	run := &keyedRun{scopedKey: scopedKeyOf(r.call.Workspace, r.key), run: r.id, bodyHash: body, request: r, forgetAge: forgetAge}
 	current, added, err := e.keyedRuns.add(run)
@@ -187,7 +190,8 @@
 	return e.joinLocal(current.run, body)
 }
 
-// joinLocal returns the request of a run by key in this process.
+// joinLocal returns the request of a run by key in this process. It returns errClosed for a
+// closed run and fault.AlreadyRan if the answer is no longer kept.
 func (e *Entry) joinLocal(run, body string) (*request, *fault.Error) {
 	s := e.keyedRuns.stateOf(run)
 	switch {
@@ -204,11 +208,12 @@
 	}
 }
 
-// errClosed says that the run of a key did not and will not run, so that the
-// key may be claimed again.
+// errClosed reports that the run of a key did not run and never will, so that the key may
+// be claimed again.
 var errClosed = fault.New(fault.KeyUnsettled, fault.NotRun, "The run of this key is closed and did not run.")
 
-// keepAnswer is called when a request by key has ended.
+// keepAnswer keeps the answer of a request by key that has ended with err, for as long as
+// its settings say. It drops a request that followed another entry's run.
 func (e *Entry) keepAnswer(r *request, err *fault.Error) {
 	if r.following {
 		e.keyedRuns.drop(r.id)
@@ -218,7 +223,7 @@
 	e.keyedRuns.recordEnd(r.id, kept.After(e.Now()), r.buf.Len(), err)
 }
 
-// sweep looks through the kept answers until ctx is done.
+// sweep expires kept answers and runs every sweepInterval until ctx is done.
 func (e *Entry) sweep(ctx context.Context) error {
 	for ctx.Err() == nil {
 		tasks.Pause(ctx, sweepInterval.After(time.Now()))
@@ -227,5 +232,5 @@
 	return nil
 }
 
-// sweepInterval is how often kept answers are looked through.
+// sweepInterval is the interval between two sweeps of the keyed runs.
 const sweepInterval = config.Span(time.Second)
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -13,29 +13,31 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// retryBurst is the most that a workspace's retry budget holds, in retries.
+// retryBurst is the capacity of a workspace's retry budget, in retries.
 const retryBurst = 10
 
-// limits keeps the request rate, the concurrency and the retry budget of each
-// workspace.
+// limits holds the request rate, the concurrency and the retry budget of each workspace.
 type limits struct {
 	mu sync.Mutex
 	m  map[string]*limit
 }
 
+// limit is the state of one workspace.
 type limit struct {
-	// rate is nil until the first request.
+	// rate is the token bucket for requests; nil until the first request.
 	rate *rate.Limiter
-	// inFlight counts the requests inFlight way; never more than the setting
-	// allowed when each was let in.
+	// inFlight is the number of requests in flight. acquire adds one only below the
+	// concurrency setting at that time.
 	inFlight int
-	// budget is how many retries may be made; 0 to retryBurst.
+	// budget is the number of retries that may be made, from 0 to retryBurst.
 	budget float64
 }
 
-// burstOf is how many requests may come at once at a rate per second.
+// burstOf returns the burst size, in requests, for a rate per second: the requests of one
+// second, and at least 1.
 func burstOf(perSecond float64) int { return max(1, int(perSecond)) }
 
+// of returns the state of a workspace and adds it if there is none; l.mu is held.
 func (l *limits) of(workspace string) *limit {
 	if l.m == nil {
 		l.m = make(map[string]*limit)
@@ -48,7 +50,8 @@
 	return w
 }
 
-// setRate follows the setting. A new limiter begins with its whole burst.
+// setRate applies the rate setting, in requests per second. A new limiter starts with a
+// full burst.
 func (w *limit) setRate(now time.Time, perSecond float64) {
 	want := rate.Limit(perSecond)
 	if w.rate == nil {
@@ -60,7 +63,9 @@
 	}
 }
 
-// acquire lets a request of the workspace in, or says why not.
+// acquire admits a request of the workspace, or returns fault.RateLimited with the time for
+// a retry. Each admitted request adds RetryShare to the retry budget. The caller must call
+// release for an admitted request.
 func (l *limits) acquire(now time.Time, workspace string, v *config.Values) *fault.Error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,15 +87,14 @@
 	return nil
 }
 
-// release ends a request that was let in.
+// release ends a request that acquire admitted.
 func (l *limits) release(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.of(workspace).inFlight--
 }
 
-// takeRetry takes one takeRetry from the workspace's budget and reports whether there
-// was one.
+// takeRetry takes one retry from the workspace's budget and reports whether there was one.
 func (l *limits) takeRetry(workspace string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -26,8 +26,8 @@
 	return err.Kind
 }
 
-// TestLimits bounds rate and concurrency of each workspace on its own, and
-// tells when to come back.
+// TestLimits checks that the rate and the concurrency of each workspace are limited
+// independently, and that a refusal has a later time for a retry.
 func TestLimits(t *testing.T) {
 	var l limits
 	two := values(2, 3, 0)
@@ -38,13 +38,13 @@
 		leave     bool
 		want      fault.Kind
 	}{
-		{"a new workspace has its whole burst", 0, "a", false, ""},
-		{"the second of the burst", 0, "a", false, ""},
-		{"beyond the rate", 0, "a", false, fault.RateLimited},
-		{"another workspace is not held back", 0, "b", false, ""},
-		{"after half a second", 500, "a", false, ""},
-		{"beyond the concurrency", 2000, "a", false, fault.RateLimited},
-		{"once one has left", 2000, "a", true, ""},
+		{"first request of a new workspace's burst", 0, "a", false, ""},
+		{"second request of the burst", 0, "a", false, ""},
+		{"request beyond the rate", 0, "a", false, fault.RateLimited},
+		{"request of another workspace", 0, "b", false, ""},
+		{"request after half a second", 500, "a", false, ""},
+		{"request beyond the concurrency", 2000, "a", false, fault.RateLimited},
+		{"request after one was released", 2000, "a", true, ""},
 	}
 	for _, s := range steps {
 		if s.leave {
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestRetryBudget earns retries by requests and holds a bounded number.
+// TestRetryBudget checks that requests add to the retry budget and that retryBurst bounds
+// it.
 func TestRetryBudget(t *testing.T) {
 	var l limits
 	v := values(1e6, 1e6, 0.5)
--- a/internal/entry/linger.go
+++ b/internal/entry/linger.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// lingerTimeout bounds how long a connection whose request was refused unread is
-	// kept for its caller to finish; net/http waits as long.
+	// lingerTimeout bounds how long a connection whose request was refused unread stays
+	// open for its caller to finish sending; net/http waits as long.
 	lingerTimeout = config.Span(500 * time.Millisecond)
-	// maxLingerBytes bounds what is read of it, in bytes.
+	// maxLingerBytes is the maximum number of bytes that are read and discarded on such a
+	// connection.
 	maxLingerBytes = 256 << 10
 )
 
-// lingerListener is a listener whose connections may linger.
+// lingerListener is a listener whose connections are of type lingerConn.
 type lingerListener struct{ net.Listener }
 
-// Accept waits for the next connection.
+// Accept returns the next connection, as a *lingerConn.
 func (l lingerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -33,16 +34,16 @@
 	return &lingerConn{Conn: c}, nil
 }
 
-// lingerConn is a connection whose close may wait for the caller. Closing with
-// unread bytes resets a connection, which breaks a caller that is still sending and
-// may lose it the answer.
+// lingerConn is a connection whose Close may wait for the caller to finish sending. A close
+// with unread bytes resets the connection. A caller that is still sending then gets an
+// error and may lose the answer.
 type lingerConn struct {
 	net.Conn
-	// lingers is set once the request was refused before it was read.
+	// lingers is set if the request was refused before it was read completely.
 	lingers atomic.Bool
 }
 
-// setLinger makes the close of a caller's connection wait for the caller.
+// setLinger makes Close of a caller's connection wait for the caller to finish sending.
 func setLinger(c net.Conn) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
@@ -52,10 +53,11 @@
 	}
 }
 
-// Close closes the connection, after what the caller still sends where it lingers.
+// Close closes the connection. If it lingers, Close first ends the sending side and
+// discards up to maxLingerBytes for at most lingerTimeout.
 func (c *lingerConn) Close() error {
 	if t, ok := c.Conn.(*net.TCPConn); ok && c.lingers.Load() {
-		// The connection is at its end: what fails here ends the wait.
+		// An error here only ends the wait, as the connection is closed anyway.
 		if t.CloseWrite() == nil && t.SetReadDeadline(lingerTimeout.After(time.Now())) == nil {
 			_, _ = io.CopyN(io.Discard, t, maxLingerBytes)
 		}
--- a/internal/entry/main.go
+++ b/internal/entry/main.go
@@ -9,8 +9,8 @@
 	"github.com/traildrift/traildrift/internal/proc"
 )
 
-// Main runs the entry that a process settings file describes, until a signal
-// ends it. It returns nil after a planned stop that cut off nothing.
+// Main runs an entry with the process settings in file until SIGTERM or SIGINT. It returns
+// nil after a planned stop that interrupted no request.
 func Main(ctx context.Context, file string) error {
 	var s Settings
 	return proc.Main(ctx, file, &s, &s.Common, func() (proc.Runner, error) { return New(s) })
--- a/internal/entry/names.go
+++ b/internal/entry/names.go
@@ -14,17 +14,19 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// headerSessionKept says "false" where a session's name could not be kept, so that
-// only the token in the answer keeps the session.
+// headerSessionKept is "false" in a response if the claim log did not accept the session's
+// name; only the token in the response then keeps the session.
 const headerSessionKept = "Traildrift-Session-Kept"
 
-// maxSessionNames bounds the session names that an entry remembers; the log has all.
+// maxSessionNames is the maximum number of session names in the cache of an entry. The
+// claim log holds all of them.
 const maxSessionNames = 50_000
 
-// maxSessionNameBytes bounds a session's name, in bytes.
+// maxSessionNameBytes is the maximum length of a session's name, in bytes.
 const maxSessionNameBytes = 256
 
-// sessionNames remembers the claims on session sessionNames that this entry has read.
+// sessionNames caches the claims on session names that this entry has read, by the claim's
+// key.
 type sessionNames struct {
 	mu sync.Mutex
 	m  map[string]claim.Record
@@ -37,7 +39,7 @@
 	return r, ok
 }
 
-// put remembers a claim; a full memory forgets any other.
+// put adds a claim. It evicts an arbitrary one if the cache is full.
 func (n *sessionNames) put(r claim.Record) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,9 +55,9 @@
 	n.m[r.Key] = r
 }
 
-// pinNamedSession pins a request to the version that its session's name stands
-// for. The first use claims the name for the version that is chosen then; of
-// two entries that choose differently the log keeps one, and both follow it.
+// pinNamedSession pins a request to the version that its session's name is claimed for. The
+// first use of a name claims it for the version that is chosen for that request. If two
+// entries choose different versions, the log keeps one claim and both follow it.
 func (e *Entry) pinNamedSession(r *request) *fault.Error {
 	if len(r.call.Session) > maxSessionNameBytes {
 		return fault.New(fault.SessionInvalid, fault.NotRun, "A session's name has at most %d bytes.", maxSessionNameBytes)
@@ -77,8 +79,10 @@
 	return nil
 }
 
-// pinFromClaim pins the request to a claim's version. It reports true with a newer
-// claim where the session moves.
+// pinFromClaim pins the request to the version in a claim. If that version is withdrawn and
+// the session may move, it claims the next generation and returns the claim that stands and
+// true; the caller then pins to that claim. An empty claim, which the log did not accept,
+// pins nothing.
 func (e *Entry) pinFromClaim(r *request, key string, held claim.Record) (claim.Record, bool, *fault.Error) {
 	if held.Value == "" {
 		r.nameNotStored = true
@@ -101,8 +105,8 @@
 	return next, err == nil, err
 }
 
-// claimSessionName claims a name for the version that is chosen now and returns the
-// claim that stands. Its value is empty if the platform does not take it.
+// claimSessionName claims a name for the version that is chosen now, and returns the claim
+// that stands. Its Value is empty if the platform does not accept the claim.
 func (e *Entry) claimSessionName(r *request, key string, generation int) (claim.Record, *fault.Error) {
 	now := e.Now()
 	view, list := e.peers.view(now)
@@ -130,6 +134,6 @@
 	return held, nil
 }
 
-// nameClaimTimeout bounds the wait for a name's claim; without it the request goes on
-// with a token alone.
+// nameClaimTimeout bounds the wait for the claim on a name. After it the request proceeds
+// with a session token alone.
 const nameClaimTimeout = config.Span(claimTimeout / 4)
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -15,7 +15,7 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Headers of the callers' interface.
+// Headers of the HTTP interface for callers.
 const (
 	headerKey      = "Idempotency-Key"
 	headerDistrict = "Traildrift-District"
@@ -27,13 +27,13 @@
 	headerVersion  = "Traildrift-Version"
 )
 
-// maxKeyBytes bounds a caller's key, in bytes.
+// maxKeyBytes is the maximum length of a caller's key, in bytes.
 const maxKeyBytes = 512
 
-// chatPath is where chat completions are asked for, here and at engines.
+// chatPath is the path of chat completions, at entries and at engines.
 const chatPath = "/v1/chat/completions"
 
-// authorize finds the workspace of the API key.
+// authorize returns the workspace of the API key.
 func (e *Entry) authorize(ctx *fasthttp.RequestCtx) (string, *fault.Error) {
 	if e.Holder.Revision() == 0 {
 		return "", fault.New(fault.StaleSettings, fault.NotRun, "The entry has no settings yet.").WithRetryAt(defaultRetryAfter.After(e.Now()))
@@ -50,7 +50,8 @@
 	return workspace, nil
 }
 
-// parseHeaders reads what chat requests and service calls have in common.
+// parseHeaders reads the headers and the body that chat requests and service calls have in
+// common. It returns the call and the caller's key, which is empty without one.
 func (e *Entry) parseHeaders(ctx *fasthttp.RequestCtx, workspace string) (wire.Call, string, *fault.Error) {
 	h := &ctx.Request.Header
 	c := wire.Call{
@@ -85,7 +86,7 @@
 	return c, key, nil
 }
 
-// chatBody is what the entry reads of a chat request.
+// chatBody holds the fields of a chat request that the entry reads.
 type chatBody struct {
 	Model     string            `json:"model"`
 	Messages  []json.RawMessage `json:"messages"`
@@ -93,7 +94,8 @@
 	Stream    bool              `json:"stream"`
 }
 
-// parseChat reads the body of a chat request.
+// parseChat reads the body of a chat request. The model it names is a workload of the
+// workspace or, if there is none of that name, a model that the workspace allows.
 func (e *Entry) parseChat(c *wire.Call) *fault.Error {
 	var b chatBody
 	if err := json.Unmarshal(c.Body, &b); err != nil {
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// checkModel refuses a model that the workspace does not allow at all.
+// checkModel refuses a model of which the workspace allows no version.
 func (e *Entry) checkModel(snap *config.Snapshot, c *wire.Call) *fault.Error {
 	for _, cand := range snap.Candidates(snap.Effective(c.Workspace, "", "")) {
 		if cand.Model == c.Model {
@@ -130,10 +132,11 @@
 	return fault.New(fault.NotAllowed, fault.NotRun, "The workspace has no workload and allows no model %q.", c.Model)
 }
 
-// servicePrefix begins the path of a plain service's call.
+// servicePrefix is the path prefix of calls to plain services.
 const servicePrefix = "/svc/"
 
-// parseService reads the path of a service call.
+// parseService reads the path of a service call: the prefix, the workload and the path at
+// the service.
 func (e *Entry) parseService(ctx *fasthttp.RequestCtx, c *wire.Call) *fault.Error {
 	rest := strings.TrimPrefix(string(ctx.Path()), servicePrefix)
 	workload, path, _ := strings.Cut(rest, "/")
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -18,41 +18,44 @@
 // peer is one endpoint VM that the entry keeps a link to.
 type peer struct {
 	vm store.VM
+	// mu guards all fields below but ctx, cancel and the channels heartbeatNow and done.
 	mu sync.Mutex
-	// conn is the open link; nil without one.
+	// conn is the open link; nil if there is none.
 	conn *link.Conn
-	// load is what the guard last said.
+	// load is the latest load that the guard has reported.
 	load wire.Load
-	// backoffUntil is until when the endpoint wants no run.
+	// backoffUntil is the end of the endpoint's backoff, until which it accepts no runs;
+	// zero without backoff.
 	backoffUntil time.Time
-	// suspectAt is when the endpoint counts as silent; it moves with every
-	// answered heartbeat.
+	// suspectAt is the time from which the endpoint is suspected of having failed. Every
+	// answered heartbeat moves it to SuspectAfter from then.
 	suspectAt time.Time
-	// crashIncarnation is the incarnation of the guard that told of crashes, and crashSeq the number
-	// of the last one.
+	// crashIncarnation is the incarnation of the guard that reported the latest crash, and
+	// crashSeq the number of that crash.
 	crashIncarnation string
 	crashSeq         uint64
-	// inFlight counts this entry's runs there that are not ended.
+	// inFlight is the number of this entry's runs at the endpoint that have not ended.
 	inFlight int
-	// settled lists runs whose bill is confirmed, for the next heartbeat.
+	// settled lists the runs whose bill line is confirmed, for the next heartbeat.
 	settled []wire.RunKey
 	// opened is closed and replaced when a link opens.
 	opened chan struct{}
-	// heartbeatNow asks for a heartbeat at once.
+	// heartbeatNow triggers a heartbeat at once.
 	heartbeatNow chan struct{}
-	// tried says that a link was tried once.
+	// tried reports that the first attempt to link has ended, with an answered heartbeat or
+	// a failure.
 	tried bool
-	// ctx is done when the VM is not to be linked to any more.
+	// ctx is done when the link to the VM is no longer kept; cancel ends it.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// done is closed when the peer's goroutine has done.
+	// done is closed when the peer's goroutine has ended.
 	done chan struct{}
 }
 
-// redialDelay is how long a broken link waits before it is opened again.
+// redialDelay is the delay before a broken or failed link is dialled again.
 const redialDelay = config.Span(200 * time.Millisecond)
 
-// maintainLink holds a link to p open and beats on it until ctx is done.
+// maintainLink keeps a link to p open and sends heartbeats on it until ctx is done.
 func (ps *peers) maintainLink(ctx context.Context, p *peer) {
 	for ctx.Err() == nil {
 		c, err := ps.e.Local.Dial(ctx, p.vm.Link)
@@ -89,7 +92,8 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats over c until it breaks or ctx is done.
+// sendHeartbeats sends heartbeats over c, every HeartbeatInterval and when requested, until
+// c breaks, a heartbeat fails or ctx is done.
 func (ps *peers) sendHeartbeats(ctx context.Context, p *peer, c *link.Conn) {
 	for {
 		if !ps.sendHeartbeat(ctx, p, c) {
@@ -109,7 +113,9 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat and reports false when the link is of no more use.
+// sendHeartbeat sends one heartbeat and stores the reply. It returns false if there is no
+// answer within SuspectAfter; the link is then to be closed, and the settled runs are kept
+// for the next heartbeat.
 func (ps *peers) sendHeartbeat(ctx context.Context, p *peer, c *link.Conn) bool {
 	p.mu.Lock()
 	settled := p.settled
@@ -139,12 +145,13 @@
 	return true
 }
 
-// setLoad takes over what the guard says; p.mu is held. A guard that leaves is
-// told at once when this entry has no run there.
+// setLoad stores a load that the guard reported at now; p.mu is held. If the guard starts
+// to leave and this entry has no run there, it requests a heartbeat at once, which reports
+// Released.
 func (p *peer) setLoad(l wire.Load, now time.Time) {
 	startsLeaving := l.Leaving && !p.load.Leaving
 	p.load = l
-	// Without a rest it is zero: a request that looks now may have read the clock before.
+	// Zero rather than now: a concurrent request may have read the clock slightly earlier.
 	p.backoffUntil = time.Time{}
 	if l.BackoffMs > 0 {
 		p.backoffUntil = now.Add(time.Duration(l.BackoffMs) * time.Millisecond)
@@ -154,6 +161,7 @@
 	}
 }
 
+// requestHeartbeat triggers a heartbeat at once. It does not block.
 func (p *peer) requestHeartbeat() {
 	select {
 	case p.heartbeatNow <- struct{}{}:
@@ -161,8 +169,8 @@
 	}
 }
 
-// beginRun counts a run that is about to be sent and returns the link for it, or
-// nil if none may be sent.
+// beginRun counts a run that is about to be sent and returns the link for it. It returns
+// nil if there is no link or the guard is leaving.
 func (p *peer) beginRun() *link.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,8 +181,8 @@
 	return p.conn
 }
 
-// dropIfIdle ends the link of a peer that has no run of this entry, and reports
-// whether it did.
+// dropIfIdle closes the link of a peer if this entry has no run there, and reports whether
+// it did.
 func (p *peer) dropIfIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,7 +193,8 @@
 	return true
 }
 
-// endRun uncounts a run.
+// endRun ends a run that beginRun counted. It requests a heartbeat if the guard is leaving
+// and this was the last run there.
 func (p *peer) endRun() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +204,7 @@
 	}
 }
 
-// handleLoad takes the load that a guard tells at once.
+// handleLoad stores a load that a guard sends without waiting for the next heartbeat.
 func (e *Entry) handleLoad(c *link.Conn, n wire.LoadNotice) {
 	e.peers.mu.Lock()
 	p, ok := e.peers.byVM[c.Peer.VM]
@@ -211,7 +220,7 @@
 	}
 }
 
-// usable reports whether p may get new work; p.mu is held.
+// usable reports whether p may get new runs; p.mu is held.
 func (p *peer) usable(now time.Time) bool {
 	return p.conn != nil && !p.load.Leaving && !p.load.Down && !now.Before(p.backoffUntil) && now.Before(p.suspectAt)
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -18,26 +18,28 @@
 	"github.com/traildrift/traildrift/pkg/route"
 )
 
-// peers keeps the links of an entry in step with the VM list.
+// peers maintains the links of an entry to endpoints, as the VM list requires.
 type peers struct {
-	e  *Entry
+	e *Entry
+	// mu guards the fields below. It may be held when a peer's mu is locked, not the reverse.
 	mu sync.Mutex
-	// byVM holds the peers by VM name.
+	// byVM holds the peers that get new runs, by VM name.
 	byVM map[string]*peer
-	// retired holds the peers that get no new work but still have a run.
+	// retired holds the peers that get no new runs but still have one in flight.
 	retired []*peer
-	// entries holds the live entry VMs as last listed.
+	// entries holds the live entry VMs of the latest VM list.
 	entries []store.VM
-	// endpoints holds the live endpoint VMs by name as last listed.
+	// endpoints holds the live endpoint VMs of the latest VM list, by name.
 	endpoints map[string]store.VM
-	// listed says that the VM list was read once.
+	// listed reports that the VM list was read at least once.
 	listed bool
 }
 
-// listTimeout bounds one reading of the VM list.
+// listTimeout bounds one read of the VM list.
 const listTimeout = 3 * time.Second
 
-// pollVMs reads the VM list until ctx is done.
+// pollVMs reads the VM list every ListInterval and applies it, until ctx is done. It then
+// closes all links.
 func (ps *peers) pollVMs(ctx context.Context) error {
 	defer ps.dropAll()
 	for ctx.Err() == nil {
@@ -47,14 +49,15 @@
 		if err == nil {
 			ps.update(ctx, vms)
 		} else {
-			ps.e.Log.Warn("peers: The VM list does not answer.", logs.Err(err))
+			ps.e.Log.Warn("entry: The VM list could not be read; the latest one stays in use.", logs.Err(err))
 		}
 		tasks.Pause(ctx, ps.e.settings.ListInterval.After(time.Now()))
 	}
 	return nil
 }
 
-// update links to the chosen subset of every pool and drops the rest.
+// update applies a VM list. It opens links to the endpoints that subset returns and retires
+// all other peers; a retired peer is dropped once it has no run.
 func (ps *peers) update(ctx context.Context, vms []store.VM) {
 	wanted := subset(ps.e.Common.VM, vms, ps.e.settings.LinksPerPool)
 	ps.mu.Lock()
@@ -81,8 +84,8 @@
 	}
 }
 
-// subset chooses at most n live endpoints of each pool by rendezvous hashing
-// (Thaler and Ravishankar, 1998), so that entries spread over the endpoints.
+// subset chooses at most n live endpoints of each pool by rendezvous hashing (Thaler and
+// Ravishankar, 1998), so that the entries spread over the endpoints.
 func subset(self string, vms []store.VM, n int) map[string]store.VM {
 	pools := make(map[string][]store.VM)
 	for _, vm := range endpointVMs(vms) {
@@ -98,8 +101,8 @@
 	return out
 }
 
-// rank orders two names by their rendezvous hash with self, the greatest
-// first.
+// rank compares two names by their rendezvous hash with self. The name with the greater
+// hash comes first.
 func rank(self, a, b string) int {
 	ha, hb := xxhash.Sum64String(self+"\x00"+a), xxhash.Sum64String(self+"\x00"+b)
 	switch {
@@ -112,13 +115,14 @@
 	}
 }
 
-// linkCount returns how many endpoints the entry links to.
+// linkCount returns the number of endpoints that the entry maintains a link to.
 func (ps *peers) linkCount() int {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	return len(ps.byVM)
 }
 
+// start adds a peer for an endpoint VM and starts the goroutine that maintains its link.
 func (ps *peers) start(ctx context.Context, vm store.VM) *peer {
 	p := &peer{vm: vm, opened: make(chan struct{}), heartbeatNow: make(chan struct{}, 1), done: make(chan struct{})}
 	p.ctx, p.cancel = context.WithCancel(ctx)
@@ -129,6 +133,7 @@
 	return p
 }
 
+// dropAll closes all links and waits for their goroutines.
 func (ps *peers) dropAll() {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -144,7 +149,8 @@
 	ps.retired = nil
 }
 
-// ready reports whether the VM list was read and every link was tried.
+// ready reports whether the VM list was read and a link to every chosen endpoint was
+// attempted.
 func (ps *peers) ready() bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -159,8 +165,8 @@
 	return ps.listed
 }
 
-// requestHeartbeats asks every link for a heartbeat at once, so that a new revision
-// spreads.
+// requestHeartbeats triggers a heartbeat on every link, so that a new revision of the
+// settings reaches the guards at once.
 func (ps *peers) requestHeartbeats() {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -169,8 +175,8 @@
 	}
 }
 
-// view returns the endpoints for a decision, and their peers in the same
-// order: by VM name, so that a decision can be replayed.
+// view returns the endpoints for a routing decision, and their peers in the same order.
+// They are sorted by VM name, so that a decision can be replayed.
 func (ps *peers) view(now time.Time) (route.View, []*peer) {
 	ps.mu.Lock()
 	list := make([]*peer, 0, len(ps.byVM))
@@ -198,11 +204,13 @@
 	return route.NewView(endpoints), list
 }
 
-// watchersPerZone is how many entries of a zone watch the platform.
+// watchersPerZone is the number of entries per availability zone that watch the platform
+// for new settings.
 const watchersPerZone = 2
 
-// watching reports whether this entry is one of the few of its zone that watch
-// the platform. One that knows of no entries watches.
+// watching reports whether this entry is one of the watchersPerZone entries of its zone
+// that watch the platform, chosen by rendezvous hashing. An entry that knows of no other
+// entries watches.
 func (ps *peers) watching() bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -16,19 +16,21 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// quarantine is what an entry knows of requests that crash endpoints. Guards tell all entries
-// that are linked to them which runs were under way when their endpoint crashed, so that no
-// entry sends such a request to endpoints that it sees crash under it, whoever sent it there.
+// quarantine holds the crash reports about requests and the verdicts on them. Guards report
+// to all linked entries which runs were in progress when their endpoint crashed. Each entry
+// can therefore refuse a request that crashes endpoints, whichever entry sent it there.
 type quarantine struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// detector is guarded by mu.
 	detector *poison.Detector
 }
 
-// zeroRank is the rank of an entry: each tries a request again by itself once its time is over.
+// zeroRank is the retry rank of every entry for poison.Detector.Refuses: entries do not
+// coordinate, and each retries a quarantined request once its quarantine has ended.
 func zeroRank(poison.Fingerprint) int { return 0 }
 
-// fingerprint names the request among its repeats. It is called by the goroutine that runs the
-// request.
+// fingerprint returns the fingerprint of the request, which is equal for its repeats. It is
+// called only by the goroutine that runs the request.
 func (r *request) fingerprint() poison.Fingerprint {
 	if r.cachedFingerprint == (poison.Fingerprint{}) {
 		c := &r.call
@@ -38,8 +40,8 @@
 	return r.cachedFingerprint
 }
 
-// checkQuarantine returns why a request is not sent to any endpoint; nil if it may be. One that is
-// just being judged waits for that.
+// checkQuarantine returns fault.Quarantined if the request must not be sent to any endpoint
+// now, else nil. If a judgement on the request is pending, it waits until that is due.
 func (e *Entry) checkQuarantine(r *request) *fault.Error {
 	q := &e.quarantine
 	q.mu.Lock()
@@ -66,7 +68,7 @@
 	return fault.New(fault.Quarantined, run, "%d endpoints or more crashed under request %v; it is not sent to another.", len(v.Crashes), p).WithRetryAt(v.Until)
 }
 
-// judgeSuspects quarantines the suspects that are due; quarantine.mu is held.
+// judgeSuspects decides on the suspects that are due; quarantine.mu is held.
 func (e *Entry) judgeSuspects(now time.Time) {
 	linked := e.peers.linkCount()
 	changed, _ := e.quarantine.detector.Judge(now, func(uint64) poison.View { return poison.View{InFlight: linked, Listed: linked} })
@@ -76,7 +78,8 @@
 	}
 }
 
-// recordSuccess notes that an endpoint answered a request whole: it does not crash what runs it.
+// recordSuccess records that an endpoint answered a request completely, which proves that
+// the request does not crash what runs it.
 func (e *Entry) recordSuccess(r *request) {
 	q := &e.quarantine
 	q.mu.Lock()
@@ -86,8 +89,8 @@
 	}
 }
 
-// recordCrashes takes over what the guard of p tells of crashes; those that were told before
-// are left out.
+// recordCrashes records the crashes that the guard of p reports, without those that it has
+// reported before. guard is the incarnation of that guard.
 func (e *Entry) recordCrashes(p *peer, guard string, reported []wire.Crash) {
 	added := p.newCrashes(guard, reported)
 	if len(added) == 0 {
@@ -101,7 +104,7 @@
 	for _, c := range added {
 		f, err := poison.ParseFingerprint(c.Fingerprint)
 		if err != nil {
-			e.Log.Warn("entry: A crash could not be decoded.", zap.String("vm", p.vm.Name), zap.Error(err))
+			e.Log.Warn("entry: A crash report with a malformed fingerprint was dropped.", zap.String("vm", p.vm.Name), zap.Error(err))
 			continue
 		}
 		at := now.Add(-time.Duration(c.CrashAgeMs) * time.Millisecond)
@@ -109,7 +112,8 @@
 	}
 }
 
-// newCrashes returns what was not told before by this incarnation of the guard.
+// newCrashes returns the reported crashes that this incarnation of the guard has not
+// reported before.
 func (p *peer) newCrashes(guard string, reported []wire.Crash) (added []wire.Crash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/entry/recent.go
+++ b/internal/entry/recent.go
@@ -9,16 +9,16 @@
 	"github.com/traildrift/traildrift/pkg/trail"
 )
 
-// maxRecent bounds the records that are kept for explain.
+// maxRecent is the maximum number of trail records that are kept for explain.
 const maxRecent = 2048
 
-// recent keeps the last trail records by request ID, in a ring.
+// recent is a ring buffer of the latest trail records.
 type recent struct {
 	mu   sync.Mutex
 	ring []trail.Record
-	// next is the place of the next record once the ring is full.
+	// next is the index in ring of the next record once the ring is full.
 	next int
-	// index finds a record in the ring.
+	// index holds the index in ring of each record, by request ID.
 	index map[string]int
 }
 
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -19,46 +19,48 @@
 	"github.com/traildrift/traildrift/pkg/trail"
 )
 
-// request is one caller's request while it is served here.
+// request is the state of one caller's request.
 type request struct {
 	id   string
 	call wire.Call
-	// cachedFingerprint is the request's fingerprint; zero before it was asked for.
+	// cachedFingerprint is the request's fingerprint; zero until fingerprint is called.
 	cachedFingerprint poison.Fingerprint
-	// key is the caller's own key or ticket; empty without one.
+	// key is the caller's own key or ticket; empty if there is none.
 	key string
-	// effective is what was in force when the request arrived.
+	// effective holds the settings that applied when the request arrived.
 	effective *config.Effective
-	// repeatable says that the request may be run again after it may have
-	// run.
+	// repeatable reports that the request may run again after it may have run.
 	repeatable bool
-	// pinned is the session's version; nil without a session.
+	// pinned is the session's version; nil if the request is not pinned to one.
 	pinned *pin
-	// following says that another entry runs the request and bills it; joins
-	// counts how often one was followed.
+	// following reports that the request follows a run of another entry, which bills it.
+	// followAttempts counts the calls to follow one.
 	following      bool
 	followAttempts int
-	// nameNotStored says that the name of the request's session could not be kept.
+	// nameNotStored reports that the claim log did not accept the name of the request's
+	// session.
 	nameNotStored bool
-	// buf takes the answer. It is finished exactly once.
+	// buf receives the answer. It is finished exactly once.
 	buf *stream.Buffer
-	// record is written by the goroutine that runs the request, until done.
+	// record is written only by the goroutine that runs the request, until done is closed.
 	record trail.Record
-	// attempts are what is billed.
+	// attempts holds the attempts to bill: those that ran or may have run.
 	attempts []bill.Attempt
-	// seed drives the random choices of the request's decisions.
+	// seed seeds the random choices of the request's decisions.
 	seed uint64
-	// ctx is done when nobody waits for the answer any more.
+	// ctx is done when no caller waits for the answer any more, at the latest at the
+	// deadline.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// finished says that finish was called; it never goes back.
+	// finished is set by finish and never reset.
 	finished atomic.Bool
-	// done is closed when the request has ended, with its bill and trail
-	// handed over.
+	// done is closed when the request has ended and its bill line and trail record are
+	// queued.
 	done chan struct{}
 }
 
-// newRequest returns a request that has not started.
+// newRequest returns a request that has not started. A missing deadline or priority is
+// taken from the settings.
 func (e *Entry) newRequest(call wire.Call, key string) *request {
 	now := e.Now()
 	seq := e.seq.Add(1)
@@ -96,7 +98,7 @@
 	return r
 }
 
-// billID names the line that the request is billed on.
+// billID returns the ID of the request's bill line. Repeats with one key share the line.
 func (r *request) billID() string {
 	if r.key != "" {
 		return r.call.Workspace + "/" + r.key
@@ -104,7 +106,8 @@
 	return r.id
 }
 
-// routeRequest is what a decision needs to know of the request.
+// routeRequest returns what a routing decision depends on. avoid lists the indexes of the
+// endpoints that were tried.
 func (r *request) routeRequest(zone string, avoid []int) route.Request {
 	req := route.Request{Model: r.call.Model, AvailabilityZone: zone, Seed: r.seed + uint64(len(r.record.Steps)), Draw: route.Uniform(r.seed), Avoid: avoid}
 	if r.pinned != nil {
@@ -113,7 +116,9 @@
 	return req
 }
 
-// finish ends the request once: answer, bill and trail.
+// finish ends the request: it ends the answer and queues the bill line and the trail
+// record. length is the size of a complete answer in bytes. Only the first call takes
+// effect.
 func (e *Entry) finish(r *request, length int, err *fault.Error) {
 	if !r.finished.CompareAndSwap(false, true) {
 		return
@@ -148,7 +153,7 @@
 	close(r.done)
 }
 
-// observe counts the end of a request.
+// observe records the end of a request in the metrics.
 func (e *Entry) observe(r *request, err *fault.Error) {
 	kind := "whole"
 	if err != nil {
@@ -159,7 +164,7 @@
 	s.Timer("request").Record(r.record.Ended.Sub(r.record.Arrived))
 }
 
-// capDeadline returns the earlier of a deadline and a time that lies s after now.
+// capDeadline returns now plus s, or the deadline if that is earlier.
 func capDeadline(now, deadline time.Time, s config.Span) time.Time {
 	if t := s.After(now); t.Before(deadline) {
 		return t
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -18,14 +18,14 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// orderTimeout bounds an order, which may fetch weights.
+// orderTimeout bounds an order to a guard, which may have to fetch model weights.
 const orderTimeout = config.Span(time.Minute)
 
-// probeTimeout bounds a question to a guard that no link is kept to.
+// probeTimeout bounds a heartbeat to a guard that is not among the peers.
 const probeTimeout = config.Span(time.Second)
 
-// newDriver returns the driver of roll-outs of this entry. Those entries drive
-// that watch the platform.
+// newDriver returns this entry's driver of roll-outs. It is active on the entries that
+// watch the platform.
 func (e *Entry) newDriver() *rolls.Driver {
 	return &rolls.Driver{
 		Log:    e.Log,
@@ -38,7 +38,7 @@
 	}
 }
 
-// pools lists the live endpoint VMs of each pool.
+// pools returns the names of the live endpoint VMs of each pool, sorted.
 func (ps *peers) pools() map[string][]string {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -52,8 +52,8 @@
 	return out
 }
 
-// hasVersion reports whether a VM's engine has a version: from the last
-// heartbeat, or by asking a guard that no link is kept to.
+// hasVersion reports whether a VM's engine has loaded a version, and whether that is known.
+// An engine that does not report its versions counts as having all.
 func (e *Entry) hasVersion(vm, version string) (has, known bool) {
 	load, known := e.loadOf(vm)
 	if !known {
@@ -62,6 +62,9 @@
 	return load.Versions == nil || slices.Contains(load.Versions, version), true
 }
 
+// loadOf returns the load of a VM: the latest one of a peer, or the reply to a heartbeat to
+// a guard that is not a peer. It returns false for a peer that is not usable or a guard
+// that does not answer.
 func (e *Entry) loadOf(vm string) (wire.Load, bool) {
 	e.peers.mu.Lock()
 	p := e.peers.byVM[vm]
@@ -82,8 +85,8 @@
 	return reply.Load, err == nil
 }
 
-// order gives an order to a guard in the bounded pool. An order that is under
-// way is not given again.
+// order sends an order to the guard of a VM in the worker pool and returns at once. An
+// order that is being sent is not sent again.
 func (e *Entry) order(vm string, o wire.Order) {
 	key := vm + "/" + o.Model + "@" + o.Version
 	if _, active := e.activeOrders.LoadOrStore(key, true); active {
@@ -93,7 +96,7 @@
 	err := e.submit(func() {
 		defer e.activeOrders.Delete(key)
 		if err := e.sendOrder(vm, &o); err != nil {
-			e.Log.Warn("rollouts: An order was not followed.", zap.String("vm", vm), logs.Err(err))
+			e.Log.Warn("rollouts: An order to a guard failed.", zap.String("vm", vm), logs.Err(err))
 		}
 	})
 	if err != nil {
@@ -101,6 +104,7 @@
 	}
 }
 
+// sendOrder sends an order and waits for the guard's reply.
 func (e *Entry) sendOrder(vm string, o *wire.Order) error {
 	ctx, cancel := context.WithDeadline(e.kill, orderTimeout.After(time.Now()))
 	defer cancel()
@@ -111,8 +115,9 @@
 	return c.Call(ctx, wire.MethodOrder, o, &wire.Empty{})
 }
 
-// linkTo returns the kept link to a guard, or opens one. A second link to a
-// guard would replace the kept one there, and with it its runs.
+// linkTo returns the link of a peer, or a link that is opened on demand. A second link to a
+// peer's guard must not be opened: it would supersede the first one there and orphan its
+// runs.
 func (e *Entry) linkTo(ctx context.Context, vm string) (*link.Conn, error) {
 	e.peers.mu.Lock()
 	p := e.peers.byVM[vm]
@@ -124,7 +129,7 @@
 	return e.linkCache.get(ctx, e.Local, addr, "")
 }
 
-// endpointVMs returns the live endpoint VMs by name.
+// endpointVMs returns the live endpoint VMs of a VM list, by name.
 func endpointVMs(vms []store.VM) map[string]store.VM {
 	out := make(map[string]store.VM)
 	for _, vm := range vms {
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -19,7 +19,7 @@
 	"github.com/traildrift/traildrift/pkg/route"
 )
 
-// work is what the guard is asked to do.
+// work returns the work to send to a guard for a routing decision.
 func (r *request) work(d *route.Decision) wire.Work {
 	w := wire.Work{
 		Call:       r.call,
@@ -27,7 +27,8 @@
 		Repeatable: r.repeatable,
 		BillID:     r.billID(),
 		Cost:       d.Cost,
-		// The body that is sent names the version, so that repeats differ there.
+		// It is computed from the caller's body: the body that is sent names the
+		// version, which may differ between repeats.
 		Fingerprint: r.fingerprint().String(),
 	}
 	w.Model, w.Session = d.Model, ""
@@ -37,8 +38,8 @@
 	return w
 }
 
-// engineBody names the chosen version in a chat request, and asks for usage at
-// the end of a stream.
+// engineBody sets the chosen version in the body of a chat request, and requests usage at
+// the end of a stream. It returns a body that is not a JSON object unchanged.
 func engineBody(body []byte, model, version string, streamed bool) []byte {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(body, &fields) != nil {
@@ -55,7 +56,8 @@
 	return out
 }
 
-// send runs the request at p once and returns what came of it.
+// send sends one attempt of the request to p and returns its outcome. If the link breaks,
+// it queries the outcome.
 func (e *Entry) send(r *request, p *peer, attempt int, d *route.Decision) wire.RunReply {
 	c := p.beginRun()
 	if c == nil {
@@ -86,10 +88,11 @@
 	return reply
 }
 
-// replyGrace is how long after a request's deadline the guard's own word of it
-// is waited for.
+// replyGrace is how long after a request's deadline the entry waits for the guard's reply.
 const replyGrace = 500 * time.Millisecond
 
+// sendFault returns the error for the caller of a run without a reply. The run may have run
+// unless the error says otherwise.
 func sendFault(err error) *fault.Error {
 	var f *fault.Error
 	if errors.As(err, &f) {
@@ -101,12 +104,13 @@
 	return fault.New(fault.EndpointLost, fault.MayHaveRun, "The endpoint was lost while it had the request.")
 }
 
-// runQueryTimeout is how long a broken link's VM is waited for before a request
+// runQueryTimeout bounds the wait for a new link after a link broke. After it the run
 // counts as one that may have run.
 const runQueryTimeout = config.Span(3 * time.Second)
 
-// queryRun finds out what became of a run after its link broke. Only the guard
-// incarnation that was sent the request can tell.
+// queryRun queries the outcome of a run after its link broke. Only the incarnation of the
+// guard that received the run knows it. queryRun returns an error with fault.MayHaveRun if
+// no link opens within runQueryTimeout or the guard was restarted.
 func (e *Entry) queryRun(ctx context.Context, r *request, p *peer, key wire.RunKey, incarnation string) (wire.RunReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, capDeadline(e.Now(), r.call.Deadline, runQueryTimeout))
 	defer cancel()
@@ -119,18 +123,19 @@
 			return wire.RunReply{}, fault.New(fault.EndpointLost, fault.MayHaveRun, "The endpoint was restarted while it had the request.")
 		}
 		var reply wire.RunReply
-		// The answer itself may take until the request's own deadline.
+		// The answer itself may take until the request's deadline.
 		callCtx, cancelCall := context.WithDeadline(e.kill, r.call.Deadline.Add(replyGrace))
 		err = c.Call(callCtx, wire.MethodRunQuery, wire.RunQuery{Stamp: e.Stamp(), Key: key, Guard: incarnation, Offset: r.buf.Len(), Deadline: r.call.Deadline}, &reply)
 		cancelCall()
 		if !errors.Is(err, link.ErrBroken) {
-			e.Log.Info("entry: Asked about a run after a broken link.", zap.String("request", r.id), zap.String("vm", p.vm.Name))
+			e.Log.Info("entry: The outcome of a run was queried after its link broke.", zap.String("request", r.id), zap.String("vm", p.vm.Name))
 			return reply, err
 		}
 	}
 }
 
-// link returns the open link to p, or waits for one.
+// link returns the open link to p, or waits until one opens. It returns an error if ctx is
+// done or the peer is dropped first.
 func (p *peer) link(ctx context.Context) (*link.Conn, error) {
 	for {
 		p.mu.Lock()
@@ -149,8 +154,8 @@
 	}
 }
 
-// handleChunk takes a piece of an answer; pieces of ended attempts are
-// dropped.
+// handleChunk adds a chunk to the answer of its run. Chunks of attempts that have ended are
+// dropped and counted. An answer beyond maxAnswerBytes ends with fault.TooLarge.
 func (e *Entry) handleChunk(_ *link.Conn, p wire.Chunk) {
 	b := e.sinks.get(p.Key)
 	if b == nil {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -14,7 +14,7 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// serve takes one parsed call through to its answer.
+// serve handles one parsed call until its answer.
 func (e *Entry) serve(ctx *fasthttp.RequestCtx, call wire.Call, key string) {
 	e.catchUp()
 	eff := e.Holder.Current().Effective(call.Workspace, call.Workload, call.District)
@@ -35,16 +35,18 @@
 }
 
 const (
-	// maxConfirmationAge is how long settings count as heard of; heartbeats confirm
-	// them far more often, unless this process was frozen or is cut off.
+	// maxConfirmationAge is how old the last confirmation of the settings may be before
+	// catchUp asks for a new one. Heartbeats confirm them far more often, unless this
+	// process was suspended or is partitioned.
 	maxConfirmationAge = config.Span(3 * time.Second)
-	// catchUpTimeout bounds the wait for a peer's word before a request is
-	// decided without it.
+	// catchUpTimeout bounds the wait for a confirmation by a peer. After it the request is
+	// decided without one.
 	catchUpTimeout = config.Span(500 * time.Millisecond)
 )
 
-// catchUp asks the peers before a request is decided, if nothing was heard of
-// the settings for long: a process that was frozen finds out here.
+// catchUp requests heartbeats before a request is decided, if the settings were not
+// confirmed within maxConfirmationAge. A process that was suspended receives newer settings
+// here. It returns once a peer has confirmed the settings or after catchUpTimeout.
 func (e *Entry) catchUp() {
 	now := e.Now()
 	if now.Before(maxConfirmationAge.After(e.Holder.HeardAt())) {
@@ -57,8 +59,9 @@
 	}
 }
 
-// admit checks what needs no endpoint: cutover and limits. A call that it lets
-// in counts as under way until its caller is answered.
+// admit makes the checks that need no endpoint: whether the settings enable the service,
+// whether too many bill lines wait for the platform, and the workspace's limits. An
+// admitted call counts against the concurrency limit until its caller is answered.
 func (e *Entry) admit(call *wire.Call, eff *config.Effective) *fault.Error {
 	if !*eff.Values.Enabled {
 		return fault.New(fault.NotCutOver, fault.NotRun, "Requests are not served here: enabled is false at %q.", eff.Setting("enabled").Origin.Path)
@@ -69,7 +72,7 @@
 	return e.limits.acquire(e.Now(), call.Workspace, &eff.Values)
 }
 
-// startOrJoin starts the call's request, or finds the one that a key names.
+// startOrJoin starts the request of a call, or joins the run that its key or ticket names.
 func (e *Entry) startOrJoin(call wire.Call, key string, eff *config.Effective) (*request, *fault.Error) {
 	if isTicket(key) {
 		return e.startOrJoinTicket(call, key)
@@ -84,12 +87,13 @@
 	return r, nil
 }
 
-// start runs a request in the bounded pool.
+// start runs a request in the worker pool. It returns fault.Overloaded if the pool is full.
 func (e *Entry) start(r *request) *fault.Error {
 	return e.submit(func() { e.run(r) })
 }
 
-// submit runs a task in the bounded pool; it counts as under way.
+// submit runs a task in the worker pool and counts it in inFlight. It returns
+// fault.Overloaded if the pool is full.
 func (e *Entry) submit(task func()) *fault.Error {
 	e.inFlight.Add(1)
 	err := e.runs.Submit(func() {
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -11,13 +11,13 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// sessionPrefix begins a session token.
+// sessionPrefix is the prefix of session tokens.
 const sessionPrefix = "tds1"
 
-// newSession is the header value that opens a session.
+// newSession is the value of the session header that opens a session.
 const newSession = "new"
 
-// pin is what a session token says.
+// pin is the content of a session token, and of a claim on a session's name.
 type pin struct {
 	Workspace string    `json:"workspace"`
 	Model     string    `json:"model"`
@@ -26,7 +26,8 @@
 	EndsAt    time.Time `json:"endsAt"`
 }
 
-// resolveSession reads the session header of a request and pins its version.
+// resolveSession reads the session header of a request and pins the request to the
+// session's version. The header holds newSession, a session token or a session's name.
 func (e *Entry) resolveSession(r *request) *fault.Error {
 	token := r.call.Session
 	if token == "" {
@@ -52,8 +53,8 @@
 	return e.applyPin(r, &p)
 }
 
-// applyPin pins the request to the session's version, or moves the session where
-// the settings say so.
+// applyPin pins the request to the session's version. If that version is withdrawn, the
+// session moves to another one if the settings allow it; else the request is refused.
 func (e *Entry) applyPin(r *request, p *pin) *fault.Error {
 	v, ok := e.Holder.Current().Version(p.Model, p.Version)
 	if ok && v.State != config.StateWithdrawn {
@@ -68,8 +69,8 @@
 	return fault.New(fault.VersionWithdrawn, fault.NotRun, "The session's version %s@%s is withdrawn.", p.Model, p.Version)
 }
 
-// sessionToken returns the token that goes back to the caller: the one that
-// was sent, or a new one for the version that serves.
+// sessionToken returns the session token for the response: the one of the request, or a new
+// one for the version that answered. It is empty without a session.
 func (e *Entry) sessionToken(r *request, model, version string) string {
 	if r.call.Session == "" || model == "" {
 		return ""
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -11,7 +11,8 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Settings are the process settings of an entry.
+// Settings are the process settings of an entry. They are read from the process settings
+// file, under the keys in the yaml tags. Sizes are in bytes.
 type Settings struct {
 	proc.Common       `yaml:",inline"`
 	Listen            netip.AddrPort `yaml:"listen" doc:"Where callers reach the entry."`
@@ -26,7 +27,7 @@
 	ListInterval      config.Span    `yaml:"listEvery,omitempty" doc:"How often the VM list is read."`
 }
 
-// Defaults of the settings.
+// Defaults of the settings that are 0.
 const (
 	defaultMaxBody           = 4 << 20
 	defaultMaxHeader         = 16 << 10
@@ -38,7 +39,7 @@
 	defaultListInterval      = "5s"
 )
 
-// fill sets defaults.
+// fill sets the default of each setting that is 0.
 func (s *Settings) fill() {
 	fillInt(&s.MaxBody, defaultMaxBody)
 	fillInt(&s.MaxHeader, defaultMaxHeader)
@@ -62,7 +63,7 @@
 	}
 }
 
-// Check reports each key that is wrong.
+// Check reports each invalid setting, with its key and the allowed values.
 func (s *Settings) Check(report func(key, message string)) {
 	s.Common.Check(report)
 	if !s.Listen.IsValid() {
--- a/internal/entry/sinks.go
+++ b/internal/entry/sinks.go
@@ -14,20 +14,21 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// sinkShards spreads the locks of sinks.
+// sinkShards is the number of shards, each with a lock of its own, to reduce contention.
 const sinkShards = 16
 
+// sinkShard holds the buffers of the runs whose ID hashes to it.
 type sinkShard struct {
 	mu sync.Mutex
 	m  map[wire.RunKey]*stream.Buffer
 }
 
-// sinks finds the buffer that takes the chunks of a run.
+// sinks maps each attempt of a run in progress to the buffer that receives its chunks.
 type sinks struct {
 	shards [sinkShards]sinkShard
 }
 
-// invariantOneSink names the invariant that a run has one sink.
+// invariantOneSink is the name of the invariant that a run has one sink.
 const invariantOneSink = "runHasOneSink"
 
 func (s *sinks) add(key wire.RunKey, b *stream.Buffer) {
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -12,7 +12,8 @@
 	"github.com/traildrift/traildrift/internal/wire"
 )
 
-// explain returns the trail record of a recent request as JSON.
+// explain returns the trail record of a recent request as JSON, with the settings that
+// applied. It returns false if the record is no longer kept.
 func (e *Entry) explain(requestID string) ([]byte, bool) {
 	rec, ok := e.recent.get(requestID)
 	if !ok {
@@ -23,7 +24,7 @@
 	return body, err == nil
 }
 
-// stateDump is what the dump shows of an entry.
+// stateDump is the state of an entry that /debug/state shows.
 type stateDump struct {
 	UnderWay  int64          `json:"underWay"`
 	Followers int64          `json:"followers"`
@@ -40,6 +41,7 @@
 	ClaimPuts int64          `json:"claimPuts"`
 }
 
+// endpointDump is the state of one linked endpoint in stateDump.
 type endpointDump struct {
 	VM        string    `json:"vm"`
 	Pool      string    `json:"pool"`
--- a/internal/entry/ticket.go
+++ b/internal/entry/ticket.go
@@ -15,36 +15,36 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// ticketPrefix begins a ticket.
+// ticketPrefix is the prefix of tickets.
 const ticketPrefix = "tdt1"
 
-// ticketTTL is how long a ticket may be started, by the monotonic clock of the
-// entry that issued it.
+// ticketTTL is how long after its issue a ticket may be started, by the monotonic clock of
+// the entry that issued it.
 const ticketTTL = 15 * time.Minute
 
-// ticket is what a ticket says. One process alone may start its request, so
-// that neither a write nor a clock of another process is needed.
+// ticket is the content of a ticket. A single process may start its request, so that
+// neither a write to the platform nor the clock of another process is involved.
 type ticket struct {
 	Workspace string `json:"workspace"`
 	// Incarnation is the entry that may start the request, Link its address.
 	Incarnation string         `json:"incarnation"`
 	Link        netip.AddrPort `json:"link"`
 	Nonce       string         `json:"nonce"`
-	// EndsAge is the age of that process at which the ticket ends, in
-	// nanoseconds; EndsAt tells the same to people.
+	// EndsAge is the age of that process at which the ticket ends, in nanoseconds. EndsAt
+	// is the same time by the wall clock, for display.
 	EndsAge time.Duration `json:"endsAge"`
 	EndsAt  time.Time     `json:"endsAt"`
 }
 
 func isTicket(key string) bool { return strings.HasPrefix(key, ticketPrefix+".") }
 
-// ticketResponse is the answer to POST /v1/tickets.
+// ticketResponse is the response to POST /v1/tickets.
 type ticketResponse struct {
 	Ticket string    `json:"ticket"`
 	EndsAt time.Time `json:"endsAt"`
 }
 
-// serveTicket hands out a ticket.
+// serveTicket issues a ticket for the workspace of the API key.
 func (e *Entry) serveTicket(ctx *fasthttp.RequestCtx) {
 	workspace, err := e.authorize(ctx)
 	if err != nil {
@@ -75,7 +75,8 @@
 	writeJSON(ctx, ticketResponse{Ticket: text, EndsAt: t.EndsAt})
 }
 
-// openTicket verifies a ticket of the workspace.
+// openTicket verifies that a ticket is authentic and belongs to the workspace, and returns
+// its content.
 func (e *Entry) openTicket(workspace, key string) (ticket, *fault.Error) {
 	var t ticket
 	if err := e.Tokens.Open(ticketPrefix, key, &t); err != nil {
@@ -87,8 +88,8 @@
 	return t, nil
 }
 
-// startOrJoinTicket starts the request of a ticket here, or brings it to the entry
-// that alone may start it.
+// startOrJoinTicket starts the request of a ticket here, or sends it to the only entry that
+// may start it and follows the run there.
 func (e *Entry) startOrJoinTicket(call wire.Call, key string) (*request, *fault.Error) {
 	t, err := e.openTicket(call.Workspace, key)
 	if err != nil {
@@ -105,9 +106,9 @@
 	return r, nil
 }
 
-// startTicket starts the request of an own ticket, or joins the run it started
-// before. A ticket that has ended starts nothing; whether it did before is
-// remembered somewhat longer than that.
+// startTicket starts the request of a ticket that this entry issued, or joins the run that
+// the ticket started before. An expired ticket starts nothing. Whether it started a run is
+// remembered for another ticketTTL.
 func (e *Entry) startTicket(call wire.Call, key string, t *ticket) (*request, *fault.Error) {
 	r := e.newRequest(call, key)
 	r.record.Key = "ticket"
@@ -127,7 +128,9 @@
 	return r, nil
 }
 
-// joinExpiredTicket answers a ticket that may not be started any more.
+// joinExpiredTicket joins the run of an expired ticket. If there is none, it returns
+// fault.KeyInvalid: as not run within ticketTTL of the expiry, and as possibly run later,
+// when the run may have been forgotten.
 func (e *Entry) joinExpiredTicket(workspace, key, body string, t *ticket) (*request, *fault.Error) {
 	run, ok := e.keyedRuns.runOf(scopedKeyOf(workspace, key))
 	if !ok && e.age() < t.EndsAge+ticketTTL {
