--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -12,8 +12,13 @@
 // Each request gets exactly one answer or error, at most one bill line and one trail
 // record, which holds its routing decisions.
 //
+// A session pins its requests to one version, by a sealed token or by a name that is claimed
+// in the claim log.
+//
 // An entry keeps links to a subset of the endpoints of each pool and sends heartbeats on
-// them. The replies carry the load, the backoff and the crashes of the endpoint.
+// them. The replies carry the load, the backoff and the crashes of the endpoint. Requests
+// that crash endpoints are quarantined (pkg/poison). A few entries of each availability zone
+// also watch the platform for new settings and drive roll-outs (internal/rolls).
 //
 // A request that must not run twice carries the caller's own key or a ticket. The entry
 // enters a claim on the key in the claim log (internal/claims) before it starts the run, so
--- a/internal/entry/join.go
+++ b/internal/entry/join.go
@@ -107,9 +107,9 @@
 	return e.awaitJoin(r, joined)
 }
 
-// awaitJoin waits until the other entry has confirmed that it has the run. The caller can
-// then claim a closed run's key again, and answers at once for an entry that does not
-// respond.
+// awaitJoin waits until the other entry has confirmed that it has the run or that the run
+// is closed. claimKey can then claim the key of a closed run again, and a caller gets an
+// error at once if the other entry does not respond.
 func (e *Entry) awaitJoin(r *request, joined <-chan *fault.Error) *fault.Error {
 	t := time.NewTimer(time.Until(joinTimeout.After(time.Now())))
 	defer t.Stop()
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat and stores the reply. It returns false if there is no
-// answer within SuspectAfter; the link is then to be closed, and the settled runs are kept
-// for the next heartbeat.
+// sendHeartbeat sends one heartbeat and stores the reply. It returns false if it gets no
+// answer within SuspectAfter or the link breaks; the link is then to be closed, and the
+// settled runs are kept for the next heartbeat.
 func (ps *peers) sendHeartbeat(ctx context.Context, p *peer, c *link.Conn) bool {
 	p.mu.Lock()
 	settled := p.settled
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -25,8 +25,8 @@
 	detector *poison.Detector
 }
 
-// zeroRank is the retry rank of every entry for poison.Detector.Refuses: entries do not
-// coordinate, and each retries a quarantined request once its quarantine has ended.
+// zeroRank is the retry rank of every entry for poison.Detector.Refuses. Entries do not
+// coordinate: each retries a quarantined request itself once Until has passed.
 func zeroRank(poison.Fingerprint) int { return 0 }
 
 // fingerprint returns the fingerprint of the request, which is equal for its repeats. It is
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -73,6 +73,7 @@
 }
 
 // startOrJoin starts the request of a call, or joins the run that its key or ticket names.
+// A repeatable request is started whether or not its key was used before.
 func (e *Entry) startOrJoin(call wire.Call, key string, eff *config.Effective) (*request, *fault.Error) {
 	if isTicket(key) {
 		return e.startOrJoinTicket(call, key)
