--- a/internal/entry/bucket.go
+++ b/internal/entry/bucket.go
@@ -33,16 +33,16 @@
 	if local {
 		return e.claims.Claim(ctx, r)
 	}
-	held, err := e.forwardClaim(ctx, vm, r)
+	standing, err := e.forwardClaim(ctx, vm, r)
 	if err == nil || errors.Is(err, claims.ErrNotWritten) || errors.Is(err, claims.ErrDoubt) {
-		return held, err
+		return standing, err
 	}
-	held, err = e.claims.Claim(ctx, r)
+	standing, err = e.claims.Claim(ctx, r)
 	if errors.Is(err, claims.ErrNotWritten) {
 		// The other entry may still write it.
 		err = claims.ErrDoubt
 	}
-	return held, err
+	return standing, err
 }
 
 // forwardClaim enters a record through the entry on vm. After any error but
@@ -72,10 +72,10 @@
 func (e *Entry) handleClaim(ctx context.Context, _ *link.Conn, p wire.Claim) (wire.ClaimReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, claimTimeout.After(time.Now()))
 	defer cancel()
-	held, err := e.claims.Claim(ctx, p.Record)
+	standing, err := e.claims.Claim(ctx, p.Record)
 	return wire.ClaimReply{
 		Stamp:          e.Stamp(),
-		Record:         held,
+		Record:         standing,
 		NotWritten:     errors.Is(err, claims.ErrNotWritten),
 		OutcomeUnknown: errors.Is(err, claims.ErrDoubt),
 	}, nil
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -48,13 +48,13 @@
 // without reading the log.
 func (e *Entry) startOrJoinClaimed(call wire.Call, key string) (*request, *fault.Error) {
 	r := e.newRequest(call, key)
-	body := bodyHash(&call)
-	holder, err := e.reserveKey(r, body, e.age()+keyRetention)
+	hash := bodyHash(&call)
+	holder, err := e.reserveKey(r, hash, e.age()+keyRetention)
 	if err != nil || holder != r {
 		r.cancel()
 		return holder, err
 	}
-	if err := e.claimKey(r, body); err != nil {
+	if err := e.claimKey(r, hash); err != nil {
 		e.finish(r, 0, err)
 	}
 	return r, nil
@@ -62,37 +62,37 @@
 
 // claimKey claims the key of r and starts r, or makes r follow the run of another entry
 // that holds the key.
-func (e *Entry) claimKey(r *request, body string) *fault.Error {
+func (e *Entry) claimKey(r *request, hash string) *fault.Error {
 	r.record.Key = "claimed"
 	generation := 0
 	for range maxClaimAttempts {
-		held, err := e.enterKeyClaim(r, body, generation)
+		standing, err := e.enterKeyClaim(r, hash, generation)
 		if err != nil {
 			return err
 		}
-		if held.Run == r.id {
+		if standing.Run == r.id {
 			return e.start(r)
 		}
-		if err := e.follow(r, body, &held); err != errClosed {
+		if err := e.follow(r, hash, &standing); err != errClosed {
 			return err
 		}
 		r.following = false
-		generation = held.Generation + 1
+		generation = standing.Generation + 1
 	}
 	return e.keyUnsettled("The key was claimed again and again.")
 }
 
 // follow makes r follow the run that a claim names. It returns errClosed if that run did
 // not run and never will.
-func (e *Entry) follow(r *request, body string, held *claim.Record) *fault.Error {
-	if held.BodyHash != body {
+func (e *Entry) follow(r *request, hash string, standing *claim.Record) *fault.Error {
+	if standing.BodyHash != hash {
 		return fault.New(fault.KeyReused, fault.NotRun, "The key was used with another request.")
 	}
-	if held.Owner != e.Identity.Incarnation {
-		join := wire.Join{Incarnation: held.Owner, RunID: held.Run, Key: r.key, BodyHash: body}
-		return e.joinRemote(r, join, held.Link)
+	if standing.Owner != e.Identity.Incarnation {
+		join := wire.Join{Incarnation: standing.Owner, RunID: standing.Run, Key: r.key, BodyHash: hash}
+		return e.joinRemote(r, join, standing.Link)
 	}
-	if _, err := e.joinLocal(held.Run, body); err != nil {
+	if _, err := e.joinLocal(standing.Run, hash); err != nil {
 		return err
 	}
 	return e.keyUnsettled("The key's run in this process is no longer held under its name.")
@@ -107,23 +107,23 @@
 // request is refused as not run and never starts here. If the claim may be in the log, the
 // run stays closed in this process, and a repeat that finds the claim is told that it did
 // not run.
-func (e *Entry) enterKeyClaim(r *request, body string, generation int) (claim.Record, *fault.Error) {
+func (e *Entry) enterKeyClaim(r *request, hash string, generation int) (claim.Record, *fault.Error) {
 	now := e.Now()
 	ctx, cancel := context.WithDeadline(r.ctx, capDeadline(now, r.call.Deadline, claimTimeout))
 	defer cancel()
-	held, err := e.enterClaim(ctx, claim.Record{
+	standing, err := e.enterClaim(ctx, claim.Record{
 		Key:        claims.KeyOf(r.call.Workspace, r.key),
 		Generation: generation,
 		Run:        r.id,
-		BodyHash:   body,
+		BodyHash:   hash,
 		Owner:      e.Identity.Incarnation,
 		Link:       e.Identity.Link,
 	})
 	if err == nil {
-		return held, nil
+		return standing, nil
 	}
 	if errors.Is(err, claims.ErrNotWritten) {
 		e.keyedRuns.drop(r.id)
 	}
-	return held, fault.New(fault.PlatformDown, fault.NotRun, "The platform does not take the claim on the key.").WithRetryAt(defaultRetryAfter.After(e.Now()))
+	return standing, fault.New(fault.PlatformDown, fault.NotRun, "The platform does not take the claim on the key.").WithRetryAt(defaultRetryAfter.After(e.Now()))
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -41,8 +41,8 @@
 // that adds work to the fleet is taken from the workspace's retry budget.
 func (e *Entry) shouldRetry(r *request, err *fault.Error, attempts int) bool {
 	rules := tries.Rules{Repeatable: r.repeatable, MaxAttempts: *r.effective.Values.MaxAttempts}
-	over := r.ctx.Err() != nil || r.buf.Ended() != nil
-	switch tries.Next(rules, tries.State{Attempts: attempts, AnswerBegun: r.buf.Len() > 0, Finished: over}, err) {
+	ended := r.ctx.Err() != nil || r.buf.Ended() != nil
+	switch tries.Next(rules, tries.State{Attempts: attempts, AnswerBegun: r.buf.Len() > 0, Finished: ended}, err) {
 	case tries.Free:
 		return true
 	case tries.Paid:
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -76,10 +76,10 @@
 // keyState is a copy of the state of a keyed run. known is false if the process holds no
 // such run.
 type keyState struct {
-	request *request
-	closed  bool
-	known   bool
-	body    string
+	request  *request
+	closed   bool
+	known    bool
+	bodyHash string
 }
 
 // stateOf returns the state of a run by its request ID.
@@ -90,14 +90,14 @@
 	if !ok {
 		return keyState{}
 	}
-	return keyState{request: r.request, closed: r.closed, known: true, body: r.bodyHash}
+	return keyState{request: r.request, closed: r.closed, known: true, bodyHash: r.bodyHash}
 }
 
 // runOf returns the request ID of the newest run of a scoped key.
-func (k *keyedRuns) runOf(name string) (run string, ok bool) {
+func (k *keyedRuns) runOf(scopedKey string) (run string, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	r, ok := k.byScopedKey[name]
+	r, ok := k.byScopedKey[scopedKey]
 	if !ok {
 		return "", false
 	}
@@ -178,8 +178,8 @@
 // reserveKey adds a request under its key before anything is sent, so that every repeat in
 // this process finds it. It returns the request that holds the key: r itself, or the one
 // that r's caller joins.
-func (e *Entry) reserveKey(r *request, body string, forgetAge time.Duration) (*request, *fault.Error) {
-	run := &keyedRun{scopedKey: scopedKeyOf(r.call.Workspace, r.key), run: r.id, bodyHash: body, request: r, forgetAge: forgetAge}
+func (e *Entry) reserveKey(r *request, hash string, forgetAge time.Duration) (*request, *fault.Error) {
+	run := &keyedRun{scopedKey: scopedKeyOf(r.call.Workspace, r.key), run: r.id, bodyHash: hash, request: r, forgetAge: forgetAge}
 	current, added, err := e.keyedRuns.add(run)
 	if err != nil {
 		return nil, err
@@ -187,17 +187,17 @@
 	if added {
 		return r, nil
 	}
-	return e.joinLocal(current.run, body)
+	return e.joinLocal(current.run, hash)
 }
 
 // joinLocal returns the request of a run by key in this process. It returns errClosed for a
 // closed run and fault.AlreadyRan if the answer is no longer kept.
-func (e *Entry) joinLocal(run, body string) (*request, *fault.Error) {
+func (e *Entry) joinLocal(run, hash string) (*request, *fault.Error) {
 	s := e.keyedRuns.stateOf(run)
 	switch {
 	case !s.known:
 		return nil, fault.New(fault.KeyUnsettled, fault.MayHaveRun, "The run of this key is no longer known.")
-	case s.body != body:
+	case s.bodyHash != hash:
 		return nil, fault.New(fault.KeyReused, fault.NotRun, "The key was used with another request.")
 	case s.closed:
 		return nil, errClosed
--- a/internal/entry/names.go
+++ b/internal/entry/names.go
@@ -63,16 +63,16 @@
 		return fault.New(fault.SessionInvalid, fault.NotRun, "A session's name has at most %d bytes.", maxSessionNameBytes)
 	}
 	key := claims.KeyOf(r.call.Workspace, "session\x00"+r.call.Session)
-	held, ok := e.sessionNames.get(key)
+	standing, ok := e.sessionNames.get(key)
 	if !ok {
 		var err *fault.Error
-		if held, err = e.claimSessionName(r, key, 0); err != nil {
+		if standing, err = e.claimSessionName(r, key, 0); err != nil {
 			return err
 		}
 	}
 	for ok := true; ok; {
 		var err *fault.Error
-		if held, ok, err = e.pinFromClaim(r, key, held); err != nil {
+		if standing, ok, err = e.pinFromClaim(r, key, standing); err != nil {
 			return err
 		}
 	}
@@ -83,25 +83,25 @@
 // the session may move, it claims the next generation and returns the claim that stands and
 // true; the caller then pins to that claim. An empty claim, which the log did not accept,
 // pins nothing.
-func (e *Entry) pinFromClaim(r *request, key string, held claim.Record) (claim.Record, bool, *fault.Error) {
-	if held.Value == "" {
+func (e *Entry) pinFromClaim(r *request, key string, standing claim.Record) (claim.Record, bool, *fault.Error) {
+	if standing.Value == "" {
 		r.nameNotStored = true
-		return held, false, nil
+		return standing, false, nil
 	}
 	var p pin
-	if json.Unmarshal([]byte(held.Value), &p) != nil {
-		return held, false, fault.New(fault.Internal, fault.NotRun, "The session's claim does not decode.")
+	if json.Unmarshal([]byte(standing.Value), &p) != nil {
+		return standing, false, fault.New(fault.Internal, fault.NotRun, "The session's claim does not decode.")
 	}
 	if !e.Now().Before(p.EndsAt) {
-		return held, false, fault.New(fault.SessionEnded, fault.NotRun, "The session has ended.")
+		return standing, false, fault.New(fault.SessionEnded, fault.NotRun, "The session has ended.")
 	}
 	if err := e.applyPin(r, &p); err != nil {
-		return held, false, err
+		return standing, false, err
 	}
 	if r.pinned != nil {
-		return held, false, nil
+		return standing, false, nil
 	}
-	next, err := e.claimSessionName(r, key, held.Generation+1)
+	next, err := e.claimSessionName(r, key, standing.Generation+1)
 	return next, err == nil, err
 }
 
@@ -124,14 +124,14 @@
 	}
 	ctx, cancel := context.WithDeadline(r.ctx, capDeadline(now, r.call.Deadline, nameClaimTimeout))
 	defer cancel()
-	held, claimErr := e.enterClaim(ctx, claim.Record{
+	standing, claimErr := e.enterClaim(ctx, claim.Record{
 		Key: key, Generation: generation, Run: r.id, Owner: e.Identity.Incarnation, Link: e.Identity.Link, Value: string(value),
 	})
 	if claimErr != nil {
 		return claim.Record{}, nil
 	}
-	e.sessionNames.put(held)
-	return held, nil
+	e.sessionNames.put(standing)
+	return standing, nil
 }
 
 // nameClaimTimeout bounds the wait for the claim on a name. After it the request proceeds
--- a/internal/entry/ticket.go
+++ b/internal/entry/ticket.go
@@ -112,12 +112,12 @@
 func (e *Entry) startTicket(call wire.Call, key string, t *ticket) (*request, *fault.Error) {
 	r := e.newRequest(call, key)
 	r.record.Key = "ticket"
-	body := bodyHash(&call)
+	hash := bodyHash(&call)
 	if e.age() >= t.EndsAge {
 		r.cancel()
-		return e.joinExpiredTicket(call.Workspace, key, body, t)
+		return e.joinExpiredTicket(call.Workspace, key, hash, t)
 	}
-	holder, err := e.reserveKey(r, body, t.EndsAge+ticketTTL)
+	holder, err := e.reserveKey(r, hash, t.EndsAge+ticketTTL)
 	if holder != r {
 		r.cancel()
 		return holder, err
@@ -131,7 +131,7 @@
 // joinExpiredTicket joins the run of an expired ticket. If there is none, it returns
 // fault.KeyInvalid: as not run within ticketTTL of the expiry, and as possibly run later,
 // when the run may have been forgotten.
-func (e *Entry) joinExpiredTicket(workspace, key, body string, t *ticket) (*request, *fault.Error) {
+func (e *Entry) joinExpiredTicket(workspace, key, hash string, t *ticket) (*request, *fault.Error) {
 	run, ok := e.keyedRuns.runOf(scopedKeyOf(workspace, key))
 	if !ok && e.age() < t.EndsAge+ticketTTL {
 		return nil, fault.New(fault.KeyInvalid, fault.NotRun, "The ticket has ended; it was never started.")
@@ -139,5 +139,5 @@
 	if !ok {
 		return nil, fault.New(fault.KeyInvalid, fault.MayHaveRun, "The ticket has ended long ago.")
 	}
-	return e.joinLocal(run, body)
+	return e.joinLocal(run, hash)
 }
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -31,7 +31,7 @@
     "doubtIsNotWritten": ("internal/claims/log.go", "if o.tried {\n			o.done <- result{err: ErrDoubt}", "if false {\n			o.done <- result{err: ErrDoubt}", "./internal/claims", "TestDoubt"),
     "doubtForgotten": ("internal/entry/keyed.go", "		k.close(run)\n		return", "		k.drop(run)\n		return", "./internal/rig", "TestPlatformDown"),
     "ticketAnywhere": ("internal/entry/ticket.go", "if t.Incarnation == e.Identity.Incarnation {", "if true {", "./internal/rig", "TestRepeats|TestEntryKilled"),
-    "keyBindsNothing": ("internal/entry/keyed.go", "case s.body != body:", "case false:", "./internal/rig", "TestRepeats"),
+    "keyBindsNothing": ("internal/entry/keyed.go", "case s.bodyHash != hash:", "case false:", "./internal/rig", "TestRepeats"),
     "noAsk": ("internal/entry/send.go", "if errors.Is(err, link.ErrBroken) {\n		reply, err = e.queryRun", "if false {\n		reply, err = e.queryRun", "./internal/rig", "TestLinkCut"),
     "restartedIsNotRun": ("internal/entry/send.go", 'fault.MayHaveRun, "The endpoint was restarted while it had the request.")', 'fault.NotRun, "x")', "./internal/rig", "TestGuardKilled"),
     "silentIsNotRun": ("internal/entry/send.go", """p.link(ctx)
