--- a/internal/entry/bucket.go
+++ b/internal/entry/bucket.go
@@ -18,35 +18,39 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// forwardWithin is how long the entry that serves a bucket may take before a
-// claim is entered here instead.
-const forwardWithin = config.Span(400 * time.Millisecond)
+// forwardTimeout bounds the wait for the entry that serves a bucket. After it the claim is
+// entered here.
+const forwardTimeout = config.Span(400 * time.Millisecond)
 
-// enterClaim enters a record in the claim log, through the entry that serves
-// the record's bucket. That is for speed only: one writer for each bucket can
-// put many claims in one update. Two writers collide at the platform and one
-// reads again, so a claim that gets no answer is simply entered here too.
+// enterClaim enters a record in the claim log through the entry that serves the record's
+// bucket, and returns the record that stands. Forwarding only increases throughput: a
+// single writer per bucket puts many claims into one update. Several writers are safe, as
+// the platform rejects one of two conflicting updates and its writer reads again. A claim
+// that gets no answer is therefore entered here too. The error is claims.ErrNotWritten or
+// claims.ErrDoubt.
 func (e *Entry) enterClaim(ctx context.Context, r claim.Record) (claim.Record, error) {
-	vm, here := e.peers.serves(claims.BucketOf(r.Key))
-	if here {
+	vm, local := e.peers.bucketServer(claims.BucketOf(r.Key))
+	if local {
 		return e.claims.Claim(ctx, r)
 	}
-	held, err := e.forwardClaim(ctx, vm, r)
+	standing, err := e.forwardClaim(ctx, vm, r)
 	if err == nil || errors.Is(err, claims.ErrNotWritten) || errors.Is(err, claims.ErrOutcomeUnknown) {
-		return held, err
+		return standing, err
 	}
-	held, err = e.claims.Claim(ctx, r)
+	standing, err = e.claims.Claim(ctx, r)
 	if errors.Is(err, claims.ErrNotWritten) {
 		// The other entry may still write it.
 		err = claims.ErrOutcomeUnknown
 	}
-	return held, err
+	return standing, err
 }
 
+// forwardClaim enters a record through the entry on vm. After any error but
+// claims.ErrNotWritten and claims.ErrDoubt no reply has arrived.
 func (e *Entry) forwardClaim(ctx context.Context, vm store.VM, r claim.Record) (claim.Record, error) {
-	call, cancel := context.WithDeadline(ctx, forwardWithin.After(time.Now()))
+	call, cancel := context.WithDeadline(ctx, forwardTimeout.After(time.Now()))
 	defer cancel()
-	c, err := e.entryLinks.to(call, e.Local, vm.Link, "")
+	c, err := e.linkCache.get(call, e.Local, vm.Link, "")
 	if err != nil {
 		return claim.Record{}, err
 	}
@@ -64,22 +68,22 @@
 	}
 }
 
-// handleClaim enters another entry's record.
+// handleClaim enters the record of another entry.
 func (e *Entry) handleClaim(ctx context.Context, _ *link.Conn, p wire.Claim) (wire.ClaimReply, error) {
-	ctx, cancel := context.WithDeadline(ctx, claimWithin.After(time.Now()))
+	ctx, cancel := context.WithDeadline(ctx, claimTimeout.After(time.Now()))
 	defer cancel()
-	held, err := e.claims.Claim(ctx, p.Record)
+	standing, err := e.claims.Claim(ctx, p.Record)
 	return wire.ClaimReply{
 		Stamp:          e.Stamp(),
-		Record:         held,
+		Record:         standing,
 		NotWritten:     errors.Is(err, claims.ErrNotWritten),
 		OutcomeUnknown: errors.Is(err, claims.ErrOutcomeUnknown),
 	}, nil
 }
 
-// serves returns the live entry VM that serves a bucket, and whether it is this
-// one, by rendezvous hashing over the VM list.
-func (ps *peers) serves(bucket int) (vm store.VM, here bool) {
+// bucketServer returns the live entry VM that serves a bucket, and whether it is this one.
+// It is chosen by rendezvous hashing over the VM list.
+func (ps *peers) bucketServer(bucket int) (vm store.VM, local bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	name := fmt.Sprint("bucket ", bucket)
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -13,31 +13,32 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// newHTTP returns the callers' listener's server.
+// newHTTP returns the HTTP server for callers.
 func (e *Entry) newHTTP() *fasthttp.Server {
-	readWithin := e.settings.ReadWithin.After(time.Time{}).Sub(time.Time{})
+	readTimeout := e.settings.ReadTimeout.After(time.Time{}).Sub(time.Time{})
 	return &fasthttp.Server{
 		Handler:                      e.handle,
-		ErrorHandler:                 e.handleBroken,
+		ErrorHandler:                 e.handleReadError,
 		Name:                         "traildrift",
 		Logger:                       logs.LibraryLogger{Log: e.Log, Prefix: "callers"},
 		MaxRequestBodySize:           e.settings.MaxBody,
 		ReadBufferSize:               e.settings.MaxHeader,
-		ReadTimeout:                  readWithin,
-		IdleTimeout:                  idleWithin,
+		ReadTimeout:                  readTimeout,
+		IdleTimeout:                  idleTimeout,
 		CloseOnShutdown:              true,
 		DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader:        true,
 	}
 }
 
-// idleWithin bounds how long a connection of a caller may be idle.
-const idleWithin = 60 * time.Second
+// idleTimeout bounds how long a caller's connection may be idle.
+const idleTimeout = 60 * time.Second
 
-// handleBroken answers requests that could not be read.
-func (e *Entry) handleBroken(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that could not be read: too large, malformed or not
+// received within ReadTimeout. It matches the text of fasthttp's errors.
+func (e *Entry) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	ctx.SetConnectionClose()
-	linger(ctx.Conn())
+	setLinger(ctx.Conn())
 	switch {
 	case strings.Contains(err.Error(), "body size exceeds"):
 		e.refuse(ctx, fault.New(fault.TooLarge, fault.NotRun, "The body has more than %d bytes.", e.settings.MaxBody))
@@ -48,7 +49,7 @@
 	}
 }
 
-// handle routes one call.
+// handle dispatches a call by its path.
 func (e *Entry) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -69,7 +70,7 @@
 	}
 }
 
-// serveReady tells the balancer whether new work is welcome.
+// serveReady reports to the load balancer whether the entry accepts new requests.
 func (e *Entry) serveReady(ctx *fasthttp.RequestCtx) {
 	switch {
 	case e.stopping.Load():
@@ -133,7 +134,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// serveModels lists the models and chat workloads of the workspace.
+// serveModels lists the models and chat workloads that the workspace may use.
 func (e *Entry) serveModels(ctx *fasthttp.RequestCtx) {
 	workspace, err := e.authorize(ctx)
 	if err != nil {
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -14,96 +14,98 @@
 )
 
 const (
-	// keyedMost bounds the runs by key that an entry remembers.
-	keyedMost = 100_000
-	// answersMost bounds the bytes of kept answers.
-	answersMost = 24 << 20
+	// maxKeyedRuns is the maximum number of runs by key that an entry holds.
+	maxKeyedRuns = 100_000
+	// maxKeptAnswerBytes is the maximum total size of kept answers, in bytes.
+	maxKeptAnswerBytes = 24 << 20
 )
 
 // keyedRun is a run that a key names.
 type keyedRun struct {
-	// name is the key with its workspace, run the request ID.
-	name, run string
-	// bodyHash is what the key binds; it never changes.
+	// scopedKey is the key with its workspace, run the request ID.
+	scopedKey, run string
+	// bodyHash is the hash that the key binds; it never changes.
 	bodyHash string
-	// request is nil once the answer is no longer kept, or if the run was
-	// closed before it started.
+	// request is nil once the answer is no longer kept, or if the run was closed before it
+	// started.
 	request *request
-	// closed says that the run did not and will not run; it never goes back.
+	// closed reports that the run did not run and never will; it is never reset.
 	closed bool
-	// keptUntil is when the answer may go; zero while the request runs.
+	// keptUntil is the time until which the answer is kept; zero while the request runs.
 	keptUntil time.Time
-	// forgetAge is the age of this process at which the whole run may be
-	// forgotten; until then a second start is refused.
+	// forgetAge is the age of this process at which the record itself may be deleted. Until
+	// then a second start is refused.
 	forgetAge time.Duration
 }
 
-// keyed remembers the runs that keys name in this process. A run is entered
-// before it starts, and for one name there is never a second run unless the
-// first is closed.
-type keyed struct {
+// keyedRuns holds the runs in this process that keys name. A run is added before it starts.
+// A key gets a second run only if the first is closed.
+type keyedRuns struct {
 	mu sync.Mutex
-	// byName holds the newest run of each name, byRun every run.
-	byName map[string]*keyedRun
-	byRun  map[string]*keyedRun
-	// bytes is the size of the kept answers.
+	// byScopedKey holds the newest run of each scoped key, byRun every run by its request
+	// ID.
+	byScopedKey map[string]*keyedRun
+	byRun       map[string]*keyedRun
+	// bytes is the total size of the kept answers.
 	bytes int
 }
 
-// nameOf joins a workspace and a key.
-func nameOf(workspace, key string) string { return workspace + "\x00" + key }
+// scopedKeyOf joins a workspace and a key.
+func scopedKeyOf(workspace, key string) string { return workspace + "\x00" + key }
 
-// enter adds a run unless its name has one that is not closed; it returns the
-// run that stands and whether it is the new one. A full memory refuses.
-func (k *keyed) enter(n *keyedRun) (*keyedRun, bool, *fault.Error) {
+// add adds a run, unless its key has one that is not closed. It returns the run that holds
+// the key and whether that is the new one. It returns fault.Overloaded at maxKeyedRuns.
+func (k *keyedRuns) add(n *keyedRun) (*keyedRun, bool, *fault.Error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.byName == nil {
-		k.byName = make(map[string]*keyedRun)
+	if k.byScopedKey == nil {
+		k.byScopedKey = make(map[string]*keyedRun)
 		k.byRun = make(map[string]*keyedRun)
 	}
-	if old, ok := k.byName[n.name]; ok && !old.closed {
+	if old, ok := k.byScopedKey[n.scopedKey]; ok && !old.closed {
 		return old, false, nil
 	}
-	if len(k.byRun) >= keyedMost {
+	if len(k.byRun) >= maxKeyedRuns {
 		return nil, false, fault.New(fault.Overloaded, fault.NotRun, "The entry remembers too many keys.")
 	}
-	k.byName[n.name] = n
+	k.byScopedKey[n.scopedKey] = n
 	k.byRun[n.run] = n
 	return n, true, nil
 }
 
-// keyState is what is known of a run by key.
+// keyState is a copy of the state of a keyed run. known is false if the process holds no
+// such run.
 type keyState struct {
-	request *request
-	closed  bool
-	known   bool
-	body    string
+	request  *request
+	closed   bool
+	known    bool
+	bodyHash string
 }
 
-func (k *keyed) stateOf(run string) keyState {
+// stateOf returns the state of a run by its request ID.
+func (k *keyedRuns) stateOf(run string) keyState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, ok := k.byRun[run]
 	if !ok {
 		return keyState{}
 	}
-	return keyState{request: r.request, closed: r.closed, known: true, body: r.bodyHash}
+	return keyState{request: r.request, closed: r.closed, known: true, bodyHash: r.bodyHash}
 }
 
-// runOf returns the run that a name stands for.
-func (k *keyed) runOf(name string) (run string, ok bool) {
+// runOf returns the request ID of the newest run of a scoped key.
+func (k *keyedRuns) runOf(scopedKey string) (run string, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	r, ok := k.byName[name]
+	r, ok := k.byScopedKey[scopedKey]
 	if !ok {
 		return "", false
 	}
 	return r.run, true
 }
 
-// close marks a run that did not and will not run.
-func (k *keyed) close(run string) {
+// close marks a run that did not run and never will.
+func (k *keyedRuns) close(run string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if r, ok := k.byRun[run]; ok {
@@ -112,9 +114,9 @@
 	}
 }
 
-// ended keeps the answer of a run for a while, or closes the run if it did not
-// run.
-func (k *keyed) ended(run string, keptUntil time.Time, size int, err *fault.Error) {
+// recordEnd keeps the answer of a run, of size bytes, until keptUntil. It closes a run that
+// did not run.
+func (k *keyedRuns) recordEnd(run string, keptUntil time.Time, size int, err *fault.Error) {
 	if err != nil && err.Run == fault.NotRun {
 		k.close(run)
 		return
@@ -129,27 +131,28 @@
 	k.bytes += size
 }
 
-// sweep gives up answers whose time has come, or any while there are too many
-// bytes, and forgets runs whose time has come.
-func (k *keyed) sweep(now time.Time, age time.Duration) {
+// sweep drops the answers whose keptUntil has passed, and arbitrary others while their
+// total size exceeds maxKeptAnswerBytes. It deletes runs without an answer whose forgetAge
+// has passed.
+func (k *keyedRuns) sweep(now time.Time, age time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range k.byRun {
-		if r.request != nil && !r.keptUntil.IsZero() && (now.After(r.keptUntil) || k.bytes > answersMost) {
+		if r.request != nil && !r.keptUntil.IsZero() && (now.After(r.keptUntil) || k.bytes > maxKeptAnswerBytes) {
 			k.bytes -= r.request.buf.Len()
 			r.request = nil
 		}
 		if r.request == nil && age > r.forgetAge {
 			delete(k.byRun, r.run)
-			if k.byName[r.name] == r {
-				delete(k.byName, r.name)
+			if k.byScopedKey[r.scopedKey] == r {
+				delete(k.byScopedKey, r.scopedKey)
 			}
 		}
 	}
 }
 
-// drop forgets a run that another entry holds.
-func (k *keyed) drop(run string) {
+// drop deletes a run that another entry holds or that has no claim in the log.
+func (k *keyedRuns) drop(run string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, ok := k.byRun[run]
@@ -157,43 +160,44 @@
 		return
 	}
 	delete(k.byRun, run)
-	if k.byName[r.name] == r {
-		delete(k.byName, r.name)
+	if k.byScopedKey[r.scopedKey] == r {
+		delete(k.byScopedKey, r.scopedKey)
 	}
 }
 
-// count returns how many runs are remembered and the bytes of their answers.
-func (k *keyed) count() (runs, bytes int) {
+// count returns the number of runs and the total size of their answers in bytes.
+func (k *keyedRuns) count() (runs, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.byRun), k.bytes
 }
 
-// age is how long this process has run, by the monotonic clock.
+// age returns how long this process has run, by the monotonic clock.
 func (e *Entry) age() time.Duration { return time.Since(e.startedAt) }
 
-// hold enters a request under its key before anything is sent, so that every
-// repeat in this process finds it. It returns the request that holds the key
-// here: r itself, or one that r's caller joins.
-func (e *Entry) hold(r *request, body string, forgetAge time.Duration) (*request, *fault.Error) {
-	run := &keyedRun{name: nameOf(r.call.Workspace, r.key), run: r.id, bodyHash: body, request: r, forgetAge: forgetAge}
-	stands, mine, err := e.keyed.enter(run)
+// reserveKey adds a request under its key before anything is sent, so that every repeat in
+// this process finds it. It returns the request that holds the key: r itself, or the one
+// that r's caller joins.
+func (e *Entry) reserveKey(r *request, hash string, forgetAge time.Duration) (*request, *fault.Error) {
+	run := &keyedRun{scopedKey: scopedKeyOf(r.call.Workspace, r.key), run: r.id, bodyHash: hash, request: r, forgetAge: forgetAge}
+	current, added, err := e.keyedRuns.add(run)
 	if err != nil {
 		return nil, err
 	}
-	if mine {
+	if added {
 		return r, nil
 	}
-	return e.joinLocal(stands.run, body)
+	return e.joinLocal(current.run, hash)
 }
 
-// joinLocal returns the request of a run by key in this process.
-func (e *Entry) joinLocal(run, body string) (*request, *fault.Error) {
-	s := e.keyed.stateOf(run)
+// joinLocal returns the request of a run by key in this process. It returns errClosed for a
+// closed run and fault.AlreadyRan if the answer is no longer kept.
+func (e *Entry) joinLocal(run, hash string) (*request, *fault.Error) {
+	s := e.keyedRuns.stateOf(run)
 	switch {
 	case !s.known:
 		return nil, fault.New(fault.KeyUnsettled, fault.MayHaveRun, "The run of this key is no longer known.")
-	case s.body != body:
+	case s.bodyHash != hash:
 		return nil, fault.New(fault.KeyReused, fault.NotRun, "The key was used with another request.")
 	case s.closed:
 		return nil, errClosed
@@ -204,28 +208,29 @@
 	}
 }
 
-// errClosed says that the run of a key did not and will not run, so that the
-// key may be claimed again.
+// errClosed reports that the run of a key did not run and never will, so that the key may
+// be claimed again.
 var errClosed = fault.New(fault.KeyUnsettled, fault.NotRun, "The run of this key is closed and did not run.")
 
-// keepAnswer is called when a request by key has ended.
+// keepAnswer keeps the answer of a request by key that has ended with err, for as long as
+// its settings say. It drops a request that followed another entry's run.
 func (e *Entry) keepAnswer(r *request, err *fault.Error) {
-	if r.joined {
-		e.keyed.drop(r.id)
+	if r.following {
+		e.keyedRuns.drop(r.id)
 		return
 	}
 	kept := r.effective.Values.AnswerKept
-	e.keyed.ended(r.id, kept.After(e.Now()), r.buf.Len(), err)
+	e.keyedRuns.recordEnd(r.id, kept.After(e.Now()), r.buf.Len(), err)
 }
 
-// sweep looks through the kept answers until ctx is done.
+// sweep expires kept answers and runs every sweepInterval until ctx is done.
 func (e *Entry) sweep(ctx context.Context) error {
 	for ctx.Err() == nil {
-		tasks.Pause(ctx, sweepEvery.After(time.Now()))
-		e.keyed.sweep(e.Now(), e.age())
+		tasks.Pause(ctx, sweepInterval.After(time.Now()))
+		e.keyedRuns.sweep(e.Now(), e.age())
 	}
 	return nil
 }
 
-// sweepEvery is how often kept answers are looked through.
-const sweepEvery = config.Span(time.Second)
+// sweepInterval is the interval between two sweeps of the keyed runs.
+const sweepInterval = config.Span(time.Second)
--- a/internal/entry/names.go
+++ b/internal/entry/names.go
@@ -14,38 +14,40 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// headerKept says "false" where a session's name could not be kept, so that
-// only the token in the answer keeps the session.
-const headerKept = "Traildrift-Session-Kept"
+// headerSessionKept is "false" in a response if the claim log did not accept the session's
+// name; only the token in the response then keeps the session.
+const headerSessionKept = "Traildrift-Session-Kept"
 
-// namesMost bounds the session names that an entry remembers; the log has all.
-const namesMost = 50_000
+// maxSessionNames is the maximum number of session names in the cache of an entry. The
+// claim log holds all of them.
+const maxSessionNames = 50_000
 
-// nameMost bounds a session's name, in bytes.
-const nameMost = 256
+// maxSessionNameBytes is the maximum length of a session's name, in bytes.
+const maxSessionNameBytes = 256
 
-// names remembers the claims on session names that this entry has read.
-type names struct {
+// sessionNames caches the claims on session names that this entry has read, by the claim's
+// key.
+type sessionNames struct {
 	mu sync.Mutex
 	m  map[string]claim.Record
 }
 
-func (n *names) get(key string) (claim.Record, bool) {
+func (n *sessionNames) get(key string) (claim.Record, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r, ok := n.m[key]
 	return r, ok
 }
 
-// put remembers a claim; a full memory forgets any other.
-func (n *names) put(r claim.Record) {
+// put adds a claim. It evicts an arbitrary one if the cache is full.
+func (n *sessionNames) put(r claim.Record) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.m == nil {
 		n.m = make(map[string]claim.Record)
 	}
 	for key := range n.m {
-		if len(n.m) < namesMost {
+		if len(n.m) < maxSessionNames {
 			break
 		}
 		delete(n.m, key)
@@ -53,57 +55,59 @@
 	n.m[r.Key] = r
 }
 
-// namedSession pins a request to the version that its session's name stands
-// for. The first use claims the name for the version that is chosen then; of
-// two entries that choose differently the log keeps one, and both follow it.
-func (e *Entry) namedSession(r *request) *fault.Error {
-	if len(r.call.Session) > nameMost {
-		return fault.New(fault.SessionInvalid, fault.NotRun, "A session's name has at most %d bytes.", nameMost)
+// pinNamedSession pins a request to the version that its session's name is claimed for. The
+// first use of a name claims it for the version that is chosen for that request. If two
+// entries choose different versions, the log keeps one claim and both follow it.
+func (e *Entry) pinNamedSession(r *request) *fault.Error {
+	if len(r.call.Session) > maxSessionNameBytes {
+		return fault.New(fault.SessionInvalid, fault.NotRun, "A session's name has at most %d bytes.", maxSessionNameBytes)
 	}
 	key := claims.KeyOf(r.call.Workspace, "session\x00"+r.call.Session)
-	held, ok := e.names.get(key)
+	standing, ok := e.sessionNames.get(key)
 	if !ok {
 		var err *fault.Error
-		if held, err = e.claimName(r, key, 0); err != nil {
+		if standing, err = e.claimSessionName(r, key, 0); err != nil {
 			return err
 		}
 	}
 	for ok := true; ok; {
 		var err *fault.Error
-		if held, ok, err = e.pinTo(r, key, held); err != nil {
+		if standing, ok, err = e.pinFromClaim(r, key, standing); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// pinTo pins the request to a claim's version. It reports true with a newer
-// claim where the session moves.
-func (e *Entry) pinTo(r *request, key string, held claim.Record) (claim.Record, bool, *fault.Error) {
-	if held.Value == "" {
-		r.unkept = true
-		return held, false, nil
+// pinFromClaim pins the request to the version in a claim. If that version is withdrawn and
+// the session may move, it claims the next generation and returns the claim that stands and
+// true; the caller then pins to that claim. An empty claim, which the log did not accept,
+// pins nothing.
+func (e *Entry) pinFromClaim(r *request, key string, standing claim.Record) (claim.Record, bool, *fault.Error) {
+	if standing.Value == "" {
+		r.nameNotStored = true
+		return standing, false, nil
 	}
 	var p pin
-	if json.Unmarshal([]byte(held.Value), &p) != nil {
-		return held, false, fault.New(fault.Internal, fault.NotRun, "The session's claim does not decode.")
+	if json.Unmarshal([]byte(standing.Value), &p) != nil {
+		return standing, false, fault.New(fault.Internal, fault.NotRun, "The session's claim does not decode.")
 	}
 	if !e.Now().Before(p.EndsAt) {
-		return held, false, fault.New(fault.SessionEnded, fault.NotRun, "The session has ended.")
+		return standing, false, fault.New(fault.SessionEnded, fault.NotRun, "The session has ended.")
 	}
-	if err := e.keep(r, &p); err != nil {
-		return held, false, err
+	if err := e.applyPin(r, &p); err != nil {
+		return standing, false, err
 	}
 	if r.pinned != nil {
-		return held, false, nil
+		return standing, false, nil
 	}
-	next, err := e.claimName(r, key, held.Generation+1)
+	next, err := e.claimSessionName(r, key, standing.Generation+1)
 	return next, err == nil, err
 }
 
-// claimName claims a name for the version that is chosen now and returns the
-// claim that stands. Its value is empty if the platform does not take it.
-func (e *Entry) claimName(r *request, key string, generation int) (claim.Record, *fault.Error) {
+// claimSessionName claims a name for the version that is chosen now, and returns the claim
+// that stands. Its Value is empty if the platform does not accept the claim.
+func (e *Entry) claimSessionName(r *request, key string, generation int) (claim.Record, *fault.Error) {
 	now := e.Now()
 	view, list := e.peers.view(now)
 	snap := e.Holder.Current()
@@ -118,18 +122,18 @@
 	if err != nil {
 		return claim.Record{}, fault.From(err, fault.NotRun)
 	}
-	ctx, cancel := context.WithDeadline(r.ctx, given(now, r.call.Deadline, nameWithin))
+	ctx, cancel := context.WithDeadline(r.ctx, capDeadline(now, r.call.Deadline, nameClaimTimeout))
 	defer cancel()
-	held, claimErr := e.enterClaim(ctx, claim.Record{
+	standing, claimErr := e.enterClaim(ctx, claim.Record{
 		Key: key, Generation: generation, Run: r.id, Owner: e.Identity.Incarnation, Link: e.Identity.Link, Value: string(value),
 	})
 	if claimErr != nil {
 		return claim.Record{}, nil
 	}
-	e.names.put(held)
-	return held, nil
+	e.sessionNames.put(standing)
+	return standing, nil
 }
 
-// nameWithin bounds the wait for a name's claim; without it the request goes on
-// with a token alone.
-const nameWithin = config.Span(claimWithin / 4)
+// nameClaimTimeout bounds the wait for the claim on a name. After it the request proceeds
+// with a session token alone.
+const nameClaimTimeout = config.Span(claimTimeout / 4)
