--- a/internal/guard/bills.go
+++ b/internal/guard/bills.go
@@ -11,38 +11,41 @@
 	"github.com/traildrift/traildrift/pkg/bill"
 )
 
-// unbilled is a bill line that waits for its entry.
-type unbilled struct {
+// unbilledLine is the bill line of a run that its entry has not reported as settled.
+type unbilledLine struct {
 	line bill.Line
-	// entry is the link of the entry that should bill it.
+	// entry is the link of the entry that should bill the run.
 	entry *link.Conn
-	// writeAt is when the guard writes it itself.
+	// writeAt is when the guard writes the line if the entry has not billed the
+	// run by then.
 	writeAt time.Time
 }
 
-// billNow writes every line that no entry has confirmed.
-func (g *Guard) billNow() {
+// billAll bills all runs that no entry has reported as settled.
+func (g *Guard) billAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for key, u := range g.unbilled {
+	for key, u := range g.unbilledLines {
 		g.billLocked(key, u.line)
 	}
 }
 
+// billLocked passes a bill line to the writer; g.mu is held. If the writer's buffer
+// is full, the line stays in unbilledLines and is tried again at the next sweep.
 func (g *Guard) billLocked(key wire.RunKey, line bill.Line) {
 	if !g.bills.Add(line) {
 		return
 	}
-	delete(g.unbilled, key)
+	delete(g.unbilledLines, key)
 	if r, ok := g.runs[key]; ok {
 		r.billed = true
 	}
 }
 
-// settle notes that the entry has billed a run, and gives up its answer, which
-// the entry had whole; g.mu is held.
+// settle records that the entry has billed a run, and releases the bytes of the
+// answer, as the entry has received all of it; g.mu is held.
 func (g *Guard) settle(key wire.RunKey) {
-	delete(g.unbilled, key)
+	delete(g.unbilledLines, key)
 	if r, ok := g.runs[key]; ok {
 		r.settled = true
 		r.buf.Release()
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -27,92 +27,107 @@
 )
 
 const (
-	// maxAnswer bounds one answer, in bytes.
-	maxAnswer = 8 << 20
-	// spareHandlers is how many link messages beyond runs are handled at a
-	// time.
+	// maxAnswerBytes is the maximum length of one answer.
+	maxAnswerBytes = 8 << 20
+	// spareHandlers is the maximum number of concurrent handlers of link messages,
+	// beyond those of the runs in slots and queue.
 	spareHandlers = 128
-	// lingerFor bounds how long a leaving guard without runs waits for entries
-	// that do not say that they know.
-	lingerFor = config.Span(3 * time.Second)
-	// tickEvery is how often deadlines are looked at.
-	tickEvery = 100 * time.Millisecond
-	// orphanAfter is how long after the end of an entry's link its runs are
-	// billed here; if the entry comes back and bills them too, folding makes
-	// one line of both.
-	orphanAfter = config.Span(200 * time.Millisecond)
-	// drainPoll is how often a leaving guard looks whether it is done.
-	drainPoll = 10 * time.Millisecond
-	// aliveEvery is how often the endpoint is tried.
-	aliveEvery = time.Second
-	// billsHeld bounds the bill lines that wait for the platform.
-	billsHeld = 100_000
-	// defaultBillAfter is how long after a run's deadline the guard waits for
-	// an entry to bill it.
+	// releaseTimeout is how long a leaving guard without runs waits for entries
+	// that have not reported Released in a heartbeat.
+	releaseTimeout = config.Span(3 * time.Second)
+	// tickInterval is the interval between sweeps.
+	tickInterval = 100 * time.Millisecond
+	// orphanBillDelay is the time from the end of an entry's link to when the guard
+	// bills the entry's runs. If the entry reconnects and bills them too, bill.Fold
+	// merges both lines.
+	orphanBillDelay = config.Span(200 * time.Millisecond)
+	// drainPollInterval is how often a leaving guard checks whether it may stop.
+	drainPollInterval = 10 * time.Millisecond
+	// probeInterval is the interval between probes of the endpoint.
+	probeInterval = time.Second
+	// maxHeldBills is the maximum number of bill lines that the platform has not
+	// confirmed.
+	maxHeldBills = 100_000
+	// defaultBillAfter is the default of Settings.BillAfter.
 	defaultBillAfter = config.Span(30 * time.Second)
 )
 
-// Guard is one guard process. Use New.
+// Guard is one guard process. It must be created with New.
 type Guard struct {
 	*proc.Proc
 	settings Settings
 	endpoint *Endpoint
-	kill     context.Context
-	killNow  context.CancelFunc
-	mu       sync.Mutex
-	queue    *admit.Queue
-	runs     map[wire.RunKey]*record
-	// links holds the newest link of each peer incarnation.
+	// kill is the parent of the contexts of all runs; killNow ends it.
+	kill    context.Context
+	killNow context.CancelFunc
+	// mu protects the fields below, except crashSignal, bills and metrics.
+	mu    sync.Mutex
+	queue *admit.Queue
+	// runs holds the records of runs, with those of ended runs and tombstones.
+	runs map[wire.RunKey]*record
+	// links holds the newest link of each peer, by incarnation.
 	links map[string]*peerLink
-	// leaving says that no new work is taken; it never goes back.
+	// leaving reports that no new runs are accepted; it is never reset.
 	leaving bool
-	down    bool
-	// restsUntil is until when the engine wants no run; it only grows.
-	restsUntil time.Time
-	// versions lists what the engine has loaded; nil if it does not say.
+	// down reports that the last probe of the endpoint failed, or that it has
+	// crashed since.
+	down bool
+	// backoffUntil is when the backoff that the engine asked for ends; it never
+	// decreases.
+	backoffUntil time.Time
+	// versions lists the versions that the engine has loaded, as of the last
+	// probe; nil if the engine does not report them.
 	versions []string
-	// loads holds the loads of versions that are under way.
-	loads map[string]*load
-	// fence is the highest one of the orders taken; it only grows.
+	// versionLoads holds the loads of versions that are in progress, by
+	// model@version.
+	versionLoads map[string]*versionLoad
+	// fence is the fencing token of the newest order accepted; it never decreases.
 	fence int64
-	// unbilled holds the lines that no entry has confirmed yet.
-	unbilled map[wire.RunKey]unbilled
-	// crashes are the latest runs under which the endpoint crashed, by their rising numbers;
-	// crashSeq is the last of these. crashed says that there are new ones.
-	crashes  []crash
+	// unbilledLines holds the bill lines of runs that no entry has reported as
+	// settled.
+	unbilledLines map[wire.RunKey]unbilledLine
+	// crashes holds the latest runs that were in progress when the endpoint
+	// crashed, by increasing seq. It holds at most maxCrashes.
+	crashes []crash
+	// crashSeq is the seq of the latest of them, or 0.
 	crashSeq uint64
-	crashed  chan struct{}
-	bills    *ledger.Writer[bill.Line]
-	counts   counts
+	// crashSignal signals that there are crashes to broadcast.
+	crashSignal chan struct{}
+	bills       *ledger.Writer[bill.Line]
+	metrics     guardMetrics
 }
 
-// peerLink is the newest link of an entry.
+// peerLink is the newest link of a peer.
 type peerLink struct {
 	conn *link.Conn
-	// released says that the entry has no run here and will send none, as it
-	// knows that the guard is leaving.
+	// released reports that the entry knows that the guard is leaving, has no run
+	// here and will send none. It is set from the entry's heartbeats.
 	released bool
 }
 
-// counts are the guard's metrics.
-type counts struct {
+// guardMetrics holds the guard's metrics. started counts the runs that were started,
+// refused those that were refused on arrival, duplicates those that had arrived
+// before, and tombstones the queries of runs that had not arrived. running and
+// queued are the numbers of runs in slots and in the queue, as of the last sweep.
+type guardMetrics struct {
 	started, refused, tombstones, duplicates tally.Counter
 	running, queued                          tally.Gauge
 }
 
-// New builds a guard; Run starts it.
+// New returns a guard that listens but handles nothing until Run. It returns an
+// error if a listener cannot be opened or a key file cannot be read.
 func New(s Settings) (*Guard, error) {
 	if s.BillAfter == 0 {
 		s.BillAfter = defaultBillAfter
 	}
 	g := &Guard{
-		settings: s,
-		endpoint: NewEndpoint(s.Kind, s.Endpoint),
-		runs:     make(map[wire.RunKey]*record),
-		links:    make(map[string]*peerLink),
-		loads:    make(map[string]*load),
-		unbilled: make(map[wire.RunKey]unbilled),
-		crashed:  make(chan struct{}, 1),
+		settings:      s,
+		endpoint:      NewEndpoint(s.Kind, s.Endpoint),
+		runs:          make(map[wire.RunKey]*record),
+		links:         make(map[string]*peerLink),
+		versionLoads:  make(map[string]*versionLoad),
+		unbilledLines: make(map[wire.RunKey]unbilledLine),
+		crashSignal:   make(chan struct{}, 1),
 	}
 	limits := admit.Limits{Slots: s.Slots, Reserved: s.Reserved, MaxWaiting: s.Waiting}
 	if s.AgeAfter > 0 {
@@ -122,7 +137,7 @@
 	p, err := proc.New(s.Common, proc.Options{
 		Role:     store.RoleEndpoint,
 		Handlers: s.Slots + s.Waiting + spareHandlers,
-		OnMove:   g.onMove,
+		OnMove:   g.onSettingsChange,
 		OnProven: g.onProven,
 		State:    g.state,
 	})
@@ -131,20 +146,21 @@
 	}
 	g.Proc = p
 	g.bills = ledger.New(p.Log, p.Store, ledger.Options[bill.Line]{
-		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: billsHeld, Every: p.Common.WriteEvery,
+		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: maxHeldBills, Every: p.Common.WriteEvery,
 	})
-	g.count()
-	link.On(p.Local.Mux, wire.MethodBeat, g.handleBeat)
-	link.On(p.Local.Mux, wire.MethodRun, g.handleRun)
-	link.On(p.Local.Mux, wire.MethodAsk, g.handleAsk)
-	link.Inline(p.Local.Mux, wire.MethodCancel, g.handleCancel)
-	link.On(p.Local.Mux, wire.MethodOrder, g.handleOrder)
+	g.initMetrics()
+	link.Handle(p.Local.Mux, wire.MethodHeartbeat, g.handleHeartbeat)
+	link.Handle(p.Local.Mux, wire.MethodRun, g.handleRun)
+	link.Handle(p.Local.Mux, wire.MethodRunQuery, g.handleRunQuery)
+	link.HandleInline(p.Local.Mux, wire.MethodCancel, g.handleCancel)
+	link.Handle(p.Local.Mux, wire.MethodOrder, g.handleOrder)
 	return g, nil
 }
 
-func (g *Guard) count() {
+// initMetrics registers the metrics.
+func (g *Guard) initMetrics() {
 	s := g.Scope.SubScope("guard")
-	g.counts = counts{
+	g.metrics = guardMetrics{
 		started:    s.Counter("runs_started"),
 		refused:    s.Counter("runs_refused"),
 		tombstones: s.Counter("tombstones"),
@@ -154,8 +170,9 @@
 	}
 }
 
-// Run serves until the stages end it. It returns nil after a planned stop
-// that cut off nothing.
+// Run serves until stages.Stop is done, then lets the running runs finish. It
+// returns an error if stages.Kill is done before they have ended and their bill
+// lines are written.
 func (g *Guard) Run(stages proc.Stages) error {
 	g.kill, g.killNow = context.WithCancel(stages.Kill)
 	defer g.killNow()
@@ -163,8 +180,8 @@
 	defer end()
 	g.Start(ctx)
 	g.Tasks.Go(ctx, "ticks", g.tick)
-	g.Tasks.Go(ctx, "alive", g.watchEndpoint)
-	g.Tasks.Go(ctx, "crashes", g.tellCrashes)
+	g.Tasks.Go(ctx, "alive", g.probeEndpoint)
+	g.Tasks.Go(ctx, "crashes", g.broadcastCrashes)
 	g.Tasks.Go(ctx, "bills", g.bills.Run)
 	g.Log.Info("guard: Serving.", zap.String("vm", g.Common.VM), zap.String("pool", g.settings.Pool))
 	<-stages.Stop.Done()
@@ -176,22 +193,23 @@
 	return err
 }
 
-// tick looks at deadlines until ctx is done.
+// tick calls sweep at each tickInterval until ctx is done.
 func (g *Guard) tick(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			g.step(g.Now())
+			g.sweep(g.Now())
 		}
 	}
 }
 
-// step expires waiting runs, forgets old ones and bills orphans.
-func (g *Guard) step(now time.Time) {
+// sweep refuses waiting runs whose deadline has passed, evicts old records, removes
+// ended links and bills the runs that their entry has not billed in time.
+func (g *Guard) sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, it := range g.queue.Expire(now, nil) {
@@ -200,35 +218,35 @@
 		}
 	}
 	g.admitNext(g.queue.Next(now, nil))
-	g.forget(now)
+	g.evictRecords(now)
 	maps.DeleteFunc(g.links, func(_ string, l *peerLink) bool { return tasks.IsDone(l.conn.Done()) })
-	for key, u := range g.unbilled {
+	for key, u := range g.unbilledLines {
 		if now.After(u.writeAt) {
 			g.billLocked(key, u.line)
 			continue
 		}
-		if at := orphanAfter.After(now); tasks.IsDone(u.entry.Done()) && at.Before(u.writeAt) {
+		if at := orphanBillDelay.After(now); tasks.IsDone(u.entry.Done()) && at.Before(u.writeAt) {
 			u.writeAt = at
-			g.unbilled[key] = u
+			g.unbilledLines[key] = u
 		}
 	}
-	g.counts.running.Update(float64(g.queue.Running()))
-	g.counts.queued.Update(float64(g.queue.Waiting()))
+	g.metrics.running.Update(float64(g.queue.Running()))
+	g.metrics.queued.Update(float64(g.queue.Waiting()))
 }
 
-// watchEndpoint tries the endpoint until ctx is done.
-func (g *Guard) watchEndpoint(ctx context.Context) error {
-	t := time.NewTicker(aliveEvery)
+// probeEndpoint probes the endpoint at each probeInterval until ctx is done.
+func (g *Guard) probeEndpoint(ctx context.Context) error {
+	t := time.NewTicker(probeInterval)
 	defer t.Stop()
 	for {
-		versions, err := g.endpoint.Alive(ctx)
+		versions, err := g.endpoint.Probe(ctx)
 		g.mu.Lock()
 		changed := g.down != (err != nil)
 		g.down = err != nil
 		g.versions = versions
 		g.mu.Unlock()
 		if changed {
-			g.Log.Warn("guard: The endpoint has changed.", zap.Bool("down", err != nil), logs.Err(err))
+			g.Log.Warn("guard: The availability of the endpoint has changed.", zap.Bool("down", err != nil), logs.Err(err))
 		}
 		select {
 		case <-ctx.Done():
@@ -238,21 +256,22 @@
 	}
 }
 
-// onMove takes withdrawn versions out of the queue: queued work is new work.
-func (g *Guard) onMove(s *config.Snapshot) {
+// onSettingsChange removes the queued runs that the new settings forbid. A version
+// that is withdrawn gets no new work, and a queued run has not started yet.
+func (g *Guard) onSettingsChange(s *config.Snapshot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range g.runs {
 		if r.phase != phaseQueued {
 			continue
 		}
-		if refused := g.notAllowed(s, &r.work); refused != nil && g.queue.Remove(r.queueID()) {
+		if refused := g.checkAllowed(s, &r.work); refused != nil && g.queue.Remove(r.queueID()) {
 			g.tombstone(r, wire.RunReply{Err: refused})
 		}
 	}
 }
 
-// onProven replaces the older link of the same incarnation.
+// onProven stores a new link and supersedes the older one of the same incarnation.
 func (g *Guard) onProven(c *link.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -262,8 +281,9 @@
 	g.links[c.Peer.Incarnation] = &peerLink{conn: c}
 }
 
-// notAllowed returns why the settings forbid new work, or nil.
-func (g *Guard) notAllowed(s *config.Snapshot, w *wire.Work) *fault.Error {
+// checkAllowed returns why the settings s forbid to start w, or nil. Work of plain
+// services is always allowed.
+func (g *Guard) checkAllowed(s *config.Snapshot, w *wire.Work) *fault.Error {
 	if w.Model == "" {
 		return nil
 	}
@@ -280,12 +300,12 @@
 	return fault.New(fault.NotAllowed, fault.NotRun, "The workspace does not allow %s@%s.", w.Model, w.Version)
 }
 
-// refusal is the reply of a run that never started.
+// refusal returns the reply to a run that was not started.
 func (g *Guard) refusal(k fault.Kind, message string) wire.RunReply {
 	return wire.RunReply{Err: fault.New(k, fault.NotRun, "%s", message)}
 }
 
-// byQueueID finds the record of an item; g.mu is held.
+// byQueueID returns the queued run with the given queue ID, or nil; g.mu is held.
 func (g *Guard) byQueueID(id string) *record {
 	for _, r := range g.runs {
 		if r.phase == phaseQueued && r.queueID() == id {
@@ -295,10 +315,10 @@
 	return nil
 }
 
-// admitNext gives slots to items that the queue has started; g.mu is held. An item
-// whose link has ended is closed here, and its slot goes to the next one: were that
-// left to its own goroutine, an entry that asks for the run first would take it over
-// after it had been orphaned.
+// admitNext passes on the slots of items that the queue has admitted; g.mu is held.
+// A run whose link has ended gets a tombstone here, and its slot goes to the next
+// one. If its own goroutine did this later, an entry that queries the run in between
+// would become its owner, and the orphaned run would start.
 func (g *Guard) admitNext(items []admit.Item) {
 	for len(items) > 0 {
 		it := items[0]
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -46,12 +46,14 @@
 `
 )
 
-// slowEngine answers "answer" in two pieces, the second once release is closed.
+// slowEngine answers "answer" in two parts, the second once release is closed.
 type slowEngine struct {
-	mu      sync.Mutex
-	runs    map[wire.RunKey]int
-	begun   chan wire.RunKey
-	release chan struct{}
+	mu sync.Mutex
+	// runs counts the runs of each key.
+	runs map[wire.RunKey]int
+	// startedKeys receives the key of each run that starts.
+	startedKeys chan wire.RunKey
+	release     chan struct{}
 }
 
 func (s *slowEngine) run(ctx context.Context, key wire.RunKey, _ *wire.Work, b *stream.Buffer) (wire.Usage, *fault.Error) {
@@ -59,7 +61,7 @@
 	s.runs[key]++
 	s.mu.Unlock()
 	_ = b.Append(0, 0, []byte("ans"))
-	s.begun <- key
+	s.startedKeys <- key
 	select {
 	case <-s.release:
 	case <-ctx.Done():
@@ -69,39 +71,42 @@
 	return wire.Usage{CompletionTokens: 2}, nil
 }
 
-// started waits until a run has begun.
-func (s *slowEngine) started(t *testing.T) wire.RunKey {
+// waitStarted waits until the next run has started and returns its key.
+func (s *slowEngine) waitStarted(t *testing.T) wire.RunKey {
 	t.Helper()
 	select {
-	case key := <-s.begun:
+	case key := <-s.startedKeys:
 		return key
 	case <-time.After(10 * time.Second):
-		t.Fatal("no run has begun")
+		t.Fatal("no run has started within 10 s")
 		return wire.RunKey{}
 	}
 }
 
+// count returns the number of runs of key.
 func (s *slowEngine) count(key wire.RunKey) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// bench is a guard with one slot and a caller that speaks as an entry does.
-type bench struct {
+// harness is a guard with one slot and a client that acts as an entry.
+type harness struct {
 	g      *Guard
 	engine *slowEngine
+	// holder and local are the settings and the link side of the client.
 	holder *spread.Holder
 	local  *link.Local
 	mu     sync.Mutex
-	// bufs takes the chunks of each run.
+	// bufs receives the chunks of each run.
 	bufs map[wire.RunKey]*stream.Buffer
-	// stop asks the guard for a planned stop; ended takes how it ended.
+	// stop starts a planned stop of the guard; ended receives the result of Run.
 	stop  context.CancelFunc
 	ended chan error
 }
 
-func startBench(t *testing.T) *bench {
+// startHarness starts a guard with a queue of 8 and the settings serving.
+func startHarness(t *testing.T) *harness {
 	t.Helper()
 	keys := filepath.Join(t.TempDir(), "keys.yaml")
 	if err := os.WriteFile(keys, []byte(keysYAML), 0o600); err != nil {
@@ -119,29 +124,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{g: g, bufs: make(map[wire.RunKey]*stream.Buffer)}
-	b.engine = &slowEngine{runs: make(map[wire.RunKey]int), begun: make(chan wire.RunKey, 16), release: make(chan struct{})}
-	g.endpoint = &Endpoint{Run: b.engine.run, Alive: func(context.Context) ([]string, error) { return nil, nil }}
+	h := &harness{g: g, bufs: make(map[wire.RunKey]*stream.Buffer)}
+	h.engine = &slowEngine{runs: make(map[wire.RunKey]int), startedKeys: make(chan wire.RunKey, 16), release: make(chan struct{})}
+	g.endpoint = &Endpoint{Run: h.engine.run, Probe: func(context.Context) ([]string, error) { return nil, nil }}
 	stop, cancelStop := context.WithCancel(context.Background())
 	kill, cancelKill := context.WithCancel(context.Background())
-	b.stop, b.ended = cancelStop, make(chan error, 1)
+	h.stop, h.ended = cancelStop, make(chan error, 1)
 	go func() {
-		b.ended <- g.Run(proc.Stages{Stop: stop, Kill: kill})
-		close(b.ended)
+		h.ended <- g.Run(proc.Stages{Stop: stop, Kill: kill})
+		close(h.ended)
 	}()
 	t.Cleanup(func() {
 		cancelKill()
 		cancelStop()
-		for range b.ended {
+		for range h.ended {
 		}
 	})
-	b.holder = spread.New(zap.NewNop(), time.Now, nil)
-	b.move(t, serving)
-	b.local = b.localWith(t, keyHex, "entry-1")
-	return b
+	h.holder = spread.New(zap.NewNop(), time.Now, nil)
+	h.applySettings(t, serving)
+	h.local = h.newLocal(t, keyHex, "entry-1")
+	return h
 }
 
-// closedPort returns an address that nothing listens on.
+// closedPort returns a loopback address with a port that refuses connections.
 func closedPort(t *testing.T) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -152,30 +157,32 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// localWith returns a caller with a link key and an incarnation.
-func (b *bench) localWith(t *testing.T, hex, incarnation string) *link.Local {
+// newLocal returns the link side of an entry with the given link key and
+// incarnation.
+func (h *harness) newLocal(t *testing.T, hex, incarnation string) *link.Local {
 	t.Helper()
 	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: hex}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	mux := link.NewMux(func(task func()) error { go task(); return nil }, nil)
-	link.On(mux, wire.MethodDelta, b.holder.Serve)
-	link.Inline(mux, wire.MethodChunk, func(_ *link.Conn, c wire.Chunk) { _ = b.buf(c.Key).Append(0, c.Offset, c.Data) })
-	return &link.Local{Identity: wire.Identity{VM: "e", Role: store.RoleEntry, Incarnation: incarnation}, Keys: ring, Mux: mux, Revision: b.holder.Revision}
+	link.Handle(mux, wire.MethodDelta, h.holder.Serve)
+	link.HandleInline(mux, wire.MethodChunk, func(_ *link.Conn, c wire.Chunk) { _ = h.buf(c.Key).Append(0, c.Offset, c.Data) })
+	return &link.Local{Identity: wire.Identity{VM: "e", Role: store.RoleEntry, Incarnation: incarnation}, Keys: ring, Mux: mux, Revision: h.holder.Revision}
 }
 
-func (b *bench) buf(key wire.RunKey) *stream.Buffer {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.bufs[key] == nil {
-		b.bufs[key] = stream.New(100)
+func (h *harness) buf(key wire.RunKey) *stream.Buffer {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.bufs[key] == nil {
+		h.bufs[key] = stream.New(100)
 	}
-	return b.bufs[key]
+	return h.bufs[key]
 }
 
-// move puts settings in force at the caller.
-func (b *bench) move(t *testing.T, text string) {
+// applySettings puts the settings in text in force at the client, as the next
+// revision.
+func (h *harness) applySettings(t *testing.T, text string) {
 	t.Helper()
 	f, err := config.ParseFile("bench", []byte(text))
 	if err != nil {
@@ -186,14 +193,14 @@
 		body, hash := n.Encode()
 		edits[path], bodies[hash] = hash, body
 	}
-	if err := b.holder.TakeOver(b.holder.Current().Head.Next(edits, config.Change{}), bodies); err != nil {
+	if err := h.holder.TakeOver(h.holder.Current().Head.Next(edits, config.Change{}), bodies); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (b *bench) dial(t *testing.T) *link.Conn {
+func (h *harness) dial(t *testing.T) *link.Conn {
 	t.Helper()
-	c, err := b.local.Dial(t.Context(), b.g.LinkAddr())
+	c, err := h.local.Dial(t.Context(), h.g.LinkAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,62 +208,66 @@
 	return c
 }
 
-// run asks for a run of version 1 under the given revision.
-func (b *bench) run(t *testing.T, c *link.Conn, id string, revision int64) wire.RunReply {
+// run sends a run of version 1 with the given settings revision and returns the
+// reply.
+func (h *harness) run(t *testing.T, c *link.Conn, id string, revision int64) wire.RunReply {
 	t.Helper()
 	var reply wire.RunReply
-	if err := c.Call(context.Background(), wire.MethodRun, b.wanted(id, revision), &reply); err != nil {
+	if err := c.Call(context.Background(), wire.MethodRun, h.newRun(id, revision), &reply); err != nil {
 		reply.Err = fault.From(err, fault.MayHaveRun)
 	}
 	return reply
 }
 
-// wanted is a run of version 1 under the given revision.
-func (b *bench) wanted(id string, revision int64) *wire.Run {
+// newRun returns a run of version 1 with the given settings revision.
+func (h *harness) newRun(id string, revision int64) *wire.Run {
 	return &wire.Run{
 		Stamp: wire.Stamp{Revision: revision},
 		Key:   wire.RunKey{RunID: id, Attempt: 1},
-		Guard: b.g.Identity.Incarnation,
+		Guard: h.g.Identity.Incarnation,
 		Work:  wire.Work{Call: wire.Call{Workspace: "w", Workload: "l", Model: "m", Deadline: time.Now().Add(20 * time.Second)}, Version: "1", Repeatable: true},
 	}
 }
 
-// later runs in the background.
-func (b *bench) later(t *testing.T, c *link.Conn, id string) <-chan wire.RunReply {
+// runAsync is run in a goroutine, with the client's revision.
+func (h *harness) runAsync(t *testing.T, c *link.Conn, id string) <-chan wire.RunReply {
 	out := make(chan wire.RunReply, 1)
-	go func() { out <- b.run(t, c, id, b.holder.Revision()) }()
+	go func() { out <- h.run(t, c, id, h.holder.Revision()) }()
 	return out
 }
 
-func (b *bench) ask(t *testing.T, c *link.Conn, id, guard string, offset int) wire.RunReply {
+// queryRun sends a RunQuery to the given guard incarnation and returns the reply.
+func (h *harness) queryRun(t *testing.T, c *link.Conn, id, guard string, offset int) wire.RunReply {
 	t.Helper()
 	var reply wire.RunReply
-	p := wire.Ask{Key: wire.RunKey{RunID: id, Attempt: 1}, Guard: guard, Offset: offset, Deadline: time.Now().Add(time.Minute)}
-	if err := c.Call(t.Context(), wire.MethodAsk, p, &reply); err != nil {
+	p := wire.RunQuery{Key: wire.RunKey{RunID: id, Attempt: 1}, Guard: guard, Offset: offset, Deadline: time.Now().Add(time.Minute)}
+	if err := c.Call(t.Context(), wire.MethodRunQuery, p, &reply); err != nil {
 		t.Fatal(err)
 	}
 	return reply
 }
 
 // waitQueued waits until n runs wait in the guard's queue.
-func (b *bench) waitQueued(t *testing.T, n int) {
+func (h *harness) waitQueued(t *testing.T, n int) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		b.g.mu.Lock()
-		got := b.g.queue.Waiting()
-		b.g.mu.Unlock()
+		h.g.mu.Lock()
+		got := h.g.queue.Waiting()
+		h.g.mu.Unlock()
 		if got == n {
 			return
 		}
 	}
-	t.Fatalf("there are not %d waiting runs", n)
+	t.Fatalf("the queue did not hold %d runs within 10 s", n)
 }
 
-func check(t *testing.T, what string, got wire.RunReply, kind fault.Kind, run fault.RunState) {
+// checkReply checks that a reply has an error of the given kind and run state, or
+// none if kind is empty.
+func checkReply(t *testing.T, what string, got wire.RunReply, kind fault.Kind, run fault.RunState) {
 	t.Helper()
 	if kind == "" {
 		if got.Err != nil {
-			t.Errorf("%s: got %v, want a whole answer", what, got.Err)
+			t.Errorf("%s: got %v, want a complete answer", what, got.Err)
 		}
 		return
 	}
@@ -265,227 +276,234 @@
 	}
 }
 
+// TestRunOnce checks that a run that arrives again is refused and not started again,
+// both while the first is running and after its end.
 func TestRunOnce(t *testing.T) {
-	b := startBench(t)
-	c := b.dial(t)
-	first := b.later(t, c, "r")
-	key := b.engine.started(t)
-	check(t, "the same run again", b.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
-	close(b.engine.release)
-	check(t, "the first", <-first, "", "")
-	check(t, "the same run after its end", b.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
-	if got := b.engine.count(key); got != 1 {
+	h := startHarness(t)
+	c := h.dial(t)
+	first := h.runAsync(t, c, "r")
+	key := h.engine.waitStarted(t)
+	checkReply(t, "the same run again", h.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
+	close(h.engine.release)
+	checkReply(t, "the first", <-first, "", "")
+	checkReply(t, "the same run after its end", h.run(t, c, "r", 1), fault.AlreadyRan, fault.MayHaveRun)
+	if got := h.engine.count(key); got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
 }
 
+// TestTombstone checks that a run that was queried before it arrives is refused, and
+// that a query to an earlier incarnation answers that the run may have run.
 func TestTombstone(t *testing.T) {
-	b := startBench(t)
-	c := b.dial(t)
-	check(t, "asked about a run never seen", b.ask(t, c, "r", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
-	check(t, "the run arrives late", b.run(t, c, "r", 1), fault.EndpointLost, fault.NotRun)
-	check(t, "asked of another incarnation", b.ask(t, c, "s", "before", 0), fault.EndpointLost, fault.MayHaveRun)
-	if got := len(b.engine.runs); got != 0 {
+	h := startHarness(t)
+	c := h.dial(t)
+	checkReply(t, "query of a run that has not arrived", h.queryRun(t, c, "r", h.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "the run arrives late", h.run(t, c, "r", 1), fault.EndpointLost, fault.NotRun)
+	checkReply(t, "query to another incarnation", h.queryRun(t, c, "s", "before", 0), fault.EndpointLost, fault.MayHaveRun)
+	if got := len(h.engine.runs); got != 0 {
 		t.Errorf("runs: got %d, want 0", got)
 	}
 }
 
-// TestOldLink refuses what arrives over a link that the peer has replaced.
-func TestOldLink(t *testing.T) {
-	b := startBench(t)
-	old := b.dial(t)
-	fresh := b.dial(t)
-	check(t, "over the old link", b.run(t, old, "r", 1), fault.EndpointLost, fault.NotRun)
-	close(b.engine.release)
-	check(t, "over the new link", b.run(t, fresh, "s", 1), "", "")
+// TestSupersededLink checks that a run is refused if it arrives over a link that the
+// peer has replaced by a newer one.
+func TestSupersededLink(t *testing.T) {
+	h := startHarness(t)
+	old := h.dial(t)
+	fresh := h.dial(t)
+	checkReply(t, "over the old link", h.run(t, old, "r", 1), fault.EndpointLost, fault.NotRun)
+	close(h.engine.release)
+	checkReply(t, "over the new link", h.run(t, fresh, "s", 1), "", "")
 }
 
-// TestAskAfterBreak gets the whole answer over a second link.
-func TestAskAfterBreak(t *testing.T) {
-	b := startBench(t)
-	c := b.dial(t)
-	lost := b.later(t, c, "r")
-	key := b.engine.started(t)
+// TestQueryAfterBrokenLink checks that a query over a second link returns the rest of
+// the answer without a second run.
+func TestQueryAfterBrokenLink(t *testing.T) {
+	h := startHarness(t)
+	c := h.dial(t)
+	lost := h.runAsync(t, c, "r")
+	key := h.engine.waitStarted(t)
 	c.Close()
 	if got := (<-lost).Err; got == nil {
 		t.Error("the broken link's call: got nil, want an error")
 	}
-	fresh := b.dial(t)
-	close(b.engine.release)
-	got := b.ask(t, fresh, "r", b.g.Identity.Incarnation, b.buf(key).Len())
-	check(t, "asked", got, "", "")
-	if text := string(b.buf(key).Bytes()); text != "answer" || b.engine.count(key) != 1 {
-		t.Errorf("got %q after %d runs, want answer after 1", text, b.engine.count(key))
+	fresh := h.dial(t)
+	close(h.engine.release)
+	got := h.queryRun(t, fresh, "r", h.g.Identity.Incarnation, h.buf(key).Len())
+	checkReply(t, "query", got, "", "")
+	if text := string(h.buf(key).Bytes()); text != "answer" || h.engine.count(key) != 1 {
+		t.Errorf("got %q after %d runs, want answer after 1", text, h.engine.count(key))
 	}
 }
 
-// TestAskAfterOwnBill keeps record and answer of a run that the guard has billed
-// itself while its link was cut, since the entry may still ask.
-func TestAskAfterOwnBill(t *testing.T) {
-	b := startBench(t)
-	c := b.dial(t)
-	lost := b.later(t, c, "r")
-	key := b.engine.started(t)
+// TestQueryAfterGuardBilled checks that the record and the answer of a run are kept
+// after the guard has billed it because its link broke, as the entry may still query
+// the run.
+func TestQueryAfterGuardBilled(t *testing.T) {
+	h := startHarness(t)
+	c := h.dial(t)
+	lost := h.runAsync(t, c, "r")
+	key := h.engine.waitStarted(t)
 	c.Close()
 	<-lost
-	close(b.engine.release)
+	close(h.engine.release)
 	for held := 0; held == 0; time.Sleep(time.Millisecond) {
-		held, _ = b.g.bills.Held()
+		held, _ = h.g.bills.Held()
 	}
-	b.g.step(time.Now())
-	check(t, "asked", b.ask(t, b.dial(t), "r", b.g.Identity.Incarnation, b.buf(key).Len()), "", "")
-	if text := string(b.buf(key).Bytes()); text != "answer" {
+	h.g.sweep(time.Now())
+	checkReply(t, "query", h.queryRun(t, h.dial(t), "r", h.g.Identity.Incarnation, h.buf(key).Len()), "", "")
+	if text := string(h.buf(key).Bytes()); text != "answer" {
 		t.Errorf("got %q, want answer", text)
 	}
 }
 
-// TestOrphan never starts a queued run whose link broke.
+// TestOrphan checks that a queued run whose link broke is never started.
 func TestOrphan(t *testing.T) {
-	b := startBench(t)
-	keep, lose := b.dial(t), (*link.Conn)(nil)
-	first := b.later(t, keep, "first")
-	b.engine.started(t)
-	b.local = b.localWith(t, keyHex, "entry-2")
-	lose = b.dial(t)
-	lost := b.later(t, lose, "orphan")
-	b.waitQueued(t, 1)
-	b.g.mu.Lock()
-	noticed := b.g.links["entry-2"].conn.Done()
-	b.g.mu.Unlock()
+	h := startHarness(t)
+	keep, lose := h.dial(t), (*link.Conn)(nil)
+	first := h.runAsync(t, keep, "first")
+	h.engine.waitStarted(t)
+	h.local = h.newLocal(t, keyHex, "entry-2")
+	lose = h.dial(t)
+	lost := h.runAsync(t, lose, "orphan")
+	h.waitQueued(t, 1)
+	h.g.mu.Lock()
+	noticed := h.g.links["entry-2"].conn.Done()
+	h.g.mu.Unlock()
 	lose.Close()
 	<-lost
 	<-noticed
-	close(b.engine.release)
-	check(t, "the first", <-first, "", "")
-	check(t, "asked about the orphan", b.ask(t, b.dial(t), "orphan", b.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
-	if got := b.engine.count(wire.RunKey{RunID: "orphan", Attempt: 1}); got != 0 {
+	close(h.engine.release)
+	checkReply(t, "the first", <-first, "", "")
+	checkReply(t, "query of the orphan", h.queryRun(t, h.dial(t), "orphan", h.g.Identity.Incarnation, 0), fault.EndpointLost, fault.NotRun)
+	if got := h.engine.count(wire.RunKey{RunID: "orphan", Attempt: 1}); got != 0 {
 		t.Errorf("runs of the orphan: got %d, want 0", got)
 	}
 }
 
 // guardLink returns the guard's side of the link of an incarnation.
-func (b *bench) guardLink(incarnation string) *link.Conn {
-	b.g.mu.Lock()
-	defer b.g.mu.Unlock()
-	return b.g.links[incarnation].conn
+func (h *harness) guardLink(incarnation string) *link.Conn {
+	h.g.mu.Lock()
+	defer h.g.mu.Unlock()
+	return h.g.links[incarnation].conn
 }
 
-// TestOrphanAdopted holds that a run whose link broke while it waited is closed as
-// soon as its slot comes free: an entry that asks for it at that moment finds it
-// closed, and does not bring it back to life.
-func TestOrphanAdopted(t *testing.T) {
-	b := startBench(t)
-	first := b.later(t, b.dial(t), "first")
-	b.engine.started(t)
-	b.local = b.localWith(t, keyHex, "entry-2")
-	lose := b.dial(t)
-	owner := b.guardLink("entry-2")
-	orphan := b.enter(t, owner, "orphan")
+// TestOrphanNotRevivedByQuery checks that a queued run whose link broke gets its tombstone
+// at once when a slot is free for it. Otherwise an entry that queries the run at that
+// moment would become its owner, and the run would start.
+func TestOrphanNotRevivedByQuery(t *testing.T) {
+	h := startHarness(t)
+	first := h.runAsync(t, h.dial(t), "first")
+	h.engine.waitStarted(t)
+	h.local = h.newLocal(t, keyHex, "entry-2")
+	lose := h.dial(t)
+	owner := h.guardLink("entry-2")
+	orphan := h.enqueue(t, owner, "orphan")
 	lose.Close()
 	<-owner.Done()
-	close(b.engine.release)
-	check(t, "the first", <-first, "", "")
-	b.dial(t)
-	adopted, _ := b.g.lookUp(b.guardLink("entry-2"), &wire.Ask{Key: orphan.key, Guard: b.g.Identity.Incarnation})
+	close(h.engine.release)
+	checkReply(t, "the first", <-first, "", "")
+	h.dial(t)
+	adopted, _ := h.g.lookUp(h.guardLink("entry-2"), &wire.RunQuery{Key: orphan.key, Guard: h.g.Identity.Incarnation})
 	if adopted != orphan {
-		t.Fatalf("record found: got %v, want the orphan's", adopted)
+		t.Fatalf("record returned by the query: got %v, want the orphan's", adopted)
 	}
-	b.g.mu.Lock()
-	defer b.g.mu.Unlock()
+	h.g.mu.Lock()
+	defer h.g.mu.Unlock()
 	if orphan.phase != phaseTombstone {
-		t.Fatalf("the orphan is %s, want it closed when its slot came free", orphan.phase)
+		t.Fatalf("phase of the orphan once a slot is free: got %s, want tombstone", orphan.phase)
 	}
-	check(t, "the orphan", orphan.reply, fault.EndpointLost, fault.NotRun)
+	checkReply(t, "the orphan", orphan.reply, fault.EndpointLost, fault.NotRun)
 }
 
-// enter offers a run to the guard without anyone who waits for it.
-func (b *bench) enter(t *testing.T, c *link.Conn, id string) *record {
+// enqueue offers a run to the guard's queue without a handler that waits for it.
+func (h *harness) enqueue(t *testing.T, c *link.Conn, id string) *record {
 	t.Helper()
-	r, refused := b.g.enter(c, b.wanted(id, b.holder.Revision()))
+	r, refused := h.g.enqueue(c, h.newRun(id, h.holder.Revision()))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	return r
 }
 
-// TestWithdrawn holds that a withdrawn version gets no new work, whether the
-// entry or the guard hears of it first, and that running work may finish.
-func TestWithdrawn(t *testing.T) {
-	b := startBench(t)
-	c := b.dial(t)
-	running := b.later(t, c, "running")
-	b.engine.started(t)
-	queued := b.later(t, c, "queued")
-	b.waitQueued(t, 1)
-	b.move(t, withdrawn)
-	check(t, "from an entry with newer settings", b.run(t, c, "newer", 2), fault.VersionWithdrawn, fault.NotRun)
-	check(t, "queued before", <-queued, fault.VersionWithdrawn, fault.NotRun)
-	got := b.run(t, c, "older", 1)
-	check(t, "from an entry with older settings", got, fault.VersionWithdrawn, fault.NotRun)
+// TestWithdrawnVersion checks that a withdrawn version gets no new run, whether the
+// entry or the guard receives the settings first, and that a running run may finish.
+func TestWithdrawnVersion(t *testing.T) {
+	h := startHarness(t)
+	c := h.dial(t)
+	running := h.runAsync(t, c, "running")
+	h.engine.waitStarted(t)
+	queued := h.runAsync(t, c, "queued")
+	h.waitQueued(t, 1)
+	h.applySettings(t, withdrawn)
+	checkReply(t, "from an entry with newer settings", h.run(t, c, "newer", 2), fault.VersionWithdrawn, fault.NotRun)
+	checkReply(t, "queued before", <-queued, fault.VersionWithdrawn, fault.NotRun)
+	got := h.run(t, c, "older", 1)
+	checkReply(t, "from an entry with older settings", got, fault.VersionWithdrawn, fault.NotRun)
 	if got.Revision != 2 {
 		t.Errorf("revision in the refusal: got %d, want 2", got.Revision)
 	}
-	close(b.engine.release)
-	check(t, "running before", <-running, "", "")
+	close(h.engine.release)
+	checkReply(t, "running before", <-running, "", "")
 }
 
-// TestLeaving refuses queued and new work as not run and lets running work
-// finish.
-func TestLeaving(t *testing.T) {
-	b := startBench(t)
-	c := b.dial(t)
-	running := b.later(t, c, "running")
-	b.engine.started(t)
-	queued := b.later(t, c, "queued")
-	b.waitQueued(t, 1)
-	b.g.leave()
-	check(t, "queued", <-queued, fault.Stopping, fault.NotRun)
-	check(t, "new", b.run(t, c, "new", 1), fault.Stopping, fault.NotRun)
-	close(b.engine.release)
-	check(t, "running", <-running, "", "")
+// TestLeavingGuardRefusesWork checks that a leaving guard refuses queued and new runs as
+// not run, and lets a running run finish.
+func TestLeavingGuardRefusesWork(t *testing.T) {
+	h := startHarness(t)
+	c := h.dial(t)
+	running := h.runAsync(t, c, "running")
+	h.engine.waitStarted(t)
+	queued := h.runAsync(t, c, "queued")
+	h.waitQueued(t, 1)
+	h.g.leave()
+	checkReply(t, "queued", <-queued, fault.Stopping, fault.NotRun)
+	checkReply(t, "new", h.run(t, c, "new", 1), fault.Stopping, fault.NotRun)
+	close(h.engine.release)
+	checkReply(t, "running", <-running, "", "")
 }
 
-// TestStopWaitsForEntries keeps a stopping guard there to refuse work until the
-// entry says that it has no run there and will send none.
+// TestStopWaitsForEntries checks that a stopping guard keeps refusing runs until the
+// entry reports that it has no run there and will send none, and then ends.
 func TestStopWaitsForEntries(t *testing.T) {
-	b := startBench(t)
-	c := b.dial(t)
-	beat := func(released bool) (wire.BeatReply, error) {
-		var reply wire.BeatReply
-		return reply, c.Call(t.Context(), wire.MethodBeat, wire.Beat{Released: released}, &reply)
+	h := startHarness(t)
+	c := h.dial(t)
+	beat := func(released bool) (wire.HeartbeatReply, error) {
+		var reply wire.HeartbeatReply
+		return reply, c.Call(t.Context(), wire.MethodHeartbeat, wire.Heartbeat{Released: released}, &reply)
 	}
 	if _, err := beat(false); err != nil {
 		t.Fatal(err)
 	}
-	b.stop()
+	h.stop()
 	for range 40 {
 		if _, err := beat(false); err != nil {
-			t.Fatalf("the guard went before the entry knew: %v", err)
+			t.Fatalf("the guard stopped before the entry released it: %v", err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	check(t, "a run that was sent meanwhile", b.run(t, c, "late", 1), fault.Stopping, fault.NotRun)
+	checkReply(t, "a run that was sent meanwhile", h.run(t, c, "late", 1), fault.Stopping, fault.NotRun)
 	_, _ = beat(true)
 	select {
-	case err := <-b.ended:
+	case err := <-h.ended:
 		if err != nil {
 			t.Errorf("end: got %v, want nil", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the guard does not end")
+		t.Error("the guard did not stop within 10 s of its release")
 	}
 }
 
-// TestLinkKey lets nobody in without the link key.
+// TestLinkKey checks that a peer with another link key cannot open a link.
 func TestLinkKey(t *testing.T) {
-	b := startBench(t)
-	stranger := b.localWith(t, "ffffffffffffffffffffffffffffffff", "stranger")
-	if _, err := stranger.Dial(t.Context(), b.g.LinkAddr()); !errors.Is(err, link.ErrProof) {
+	h := startHarness(t)
+	stranger := h.newLocal(t, "ffffffffffffffffffffffffffffffff", "stranger")
+	if _, err := stranger.Dial(t.Context(), h.g.LinkAddr()); !errors.Is(err, link.ErrProof) {
 		t.Errorf("with another key: got %v, want %v", err, link.ErrProof)
 	}
-	b.g.mu.Lock()
-	defer b.g.mu.Unlock()
-	if got := len(b.g.links); got != 0 {
+	h.g.mu.Lock()
+	defer h.g.mu.Unlock()
+	if got := len(h.g.links); got != 0 {
 		t.Errorf("links: got %d, want 0", got)
 	}
 }
--- a/internal/guard/order.go
+++ b/internal/guard/order.go
@@ -16,19 +16,21 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// handleOrder has the engine load a version. Not every engine checks who gives
-// an order, so the guard does: an order counts only while it stands in the
-// newest version of the roll-outs' object, which also holds for a guard that
-// was just started and has seen no fence yet.
+// handleOrder has the engine load a version. Not every engine checks fencing tokens,
+// so the guard does: it refuses an order whose fence is older than the current
+// version of the stored object of roll-outs. It reads that version from the store
+// for each order, so that a guard that was just started and has accepted no fence
+// yet refuses old orders too. It returns PlatformDown if the version cannot be read,
+// NotAllowed for an old order and EndpointFailed if the load fails.
 func (g *Guard) handleOrder(ctx context.Context, _ *link.Conn, p wire.Order) (wire.Empty, error) {
 	version, err := rolls.Version(ctx, g.Store)
 	if err != nil {
-		return wire.Empty{}, fault.New(fault.PlatformDown, fault.NotRun, "The roll-outs cannot be read.")
+		return wire.Empty{}, fault.New(fault.PlatformDown, fault.NotRun, "The state of the roll-outs could not be read from the store.")
 	}
-	if !g.takeFence(p.Fence, version) {
-		return wire.Empty{}, fault.New(fault.NotAllowed, fault.NotRun, "The order is of an older state of the roll-outs.")
+	if !g.acceptFence(p.Fence, version) {
+		return wire.Empty{}, fault.New(fault.NotAllowed, fault.NotRun, "The order is from an older version of the roll-outs.")
 	}
-	if err := g.loadOnce(ctx, &p); err != nil {
+	if err := g.loadVersionOnce(ctx, &p); err != nil {
 		g.Log.Warn("guard: The engine did not load a version.", zap.String("model", p.Model), zap.String("version", p.Version), logs.Err(err))
 		return wire.Empty{}, fault.New(fault.EndpointFailed, fault.MayHaveRun, "The engine did not load the version.")
 	}
@@ -36,22 +38,23 @@
 	return wire.Empty{Stamp: g.Stamp()}, nil
 }
 
-// load is one load under way.
-type load struct {
+// versionLoad is the load of a version that is in progress.
+type versionLoad struct {
+	// done is closed when the load has ended; err is set before that.
 	done chan struct{}
 	err  error
 }
 
-// loadOnce has the engine load a version, or waits for the load of the same
-// version that is under way: an order is repeated when the process that gave it
-// is lost, and the weight store must not be asked twice.
-func (g *Guard) loadOnce(ctx context.Context, o *wire.Order) error {
+// loadVersionOnce has the engine load a version, or waits for a load of the same
+// version that is in progress. An order is repeated if the process that sent it
+// is lost, and the weights must not be fetched twice from the weight store.
+func (g *Guard) loadVersionOnce(ctx context.Context, o *wire.Order) error {
 	name := o.Model + "@" + o.Version
 	g.mu.Lock()
-	l, under := g.loads[name]
+	l, under := g.versionLoads[name]
 	if !under {
-		l = &load{done: make(chan struct{})}
-		g.loads[name] = l
+		l = &versionLoad{done: make(chan struct{})}
+		g.versionLoads[name] = l
 	}
 	g.mu.Unlock()
 	if under {
@@ -62,16 +65,18 @@
 			return ctx.Err()
 		}
 	}
-	l.err = g.endpoint.Load(ctx, o)
+	l.err = g.endpoint.LoadVersion(ctx, o)
 	close(l.done)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.loads, name)
+	delete(g.versionLoads, name)
 	return l.err
 }
 
-// takeFence reports whether an order's fence is the newest.
-func (g *Guard) takeFence(fence, version int64) bool {
+// acceptFence reports whether an order with the given fence may be followed, and
+// stores the fence if so. version is the current version of the stored object of
+// roll-outs.
+func (g *Guard) acceptFence(fence, version int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if fence < version || fence < g.fence {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -29,13 +29,13 @@
 	os.Exit(m.Run())
 }
 
-// frame returns a message as it stands on the wire.
+// frame returns body as a frame: with its length as a varint before it.
 func frame(body string) []byte {
 	return append(binary.AppendUvarint(nil, uint64(len(body))), body...)
 }
 
-// FuzzFrames decodes any bytes without a panic and without allocating more than
-// the limit allows.
+// FuzzFrames checks that no input makes the codec or the decoding of parameters
+// panic, and that no frame longer than the limit is accepted.
 func FuzzFrames(f *testing.F) {
 	f.Add(frame(`{"jsonrpc":"2.0","id":1,"method":"run","params":{"key":{"runID":"r","attempt":1}}}`))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
@@ -44,7 +44,7 @@
 		r := bufio.NewReader(bytes.NewReader(data))
 		for {
 			var v json.RawMessage
-			err := frames{limit: 1 << 12}.ReadObject(r, &v)
+			err := frameCodec{limit: 1 << 12}.ReadObject(r, &v)
 			if err != nil {
 				return
 			}
@@ -58,28 +58,31 @@
 	})
 }
 
-// server serves links until the test ends and counts the echo calls it handled.
-func server(t *testing.T) (*Local, netip.AddrPort) {
+// startServer serves links with the methods echo and fail until the test ends. It
+// returns the local side and the address.
+func startServer(t *testing.T) (*Local, netip.AddrPort) {
 	t.Helper()
-	l := local(t, "server")
-	On(l.Mux, "echo", func(_ context.Context, _ *Conn, p wire.Cancel) (wire.Cancel, error) { return p, nil })
-	On(l.Mux, "fail", func(context.Context, *Conn, wire.Empty) (wire.Empty, error) {
+	l := newLocal(t, "server")
+	Handle(l.Mux, "echo", func(_ context.Context, _ *Conn, p wire.Cancel) (wire.Cancel, error) { return p, nil })
+	Handle(l.Mux, "fail", func(context.Context, *Conn, wire.Empty) (wire.Empty, error) {
 		return wire.Empty{}, fault.New(fault.Overloaded, fault.NotRun, "full").WithRetryAt(time.Unix(7, 0))
 	})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- l.Serve(context.Background(), ln, func(*Conn) {}) }()
+	served := make(chan error, 1)
+	go func() { served <- l.Serve(context.Background(), ln, func(*Conn) {}) }()
 	t.Cleanup(func() {
 		_ = ln.Close()
-		<-ended
+		<-served
 	})
 	return l, ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func local(t *testing.T, name string) *Local {
+// newLocal returns the local side of a process with the given name as VM and
+// incarnation. Messages are handled without a bound.
+func newLocal(t *testing.T, name string) *Local {
 	t.Helper()
 	ring, err := seal.NewKeyring([]seal.Key{{ID: "a", Hex: "00112233445566778899aabbccddeeff"}})
 	if err != nil {
@@ -89,10 +92,11 @@
 	return &Local{Identity: wire.Identity{VM: name, Incarnation: name}, Keys: ring, Mux: mux, Revision: func() int64 { return 0 }}
 }
 
-// TestCall carries replies and typed failures.
+// TestCall checks that Call returns replies, faults with their fields, NotFound
+// for an unknown method, and ErrBroken once the link is closed.
 func TestCall(t *testing.T) {
-	_, addr := server(t)
-	c, err := local(t, "client").Dial(t.Context(), addr)
+	_, addr := startServer(t)
+	c, err := newLocal(t, "client").Dial(t.Context(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,10 +120,10 @@
 	}
 }
 
-// TestStranger sends messages without the handshake, and garbage: none is
-// handled, and the connection ends.
-func TestStranger(t *testing.T) {
-	l, addr := server(t)
+// TestUnauthenticatedPeer checks that messages before the handshake, oversized
+// frames and malformed data are not handled, and that the connection is closed.
+func TestUnauthenticatedPeer(t *testing.T) {
+	l, addr := startServer(t)
 	tests := []struct {
 		name string
 		data []byte
--- a/internal/peers/crash_test.go
+++ b/internal/peers/crash_test.go
@@ -19,7 +19,7 @@
 	"github.com/traildrift/traildrift/pkg/poison"
 )
 
-func TestVerdictsComeThrough(t *testing.T) {
+func TestVerdictsRoundTrip(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	list := []poison.Verdict{
 		{Fingerprint: poison.Fingerprint{1, 2}, Round: 3, Until: now.Add(time.Minute), Crashes: []poison.Crash{{Endpoint: 7, At: now.Add(-time.Second)}, {Endpoint: 8, At: now}}},
@@ -34,36 +34,36 @@
 		t.Errorf("got %v, %v, want %v", got, err, list)
 	}
 	for n := 1; n < len(b); n++ {
-		// What is cut between two verdicts is whole as far as it goes.
+		// Data cut between two verdicts decodes to the first one.
 		if cut, err := decodeVerdicts(b[:n], now); err == nil && len(cut) != 1 {
 			t.Errorf("cut after %d bytes: got %v, want an error", n, cut)
 		}
 	}
 }
 
-// The largest datagram of verdicts passes any link in one piece.
+// TestVerdictsFitTheDatagram checks that the longest encoding of verdicts fits into one datagram.
 func TestVerdictsFitTheDatagram(t *testing.T) {
-	v := poison.Verdict{Round: 1, Crashes: make([]poison.Crash, 2*crashesTold)}
-	list := make([]poison.Verdict, verdictsMost)
+	v := poison.Verdict{Round: 1, Crashes: make([]poison.Crash, 2*maxCrashesPerVerdict)}
+	list := make([]poison.Verdict, maxVerdictsPerDatagram)
 	for i := range list {
 		list[i] = v
 	}
 	b, err := encodeVerdicts(make([]byte, bodyAt), list, time.Now())
-	if err != nil || len(b) > datagramMost {
-		t.Errorf("got %d bytes, %v, want %d at most", len(b), err, datagramMost)
+	if err != nil || len(b) > maxDatagramBytes {
+		t.Errorf("got %d bytes, %v, want %d at most", len(b), err, maxDatagramBytes)
 	}
 	s, err := binary.Append(nil, binary.BigEndian, CrashReport{})
-	if err != nil || len(s) != crashBytes {
-		t.Errorf("CrashReport: got %d bytes, %v, want %d", len(s), err, crashBytes)
+	if err != nil || len(s) != crashReportBytes {
+		t.Errorf("CrashReport: got %d bytes, %v, want %d", len(s), err, crashReportBytes)
 	}
 }
 
-// twoNotes returns the notes of two routers that do not know each other, and what they would be
-// registered as.
-func twoNotes(t *testing.T) (list [2]*Notes, all [2]Peer) {
+// twoTransports returns the transports of two routers whose fleets are empty, and the registrations
+// of these routers.
+func twoTransports(t *testing.T) (list [2]*Transport, all [2]Peer) {
 	for i := range list {
 		all[i] = Peer{Name: fmt.Sprint(i), Token: fmt.Sprintf("%016d-and-more", i)}
-		n, err := NewNotes(zap.NewNop(), NewFleet(all[i].Name), netip.MustParseAddrPort("127.0.0.1:0"), secretOf(all[i].Token), func(Note) {})
+		n, err := NewTransport(zap.NewNop(), NewFleet(all[i].Name), netip.MustParseAddrPort("127.0.0.1:0"), secretOf(all[i].Token), func(AttemptReport) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,8 +73,8 @@
 	return list, all
 }
 
-// runNotes has them hear until end is called.
-func runNotes(t *testing.T, list [2]*Notes) (end func()) {
+// runTransports runs the transports until end is called, and checks that they end without an error.
+func runTransports(t *testing.T, list [2]*Transport) (end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, len(list))
 	for _, n := range list {
@@ -90,30 +90,30 @@
 	}
 }
 
-// A router that has just started asks some others, and is told by them alone; who does not show its
-// token is told nothing.
-func TestStartingRouterIsTold(t *testing.T) {
+// TestStateQueryIsAnswered checks that a router that has just started receives the verdicts of
+// those that it queries, and that it drops an answer under another token than its own.
+func TestStateQueryIsAnswered(t *testing.T) {
 	want := poison.Verdict{Fingerprint: poison.Fingerprint{7}, Crashes: []poison.Crash{{Endpoint: 9}}}
-	heard := make(chan poison.Verdict, 1)
-	list, all := twoNotes(t)
+	received := make(chan poison.Verdict, 1)
+	list, all := twoTransports(t)
 	starting, other := list[0], list[1]
-	other.ForStarting = func() []poison.Verdict { return []poison.Verdict{want} }
-	starting.OnVerdicts = func(list []poison.Verdict) { heard <- list[0] }
+	other.Verdicts = func() []poison.Verdict { return []poison.Verdict{want} }
+	starting.OnVerdicts = func(list []poison.Verdict) { received <- list[0] }
 	starting.fleet.Put(all[1])
-	end := runNotes(t, list)
-	starting.AskStarting(strings.Repeat("?", tokenBytes))
-	starting.AskStarting(all[0].Token)
+	end := runTransports(t, list)
+	starting.QueryState(strings.Repeat("?", tokenBytes))
+	starting.QueryState(all[0].Token)
 	select {
-	case got := <-heard:
+	case got := <-received:
 		if got.Fingerprint != want.Fingerprint || len(got.Crashes) != 1 || got.Crashes[0].Endpoint != 9 {
-			t.Errorf("told: got %+v, want %+v", got, want)
+			t.Errorf("answer to the state query: got %+v, want %+v", got, want)
 		}
-	case <-time.After(patience):
-		t.Error("nothing was told")
+	case <-time.After(waitTimeout):
+		t.Error("answer to the state query: none received")
 	}
 	end()
-	if len(heard) > 0 {
-		t.Error("told more than once: the answer under a wrong token was taken")
+	if len(received) > 0 {
+		t.Error("received a second answer: the one under a wrong token was not dropped")
 	}
 }
 
@@ -131,10 +131,10 @@
 		if err != nil {
 			return
 		}
-		// Whatever it says, it may be taken over.
-		book := poison.NewDetector()
+		// Whatever was decoded, a detector accepts it.
+		detector := poison.NewDetector()
 		for _, v := range list {
-			book.Merge(now, v)
+			detector.Merge(now, v)
 		}
 		again, err := encodeVerdicts(nil, list, now)
 		if err != nil || len(list) > 0 && len(again) == 0 {
@@ -143,8 +143,9 @@
 	})
 }
 
-// Routers agree on who keeps a request's crashes, and each request has others.
-func TestKeepersAreTheSame(t *testing.T) {
+// TestCollectorsAgree checks that all routers select the same collectors for a request's crash
+// reports, and that the collectors differ between requests.
+func TestCollectorsAgree(t *testing.T) {
 	const routers = 40
 	fleets := make([]*Fleet, routers)
 	for i := range fleets {
@@ -153,24 +154,24 @@
 			fleets[i].Put(Peer{Name: fmt.Sprint("vm-", j), Addr: netip.MustParseAddrPort("127.0.0.1:1")})
 		}
 	}
-	kept := make(map[string]int)
+	collected := make(map[string]int)
 	for n := range byte(100) {
 		p := poison.Fingerprint{n, n}
 		ranks := make(map[int]bool)
 		for i, f := range fleets {
-			rank := f.Rank(p)
+			rank := f.CollectorRank(p)
 			ranks[rank] = true
-			if rank < keepersMost {
-				kept[fmt.Sprint("vm-", i)]++
+			if rank < maxCollectors {
+				collected[fmt.Sprint("vm-", i)]++
 			}
-			for _, k := range f.keepers(p) {
+			for _, k := range f.collectors(p) {
 				var j int
 				if _, err := fmt.Sscanf(k.Name, "vm-%d", &j); err != nil {
 					t.Fatal(err)
 				}
-				// A keeper's own list has the next one in its place.
-				if got := fleets[j].Rank(p); got > keepersMost {
-					t.Errorf("request %d: %s is told of its ends and has rank %d", n, k.Name, got)
+				// A sender leaves itself out, so that its list has one collector more.
+				if got := fleets[j].CollectorRank(p); got > maxCollectors {
+					t.Errorf("request %d: %s receives its crash reports and has rank %d", n, k.Name, got)
 				}
 			}
 		}
@@ -178,7 +179,7 @@
 			t.Errorf("request %d: %d different ranks, want %d", n, len(ranks), routers)
 		}
 	}
-	if len(kept) != routers {
-		t.Errorf("routers that keep the ends of some request: got %d, want %d", len(kept), routers)
+	if len(collected) != routers {
+		t.Errorf("routers that collect the crash reports of some request: got %d, want %d", len(collected), routers)
 	}
 }
--- a/internal/peers/fleet.go
+++ b/internal/peers/fleet.go
@@ -14,106 +14,109 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fleet is what a router knows of the others. Use NewFleet.
+// Fleet holds the registered routers, ranks them, and records how they answered this router's
+// pulls. Create it with NewFleet. It is safe for concurrent use.
 type Fleet struct {
 	self string
 	mu   sync.Mutex
-	// byName holds the registered routers, this one too.
+	// byName holds the registered routers by name, including this one.
 	byName map[string]Peer
-	// order holds them by rank; nil after a change. See rank.
-	order []Peer
-	// generation grows whenever a router that may send comes or goes; see Hashes.
+	// byRank holds the routers of byName in the order of sortByRank; nil after a change.
+	byRank []Peer
+	// generation increases when a router that may send appears or expires; see SenderHashes.
 	generation uint64
-	// removed holds until when a router that is not registered any more may still send.
-	removed map[string]time.Time
-	// Now is the clock.
+	// removedUntil holds, for routers whose registration was removed, the end of the time for which
+	// they still count as senders; see removedSenderTTL.
+	removedUntil map[string]time.Time
+	// Now is the clock for the expiry of removed routers; set it before the first use.
 	Now func() time.Time
-	// shunned holds until when a peer that did not answer well is not asked.
-	shunned map[string]time.Time
-	// leaving says that this router stops and leaves the store to the others.
+	// backoffUntil holds until when no pull is sent to a peer, by name.
+	backoffUntil map[string]time.Time
+	// leaving is set once this router stops, and leaves the store to the others.
 	leaving bool
-	// silent holds since when a peer gives no answer at all.
-	silent map[string]time.Time
+	// noAnswerSince holds the time of the first of the pulls that a peer has not answered since its
+	// last answer, by name.
+	noAnswerSince map[string]time.Time
 }
 
 const (
-	// askersLeast is how many routers the others ask at least, and how many ask the store: two,
-	// so that one can fail without any other noticing more than a second.
-	askersLeast = 2
-	// askedBy is how many routers one of them answers at most on average. In
-	// a sweep of 300 routers, two that answered all used 16 % of
-	// a core where the others used 3 %.
-	askedBy = 40
+	// minSources is the minimum number of sources, the routers from which the others pull, and of
+	// readers, those that read the store. With two, one can fail and no other router is without
+	// changes for more than a second.
+	minSources = 2
+	// maxPullersPerSource is the maximum average number of routers that pull from one source. With
+	// 300 routers, two sources for all of them used 16% of a core, where the others used 3%.
+	maxPullersPerSource = 40
 )
 
-// askers returns how many of n routers the others ask.
-func askers(n int) int { return max(askersLeast, n/askedBy) }
+// sourceCount returns the number of sources in a fleet of n routers.
+func sourceCount(n int) int { return max(minSources, n/maxPullersPerSource) }
 
-// readers returns how many of n routers ask the store. Where more routers are asked, these are
-// relays, which ask the readers: what is called of the store does not grow with the fleet.
-func readers(n int) int { return max(askersLeast, askers(n)/askedBy) }
+// readerCount returns the number of readers in a fleet of n routers. If there are more sources than
+// readers, the sources are relays, which pull from the readers, so that the calls to the store do
+// not grow with the fleet.
+func readerCount(n int) int { return max(minSources, sourceCount(n)/maxPullersPerSource) }
 
-// relays returns how many of n routers pass on what the readers know; 0 where the others ask the
-// readers themselves.
-func relays(n int) int {
-	if askers(n) <= readers(n) {
+// relayCount returns the number of relays in a fleet of n routers; 0 if all routers pull from the
+// readers.
+func relayCount(n int) int {
+	if sourceCount(n) <= readerCount(n) {
 		return 0
 	}
-	return askers(n)
+	return sourceCount(n)
 }
 
 const (
-	// shunFor is how long a peer that gave no answer is not asked, illFor one that
-	// was ill informed: it may be well informed soon, as one that begins to ask the
-	// store.
-	shunFor = 3 * time.Second
-	illFor  = time.Second
+	// noAnswerBackoff is the back-off from a peer that gave no answer, staleBackoff from one with a
+	// stale copy: that one may soon be fresh, for example if it begins to read the store.
+	noAnswerBackoff = 3 * time.Second
+	staleBackoff    = time.Second
 )
 
-// NewFleet returns a fleet of one.
+// NewFleet returns the fleet of the router named self, with no router registered.
 func NewFleet(self string) *Fleet {
-	return &Fleet{self: self, byName: make(map[string]Peer), shunned: make(map[string]time.Time), silent: make(map[string]time.Time), removed: make(map[string]time.Time), Now: time.Now}
+	return &Fleet{self: self, byName: make(map[string]Peer), backoffUntil: make(map[string]time.Time), noAnswerSince: make(map[string]time.Time), removedUntil: make(map[string]time.Time), Now: time.Now}
 }
 
-// Put takes over a registered router.
+// Put stores the registration of a router, in place of an earlier one, and clears its back-off.
 func (f *Fleet) Put(p Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, listed := f.byName[p.Name]
-	_, sends := f.removed[p.Name]
+	_, sends := f.removedUntil[p.Name]
 	if !listed && !sends {
 		f.generation++
 	}
-	delete(f.removed, p.Name)
+	delete(f.removedUntil, p.Name)
 	f.byName[p.Name] = p
-	f.order = nil
-	delete(f.shunned, p.Name)
-	delete(f.silent, p.Name)
+	f.byRank = nil
+	delete(f.backoffUntil, p.Name)
+	delete(f.noAnswerSince, p.Name)
 }
 
-// Remove forgets a router.
+// Remove removes the registration of a router. The router counts as a sender for removedSenderTTL.
 func (f *Fleet) Remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.byName[name]; ok {
-		f.removed[name] = f.Now().Add(sendsOn)
+		f.removedUntil[name] = f.Now().Add(removedSenderTTL)
 	}
 	delete(f.byName, name)
-	f.order = nil
+	f.byRank = nil
 }
 
-// ranked returns the routers by rank; mu is held.
+// ranked returns the routers by rank. The caller holds mu.
 func (f *Fleet) ranked() []Peer {
-	if f.order == nil {
-		f.order = rank(slices.Collect(maps.Values(f.byName)))
+	if f.byRank == nil {
+		f.byRank = sortByRank(slices.Collect(maps.Values(f.byName)))
 	}
-	return f.order
+	return f.byRank
 }
 
-// rank orders routers, the same way everywhere: first the most able one of each
-// availability zone, then the second of each, so that the few that read the store and
-// answer the others are spread over the zones, on the VMs that bear it best.
-func rank(list []Peer) []Peer {
+// sortByRank sorts list by rank, the same way in every process, and returns it: first the most
+// capable router of each availability zone, then the second of each, and so on. The readers and
+// relays are thereby spread over the zones, on the VMs with the most capacity.
+func sortByRank(list []Peer) []Peer {
 	hash := make(map[string]uint64, len(list))
 	for _, p := range list {
 		hash[p.Name] = xxhash.Sum64String(p.Name)
@@ -121,56 +124,60 @@
 	byHash := func(a, b Peer) int {
 		return cmp.Or(cmp.Compare(hash[a.Name], hash[b.Name]), cmp.Compare(a.Name, b.Name))
 	}
-	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(b.Ability, a.Ability), byHash(a, b)) })
-	inZone, place := make(map[string]int), make(map[string]int, len(list))
+	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(b.Millicores, a.Millicores), byHash(a, b)) })
+	inZone, placeInZone := make(map[string]int), make(map[string]int, len(list))
 	for _, p := range list {
-		place[p.Name] = inZone[p.Zone]
+		placeInZone[p.Name] = inZone[p.Zone]
 		inZone[p.Zone]++
 	}
-	slices.SortFunc(list, func(a, b Peer) int { return cmp.Or(cmp.Compare(place[a.Name], place[b.Name]), byHash(a, b)) })
+	slices.SortFunc(list, func(a, b Peer) int {
+		return cmp.Or(cmp.Compare(placeInZone[a.Name], placeInZone[b.Name]), byHash(a, b))
+	})
 	return list
 }
 
-// sendsOn is how long a router that is not registered any more counts among those that may send:
-// one that stops answers for some seconds more, and one that others removed as silent may be well
-// and only not reach them, until it has registered again.
-const sendsOn = 15 * time.Second
+// removedSenderTTL is how long a router whose registration was removed counts as a sender. A router
+// that stops still answers for some seconds, and one that others removed as unresponsive may be
+// healthy and only unreachable for them, until it has registered again.
+const removedSenderTTL = 15 * time.Second
 
-// Generation returns a number that grows whenever a router that may send comes or goes.
+// Generation returns a number that increases when a router that may send appears or expires.
 func (f *Fleet) Generation() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgetRemoved()
+	f.expireRemoved()
 	return f.generation
 }
 
-// forgetRemoved forgets the routers that send no more; mu is held.
-func (f *Fleet) forgetRemoved() {
+// expireRemoved drops the removed routers whose time as senders is over. The caller holds mu.
+func (f *Fleet) expireRemoved() {
 	now := f.Now()
-	for name, until := range f.removed {
+	for name, until := range f.removedUntil {
 		if !now.Before(until) {
-			delete(f.removed, name)
+			delete(f.removedUntil, name)
 			f.generation++
 		}
 	}
 }
 
-// Sending returns how many routers may send.
-func (f *Fleet) Sending() int {
+// SenderCount returns the number of routers that may send requests to endpoints: the registered
+// ones, and those removed less than removedSenderTTL ago.
+func (f *Fleet) SenderCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgetRemoved()
-	return len(f.byName) + len(f.removed)
+	f.expireRemoved()
+	return len(f.byName) + len(f.removedUntil)
 }
 
-// Hashes returns what the routers are known by where each works out for itself what its part
-// is, this one and all that may send, of which generation they are.
-func (f *Fleet) Hashes() (self uint64, all []uint64, generation uint64) {
+// SenderHashes returns the hashes of the names of this router and of all that may send (see
+// SenderCount), by which each router computes its own share of a limit, and the Generation that
+// they belong to.
+func (f *Fleet) SenderHashes() (self uint64, all []uint64, generation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgetRemoved()
-	all = make([]uint64, 0, len(f.byName)+len(f.removed))
-	for _, names := range []iter.Seq[string]{maps.Keys(f.byName), maps.Keys(f.removed)} {
+	f.expireRemoved()
+	all = make([]uint64, 0, len(f.byName)+len(f.removedUntil))
+	for _, names := range []iter.Seq[string]{maps.Keys(f.byName), maps.Keys(f.removedUntil)} {
 		for name := range names {
 			all = append(all, xxhash.Sum64String(name))
 		}
@@ -178,38 +185,40 @@
 	return xxhash.Sum64String(f.self), all, f.generation
 }
 
-// Len returns how many routers are registered.
+// Len returns the number of registered routers.
 func (f *Fleet) Len() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.byName)
 }
 
-// Tries returns how many peers this router asks in a row before it does something else.
-func (f *Fleet) Tries(now time.Time) int {
+// PullAttempts returns the number of peers that this router pulls from in turn before it tries
+// others or the store: the number of readers for a relay, of sources otherwise.
+func (f *Fleet) PullAttempts(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.relay(now) {
-		return readers(len(f.byName))
+	if f.isRelay(now) {
+		return readerCount(len(f.byName))
 	}
-	return askers(len(f.byName))
+	return sourceCount(len(f.byName))
 }
 
-// Relay reports whether this router is one of those that pass on what the readers know.
-func (f *Fleet) Relay(now time.Time) bool {
+// IsRelay reports whether this router is a relay at now, by its rank among the routers that are not
+// backed off from.
+func (f *Fleet) IsRelay(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.relay(now)
+	return f.isRelay(now)
 }
 
-// relay is Relay; mu is held.
-func (f *Fleet) relay(now time.Time) bool {
+// isRelay is IsRelay for a caller that holds mu.
+func (f *Fleet) isRelay(now time.Time) bool {
 	n := len(f.byName)
-	rank, ok := f.rankOf(now)
-	return ok && rank >= readers(n) && rank < readers(n)+relays(n)
+	rank, ok := f.currentRank(now)
+	return ok && rank >= readerCount(n) && rank < readerCount(n)+relayCount(n)
 }
 
-// Registered reports whether this router is among the registered ones.
+// Registered reports whether this router is registered.
 func (f *Fleet) Registered() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,112 +226,118 @@
 	return ok
 }
 
-// Asker reports whether this router is one of those that ask the store for all.
-// One that is not registered asks for itself, unless it leaves and others are there.
-func (f *Fleet) Asker(now time.Time) bool {
+// ReadsStore reports whether this router is a reader at now, by its rank among the routers that are
+// not backed off from. A router that is not registered reads the store for itself, unless it is
+// leaving and another router is available.
+func (f *Fleet) ReadsStore(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rank, ok := f.rankOf(now)
+	rank, ok := f.currentRank(now)
 	if ok {
-		return rank < readers(len(f.byName))
+		return rank < readerCount(len(f.byName))
 	}
 	return !f.leaving || rank == 0
 }
 
-// rankOf returns how many others that are not shunned come before this router, or if it
-// is not registered, how many there are; mu is held.
-func (f *Fleet) rankOf(now time.Time) (rank int, registered bool) { return f.rankBut(now, "") }
+// currentRank returns the number of other routers that precede this one by rank and are not backed
+// off from; if this router is not registered, the number of all of them. The caller holds mu.
+func (f *Fleet) currentRank(now time.Time) (rank int, registered bool) {
+	return f.currentRankExcept(now, "")
+}
 
-// rankBut is rankOf, but for one of the others; mu is held.
-func (f *Fleet) rankBut(now time.Time, but string) (rank int, registered bool) {
+// currentRankExcept is currentRank without the router named except. The caller holds mu.
+func (f *Fleet) currentRankExcept(now time.Time, except string) (rank int, registered bool) {
 	for _, p := range f.ranked() {
 		if p.Name == f.self {
 			return rank, true
 		}
-		if p.Name != but && now.After(f.shunned[p.Name]) {
+		if p.Name != except && now.After(f.backoffUntil[p.Name]) {
 			rank++
 		}
 	}
 	return rank, false
 }
 
-// First reports whether this router is one of the first, whatever became of the others.
-func (f *Fleet) First() bool {
+// IsPrimaryReader reports whether this router is a reader if back-offs are ignored.
+func (f *Fleet) IsPrimaryReader() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rank, ok := f.rankOf(farFuture)
-	return ok && rank < readers(len(f.byName))
+	rank, ok := f.currentRank(farFuture)
+	return ok && rank < readerCount(len(f.byName))
 }
 
-// farFuture is when nobody is shunned any more.
+// farFuture is a time at which every back-off has ended.
 var farFuture = time.Unix(1<<40, 0)
 
-// Leave notes that this router stops.
-func (f *Fleet) Leave() {
+// SetLeaving records that this router stops.
+func (f *Fleet) SetLeaving() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leaving = true
 }
 
-// Next returns the peer to ask: of the first that answered well one in the own
-// availability zone, if there is one; draw spreads the load over them. ok is false if
-// there is none. From all, any peer is meant.
-func (f *Fleet) Next(now time.Time, draw uint64, all bool) (p Peer, ok bool) {
+// PickPeer returns the peer for the next pull: one of this router's sources, in its own
+// availability zone if there is one, or if all is set, any peer. Peers backed off from at now are
+// left out. draw selects among the candidates, to spread the load over them. ok is false if there
+// is none.
+func (f *Fleet) PickPeer(now time.Time, draw uint64, all bool) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var open []Peer
+	var candidates []Peer
 	if all {
-		open = f.open(now, len(f.byName))
+		candidates = f.available(now, len(f.byName))
 	} else {
-		open = f.near(f.asked(now))
+		candidates = f.sameZone(f.sources(now))
 	}
-	if len(open) == 0 {
+	if len(candidates) == 0 {
 		return Peer{}, false
 	}
-	return open[draw%uint64(len(open))], true
+	return candidates[draw%uint64(len(candidates))], true
 }
 
-// open returns the first so many of the other routers by rank that are not shunned; mu is held.
-func (f *Fleet) open(now time.Time, most int) (list []Peer) {
+// available returns at most limit other routers, the first by rank among those that are not backed
+// off from at now. The caller holds mu.
+func (f *Fleet) available(now time.Time, limit int) (list []Peer) {
 	for _, p := range f.ranked() {
-		if len(list) >= most {
+		if len(list) >= limit {
 			break
 		}
-		if p.Name != f.self && now.After(f.shunned[p.Name]) {
+		if p.Name != f.self && now.After(f.backoffUntil[p.Name]) {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// asked returns the open routers that this one asks: the readers if it is one of the first or there
-// are no relays, and otherwise the relays; mu is held.
-func (f *Fleet) asked(now time.Time) []Peer {
+// sources returns the peers from which this router pulls and that are not backed off from at now:
+// the readers if there are no relays, or none is available, or this router is a reader or relay
+// itself, and the relays otherwise. The caller holds mu.
+func (f *Fleet) sources(now time.Time) []Peer {
 	n := len(f.byName)
-	first := readers(n) + relays(n)
-	open := f.open(now, first)
-	rank, ok := f.rankOf(now)
-	if relays(n) == 0 || ok && rank < first || len(open) <= readers(n) {
-		return open[:min(len(open), readers(n))]
+	first := readerCount(n) + relayCount(n)
+	available := f.available(now, first)
+	rank, ok := f.currentRank(now)
+	if relayCount(n) == 0 || ok && rank < first || len(available) <= readerCount(n) {
+		return available[:min(len(available), readerCount(n))]
 	}
-	return open[readers(n):]
+	return available[readerCount(n):]
 }
 
-// Leader returns one of the first routers, whatever became of it; draw spreads the load over
-// them. ok is false if there is none but this one.
-func (f *Fleet) Leader(draw uint64) (p Peer, ok bool) {
+// PickPrimary returns one of this router's sources, selected by draw, with back-offs ignored. ok is
+// false if there is no other router.
+func (f *Fleet) PickPrimary(draw uint64) (p Peer, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list := f.asked(farFuture)
+	list := f.sources(farFuture)
 	if len(list) == 0 {
 		return Peer{}, false
 	}
 	return list[draw%uint64(len(list))], true
 }
 
-// near returns those of a list that are in this router's availability zone; the whole list
-// if there are none, or if that zone is not known. mu is held.
-func (f *Fleet) near(list []Peer) []Peer {
+// sameZone returns those of a list that are in this router's availability zone; the whole list if
+// there are none or this router's zone is not known. The caller holds mu.
+func (f *Fleet) sameZone(list []Peer) []Peer {
 	zone := f.byName[f.self].Zone
 	if zone == "" {
 		return list
@@ -339,47 +354,49 @@
 	return near
 }
 
-// Skip leaves a peer alone until a time.
-func (f *Fleet) Skip(name string, until time.Time) {
+// BackOff lets no pull be sent to a peer until a time.
+func (f *Fleet) BackOff(name string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shunned[name] = until
+	f.backoffUntil[name] = until
 }
 
-// Shun leaves a peer alone for a while that was ill informed.
-func (f *Fleet) Shun(name string, now time.Time) {
-	f.Skip(name, now.Add(illFor))
+// RecordStale records at now that a peer's copy is stale, and backs off from it for staleBackoff.
+func (f *Fleet) RecordStale(name string, now time.Time) {
+	f.BackOff(name, now.Add(staleBackoff))
 }
 
-// Fail notes that a peer gave no answer; it is left alone for a while.
-func (f *Fleet) Fail(name string, now time.Time) {
+// RecordNoAnswer records at now that a peer did not answer a pull, and backs off from it for
+// noAnswerBackoff.
+func (f *Fleet) RecordNoAnswer(name string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shunned[name] = now.Add(shunFor)
-	if f.silent[name].IsZero() {
-		f.silent[name] = now
+	f.backoffUntil[name] = now.Add(noAnswerBackoff)
+	if f.noAnswerSince[name].IsZero() {
+		f.noAnswerSince[name] = now
 	}
 }
 
-// Heard notes that a peer gave an answer.
-func (f *Fleet) Heard(name string) {
+// RecordAnswer records that a peer answered a pull, whether its copy is fresh or not.
+func (f *Fleet) RecordAnswer(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.silent, name)
+	delete(f.noAnswerSince, name)
 }
 
-// goneAfter is how long a peer must be silent for its registration to be
-// removed. A killed one is back and registered anew within seconds.
-const goneAfter = 12 * time.Second
+// unresponsiveAfter is the time without an answer after which the registration of a peer may be
+// removed. A router that was killed is back and registered again within seconds.
+const unresponsiveAfter = 12 * time.Second
 
-// Gone returns the registered peers that have been silent for long.
-func (f *Fleet) Gone(now time.Time) (gone []Peer) {
+// Unresponsive returns the registered peers that at now have answered no pull for more than
+// unresponsiveAfter.
+func (f *Fleet) Unresponsive(now time.Time) (list []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.ranked() {
-		if since := f.silent[p.Name]; !since.IsZero() && now.Sub(since) > goneAfter {
-			gone = append(gone, p)
+		if since := f.noAnswerSince[p.Name]; !since.IsZero() && now.Sub(since) > unresponsiveAfter {
+			list = append(list, p)
 		}
 	}
-	return gone
+	return list
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -24,19 +24,20 @@
 	"github.com/traildrift/traildrift/internal/tasks"
 )
 
-// patience bounds the waits of tests.
-const patience = 20 * time.Second
+// waitTimeout is the maximum time for which a test waits for one event.
+const waitTimeout = 20 * time.Second
 
-// served is a peer with a mirror of its own.
-type served struct {
+// testPeer is a peer that serves a mirror of its own.
+type testPeer struct {
 	Peer
 	mirror *mirror.Mirror
 	srv    *httptest.Server
 }
 
-func serve(t *testing.T, name string) *served {
+// startPeer returns a peer whose server runs until the test ends.
+func startPeer(t *testing.T, name string) *testPeer {
 	m := mirror.New("config", "k")
-	p := &served{mirror: m, Peer: Peer{Name: name, Token: "token-of-" + name + "-0123456789"}}
+	p := &testPeer{mirror: m, Peer: Peer{Name: name, Token: "token-of-" + name + "-0123456789"}}
 	p.srv = httptest.NewServer(NewServer(zap.NewNop(), m, "config", secretOf(p.Token)))
 	t.Cleanup(p.srv.Close)
 	p.Addr = p.srv.Listener.Addr().(*net.TCPAddr).AddrPort()
@@ -49,159 +50,165 @@
 	return &s
 }
 
-func asker(list ...*served) *Asker {
+// newTestPuller returns a Puller of a router named self whose fleet has the peers in list, and not
+// itself.
+func newTestPuller(list ...*testPeer) *Puller {
 	f := NewFleet("self")
 	for _, p := range list {
 		f.Put(p.Peer)
 	}
-	return NewAsker(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
+	return NewPuller(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
 }
 
-func put(m *mirror.Mirror, revision int64, at time.Time) {
+// putRevision stores one object in each kind, as of a revision that was proven to be the newest at
+// the time at.
+func putRevision(m *mirror.Mirror, revision int64, at time.Time) {
 	for _, kind := range []string{"config", "k"} {
 		m.List(kind, []mirror.Object{{Name: "a", Revision: revision, Spec: json.RawMessage(`{}`)}}, revision, at, time.Time{})
 	}
 }
 
-func TestAskTakesChangesAndTheirAge(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
+func TestPullAppliesChangesAndTheirAge(t *testing.T) {
+	p := startPeer(t, "p")
+	pl := newTestPuller(p)
 	proven := time.Now().Add(-time.Second)
-	put(p.mirror, 5, proven)
-	if !a.ask(context.Background(), p.Peer, true) {
-		t.Fatal("ask: got false, want true")
+	putRevision(p.mirror, 5, proven)
+	if !pl.pull(context.Background(), p.Peer, true) {
+		t.Fatal("pull: got a stale peer, want a fresh one")
 	}
-	if got := a.Mirror.Revision("k"); got != 5 {
+	if got := pl.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5", got)
 	}
-	got := a.Mirror.Proven("config")
-	if got.After(proven.Add(time.Millisecond)) || got.Before(proven.Add(-patience)) {
+	got := pl.Mirror.Proven("config")
+	if got.After(proven.Add(time.Millisecond)) || got.Before(proven.Add(-waitTimeout)) {
 		t.Errorf("proven at: got %v, want at most %v", got, proven)
 	}
 }
 
-func TestAskHearsOfAChangeWhileHeld(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
-	put(p.mirror, 5, time.Now())
-	a.ask(context.Background(), p.Peer, true)
+func TestHeldRequestReturnsAChange(t *testing.T) {
+	p := startPeer(t, "p")
+	pl := newTestPuller(p)
+	putRevision(p.mirror, 5, time.Now())
+	pl.pull(context.Background(), p.Peer, true)
 	got := make(chan bool)
-	go func() { got <- a.ask(context.Background(), p.Peer, true) }()
-	put(p.mirror, 6, time.Now())
-	if !<-got || a.Mirror.Revision("k") != 6 {
-		t.Errorf("revision: got %d, want 6", a.Mirror.Revision("k"))
+	go func() { got <- pl.pull(context.Background(), p.Peer, true) }()
+	putRevision(p.mirror, 6, time.Now())
+	if !<-got || pl.Mirror.Revision("k") != 6 {
+		t.Errorf("revision: got %d, want 6", pl.Mirror.Revision("k"))
 	}
 }
 
-func TestWrongTokenGetsNothing(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now())
-	a := asker(p)
-	thief := p.Peer
-	thief.Token = "guessed"
-	if a.ask(context.Background(), thief, true) || a.Mirror.Revision("k") != -1 {
-		t.Error("an asker without the token got an answer")
+func TestWrongTokenIsRejected(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now())
+	pl := newTestPuller(p)
+	intruder := p.Peer
+	intruder.Token = "guessed"
+	if pl.pull(context.Background(), intruder, true) || pl.Mirror.Revision("k") != -1 {
+		t.Error("a pull with a wrong token was answered")
 	}
 }
 
-func TestIllInformedPeerIsLeft(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now().Add(-time.Minute))
-	a := asker(p)
-	if a.ask(context.Background(), p.Peer, true) {
-		t.Error("ask: got true of a peer that heard nothing for a minute")
+func TestStalePeerIsBackedOff(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
+	pl := newTestPuller(p)
+	if pl.pull(context.Background(), p.Peer, true) {
+		t.Error("pull from a peer whose copy is a minute old: got a fresh peer, want a stale one")
 	}
-	if _, ok := a.Fleet.Next(time.Now(), 0, true); ok {
-		t.Error("the peer is asked again at once")
+	if _, ok := pl.Fleet.PickPeer(time.Now(), 0, true); ok {
+		t.Error("next peer: got the stale one, want none during its back-off")
 	}
-	if got := a.Mirror.Revision("k"); got != 5 {
-		t.Errorf("revision: got %d, want 5: what it knows is taken all the same", got)
+	if got := pl.Mirror.Revision("k"); got != 5 {
+		t.Errorf("revision: got %d, want 5, as changes of a stale peer are applied as well", got)
 	}
 }
 
-// Removed objects that only lapsed stay usable for as long at the asker.
-func TestLapsesArePassedOn(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
-	put(p.mirror, 5, time.Now())
-	a.ask(context.Background(), p.Peer, true)
+// TestLapseTimesArePropagated checks that a removed object that lapses later stays usable for as
+// long in the puller's mirror.
+func TestLapseTimesArePropagated(t *testing.T) {
+	p := startPeer(t, "p")
+	pl := newTestPuller(p)
+	putRevision(p.mirror, 5, time.Now())
+	pl.pull(context.Background(), p.Peer, true)
 	lapsesAt := time.Now().Add(time.Hour)
 	p.mirror.List("k", nil, 6, time.Now(), lapsesAt)
 	var got mirror.Change
-	a.Mirror.OnChange = func(_ string, c mirror.Change) { got = c }
-	a.ask(context.Background(), p.Peer, true)
-	if !got.Gone || got.LapsesAt.Before(lapsesAt.Add(-patience)) || got.LapsesAt.After(lapsesAt.Add(patience)) {
+	pl.Mirror.OnChange = func(_ string, c mirror.Change) { got = c }
+	pl.pull(context.Background(), p.Peer, true)
+	if !got.Gone || got.LapsesAt.Before(lapsesAt.Add(-waitTimeout)) || got.LapsesAt.After(lapsesAt.Add(waitTimeout)) {
 		t.Errorf("change: got %+v, want gone, lapsing at about %v", got, lapsesAt)
 	}
 }
 
-func TestFirstTwoAskTheStore(t *testing.T) {
+func TestTwoRoutersReadTheStore(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	now := time.Now()
-	count := func(shunned string) (n int) {
+	count := func(stale string) (n int) {
 		for _, self := range names {
 			f := NewFleet(self)
 			for _, name := range names {
 				f.Put(Peer{Name: name})
 			}
-			if shunned != "" && self != shunned {
-				f.Shun(shunned, now)
+			if stale != "" && self != stale {
+				f.RecordStale(stale, now)
 			}
-			if self != shunned && f.Asker(now) {
+			if self != stale && f.ReadsStore(now) {
 				n++
 			}
 		}
 		return n
 	}
-	if got := count(""); got != askersLeast {
-		t.Errorf("routers that ask the store: got %d, want %d", got, askersLeast)
+	if got := count(""); got != minSources {
+		t.Errorf("readers: got %d, want %d", got, minSources)
 	}
 	for _, name := range names {
-		if got := count(name); got != askersLeast {
-			t.Errorf("with %s silent: got %d, want %d", name, got, askersLeast)
+		if got := count(name); got != minSources {
+			t.Errorf("readers with %s backed off from: got %d, want %d", name, got, minSources)
 		}
 	}
 }
 
-// A router that stops has no registration any more and is up for seconds.
-func TestLeavingRouterLeavesTheStore(t *testing.T) {
+// TestLeavingRouterDoesNotReadTheStore covers a router that stops: its registration is removed
+// seconds before it ends.
+func TestLeavingRouterDoesNotReadTheStore(t *testing.T) {
 	f := NewFleet("self")
 	now := time.Now()
 	f.Put(Peer{Name: "self"})
 	f.Put(Peer{Name: "a"})
-	f.Leave()
+	f.SetLeaving()
 	f.Remove("self")
-	if f.Asker(now) {
-		t.Error("leaving, with another one there: got true, want the store left to it")
+	if f.ReadsStore(now) {
+		t.Error("leaving, with another router available: got a reader, want none")
 	}
-	f.Shun("a", now)
-	if !f.Asker(now) {
-		t.Error("leaving, with none that answers: got false, want it to ask the store")
+	f.RecordStale("a", now)
+	if !f.ReadsStore(now) {
+		t.Error("leaving, with no router available: got no reader, want one")
 	}
 }
 
-func TestSilentPeerIsGoneLater(t *testing.T) {
+func TestSilentPeerBecomesUnresponsive(t *testing.T) {
 	f := NewFleet("self")
 	f.Put(Peer{Name: "a"})
 	now := time.Now()
-	f.Fail("a", now)
-	if got := f.Gone(now.Add(goneAfter)); len(got) != 0 {
-		t.Errorf("gone too soon: got %v", got)
+	f.RecordNoAnswer("a", now)
+	if got := f.Unresponsive(now.Add(unresponsiveAfter)); len(got) != 0 {
+		t.Errorf("unresponsive after unresponsiveAfter: got %v, want none", got)
 	}
-	if got := f.Gone(now.Add(goneAfter + time.Second)); len(got) != 1 {
-		t.Errorf("gone: got %v, want a", got)
+	if got := f.Unresponsive(now.Add(unresponsiveAfter + time.Second)); len(got) != 1 {
+		t.Errorf("unresponsive a second later: got %v, want a", got)
 	}
-	f.Heard("a")
-	if got := f.Gone(now.Add(goneAfter + time.Second)); len(got) != 0 {
-		t.Errorf("gone after it was heard: got %v", got)
+	f.RecordAnswer("a")
+	if got := f.Unresponsive(now.Add(unresponsiveAfter + time.Second)); len(got) != 0 {
+		t.Errorf("unresponsive after an answer: got %v, want none", got)
 	}
 }
 
-func TestNotesReachTheOthers(t *testing.T) {
-	heard := make(chan Note, 10)
+func TestAttemptReportsReachAllRouters(t *testing.T) {
+	received := make(chan AttemptReport, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 3)
-	var list []*Notes
+	var list []*Transport
 	var all []Peer
 	for i := range 3 {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -212,7 +219,7 @@
 		_ = c.Close()
 		all = append(all, Peer{Name: fmt.Sprint(i), Addr: addr, Token: fmt.Sprintf("%016d-and-more", i)})
 		f := NewFleet(all[i].Name)
-		n, err := NewNotes(zap.NewNop(), f, addr, secretOf(all[i].Token), func(n Note) { heard <- n })
+		n, err := NewTransport(zap.NewNop(), f, addr, secretOf(all[i].Token), func(n AttemptReport) { received <- n })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,321 +231,331 @@
 			n.fleet.Put(p)
 		}
 	}
-	want := Note{From: netip.MustParseAddr("127.0.0.1"), Endpoint: 77, Busy: 1500 * time.Millisecond, Failed: true, Prefix: 99}
-	list[0].Send(want, everybody)
+	want := AttemptReport{From: netip.MustParseAddr("127.0.0.1"), Endpoint: 77, Busy: 1500 * time.Millisecond, Failed: true, Prefix: 99}
+	list[0].SendAttemptReport(want, allZones)
 	for range 2 {
 		select {
-		case got := <-heard:
+		case got := <-received:
 			if got != want {
-				t.Errorf("note: got %+v, want %+v", got, want)
+				t.Errorf("attempt report: got %+v, want %+v", got, want)
 			}
-		case <-time.After(patience):
-			t.Fatal("a note was not heard")
+		case <-time.After(waitTimeout):
+			t.Fatal("an attempt report was not received")
 		}
 	}
 	cancel()
 	for range list {
 		if err := <-ended; err != nil {
-			t.Errorf("hearer: %v", err)
+			t.Errorf("transport: %v", err)
 		}
 	}
 }
 
-// Of routers that start together the first ones read the store; the others wait for these,
-// but not for ever, and after that leave the store to them.
-func TestFirstRoutersReadTheStore(t *testing.T) {
+// TestPrimaryReadersReadTheStoreAtStart checks that of routers that start together the readers read
+// the store at once. The others wait for them, but read the store after their start delay, and no
+// more once they have everything.
+func TestPrimaryReadersReadTheStoreAtStart(t *testing.T) {
 	names := []string{"self"}
 	for i := range 9 {
 		names = append(names, fmt.Sprint("p", i))
 	}
-	first := 0
+	readers := 0
 	for _, self := range names {
 		f := NewFleet(self)
 		for _, name := range names {
 			f.Put(Peer{Name: name})
 		}
 		before := time.Now()
-		a := NewAsker(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
+		pl := NewPuller(zap.NewNop(), f, mirror.New("config", "k"), "config", "config", "k")
 		now := time.Now() // It waits from some moment between these two on.
-		a.Introduce()
-		if f.First() {
-			first++
-			if !a.may("k", now) {
-				t.Errorf("%s, one of the first: got false, want the store's turn", self)
+		pl.SetPeersKnown()
+		if f.IsPrimaryReader() {
+			readers++
+			if !pl.shouldReadStore("k", now) {
+				t.Errorf("%s, a reader: got no read of the store, want one", self)
 			}
 			continue
 		}
-		if a.may("k", before.Add(time.Duration(readsAfter)-1)) {
-			t.Errorf("%s, not one of the first: got the store's turn, want the peers'", self)
+		if pl.shouldReadStore("k", before.Add(time.Duration(startReadDelay)-1)) {
+			t.Errorf("%s, not a reader: got a read of the store before the start delay, want none", self)
 		}
-		if !a.may("k", now.Add(time.Duration(readsAfter)+readsSpread)) {
-			t.Errorf("%s, told nothing by its peers: got false, want the store's turn", self)
+		if !pl.shouldReadStore("k", now.Add(time.Duration(startReadDelay)+startReadJitter)) {
+			t.Errorf("%s, without an answer of its peers: got no read of the store after the start delay, want one", self)
 		}
-		put(a.Mirror, 5, now)
-		if a.may("k", now.Add(time.Second)) {
-			t.Errorf("%s, after its first read: got the store's turn, want the peers'", self)
+		putRevision(pl.Mirror, 5, now)
+		if pl.shouldReadStore("k", now.Add(time.Second)) {
+			t.Errorf("%s, after its first read: got a read of the store, want none", self)
 		}
 	}
-	if first != askersLeast {
-		t.Errorf("routers that read the store: got %d, want %d", first, askersLeast)
+	if readers != minSources {
+		t.Errorf("primary readers: got %d, want %d", readers, minSources)
 	}
 }
 
-// Each starting router knows other peers: one that is taken for one of the first reads the
-// store at once, so that none waits for one that waits for a third.
-func TestRouterThatIsAskedReadsTheStore(t *testing.T) {
-	asked := serve(t, "p")
-	a := asker()
-	a.Fleet.Put(Peer{Name: "self"})
+// TestStartingRouterReadsTheStoreWhenPulledFrom guards against starting routers that wait for one
+// another: each knows different peers, so that one may pull from a router that waits for a third. A
+// starting router that a starting peer pulls from reads the store at once.
+func TestStartingRouterReadsTheStoreWhenPulledFrom(t *testing.T) {
+	peer := startPeer(t, "p")
+	pl := newTestPuller()
+	pl.Fleet.Put(Peer{Name: "self"})
 	for i := range 9 {
-		a.Fleet.Put(Peer{Name: fmt.Sprint("before-", i), Ability: 800})
+		pl.Fleet.Put(Peer{Name: fmt.Sprint("before-", i), Millicores: 800})
 	}
-	a.Introduce()
-	if a.may("k", time.Now()) {
-		t.Fatal("not one of the first: got the store's turn, want the peers'")
+	pl.SetPeersKnown()
+	if pl.shouldReadStore("k", time.Now()) {
+		t.Fatal("not a reader: got a read of the store, want none")
 	}
-	asked.srv.Config.Handler.(*Server).OnStarting = a.Want
-	starting := asker(asked)
-	starting.ask(context.Background(), asked.Peer, false)
-	if !a.may("k", time.Now()) {
-		t.Error("asked by a starting router: got false, want the store's turn")
+	peer.srv.Config.Handler.(*Server).OnStartingPeer = pl.RecordStartingPeer
+	starting := newTestPuller(peer)
+	starting.pull(context.Background(), peer.Peer, false)
+	if !pl.shouldReadStore("k", time.Now()) {
+		t.Error("pulled from by a starting router: got no read of the store, want one")
 	}
-	b := asker()
-	asked.srv.Config.Handler.(*Server).OnStarting = b.Want
-	put(starting.Mirror, 5, time.Now())
-	starting.ask(context.Background(), asked.Peer, false)
-	if b.wanted.Load() {
-		t.Error("asked by a router that knows all: got wanted, want not")
+	other := newTestPuller()
+	peer.srv.Config.Handler.(*Server).OnStartingPeer = other.RecordStartingPeer
+	putRevision(starting.Mirror, 5, time.Now())
+	starting.pull(context.Background(), peer.Peer, false)
+	if other.pulledByStarting.Load() {
+		t.Error("pulled from by a router that has all kinds: got pulledByStarting, want not")
 	}
 }
 
-// A router that knows no peers yet leaves the store alone until it was registered, or that
-// takes too long: then it tries one kind.
-func TestRouterThatIsNotIntroducedTriesOneKind(t *testing.T) {
-	a := asker()
+// TestUnregisteredRouterReadsOneKind checks that a router that knows no peers yet does not read the
+// store until it was registered. If that takes longer than its start delay, it reads FreshnessKind
+// alone.
+func TestUnregisteredRouterReadsOneKind(t *testing.T) {
+	pl := newTestPuller()
 	now := time.Now()
-	if a.may("config", now) || a.may("k", now) {
-		t.Error("just started: got the store's turn, want it to register first")
+	if pl.shouldReadStore("config", now) || pl.shouldReadStore("k", now) {
+		t.Error("just started: got a read of the store, want none before the registration")
 	}
-	late := now.Add(time.Duration(readsAfter) + readsSpread)
-	if !a.may("config", late) || a.may("k", late) {
-		t.Errorf("not registered in time: got %v for the watched kind and %v for another, want true and false", a.may("config", late), a.may("k", late))
+	late := now.Add(time.Duration(startReadDelay) + startReadJitter)
+	if !pl.shouldReadStore("config", late) || pl.shouldReadStore("k", late) {
+		t.Errorf("not registered in time: got %v for FreshnessKind and %v for another kind, want true and false", pl.shouldReadStore("config", late), pl.shouldReadStore("k", late))
 	}
-	a.Fleet.Put(Peer{Name: "self"})
-	a.Introduce()
-	if !a.may("k", now) {
-		t.Error("registered, alone: got false, want the store's turn")
+	pl.Fleet.Put(Peer{Name: "self"})
+	pl.SetPeersKnown()
+	if !pl.shouldReadStore("k", now) {
+		t.Error("registered, without other routers: got no read of the store, want one")
 	}
 }
 
-// zoned is a fleet of 240 routers in six zones, of which 36 are able, and a router of zone a.
-func zoned() *Fleet {
+// zonedFleet returns a fleet of 240 routers in six zones, of which 36 have more CPU, and this
+// router, a-9 in zone a.
+func zonedFleet() *Fleet {
 	f := NewFleet("a-9")
 	for i := range 240 {
 		zone, ability := string("abcdef"[i%6]), 144
 		if i%40 < 6 {
 			ability = 800
 		}
-		f.Put(Peer{Name: fmt.Sprint(zone, "-", i), Zone: zone, Ability: ability})
+		f.Put(Peer{Name: fmt.Sprint(zone, "-", i), Zone: zone, Millicores: ability})
 	}
-	f.Put(Peer{Name: "a-9", Zone: "a", Ability: 144})
+	f.Put(Peer{Name: "a-9", Zone: "a", Millicores: 144})
 	return f
 }
 
-// The few that read the store are the most able ones of each availability zone in turn.
+// TestRanksAreSpreadOverZones checks that the first routers by rank are the most capable ones of
+// each availability zone in turn.
 func TestRanksAreSpreadOverZones(t *testing.T) {
-	zones, able := make(map[string]bool), 0
-	for _, p := range zoned().ranked()[:6] {
+	zones, millicores := make(map[string]bool), 0
+	for _, p := range zonedFleet().ranked()[:6] {
 		zones[p.Zone] = true
-		able += p.Ability
+		millicores += p.Millicores
 	}
-	if len(zones) != 6 || able != 6*800 {
-		t.Errorf("first six: got zones %v and an ability of %d together, want six zones and %d", zones, able, 6*800)
+	if len(zones) != 6 || millicores != 6*800 {
+		t.Errorf("first six: got zones %v and %d millicores in all, want six zones and %d", zones, millicores, 6*800)
 	}
 }
 
-// Routers ask the one of their own zone while it answers.
-func TestTheOwnZoneIsAsked(t *testing.T) {
-	f := zoned()
+// TestPeerInOwnZoneIsPicked checks that a router pulls from a source in its own availability zone
+// unless it is backed off from.
+func TestPeerInOwnZoneIsPicked(t *testing.T) {
+	f := zonedFleet()
 	for draw := range uint64(20) {
-		if p, ok := f.Next(time.Now(), draw, false); !ok || p.Zone != "a" {
-			t.Fatalf("draw %d: got %v, want one of the own zone", draw, p)
+		if p, ok := f.PickPeer(time.Now(), draw, false); !ok || p.Zone != "a" {
+			t.Fatalf("draw %d: got %v, want a peer in zone a", draw, p)
 		}
 	}
 	for _, p := range f.ranked()[:6] {
 		if p.Zone == "a" {
-			f.Shun(p.Name, time.Now())
+			f.RecordStale(p.Name, time.Now())
 		}
 	}
-	if p, ok := f.Next(time.Now(), 1, false); !ok || p.Name == "" {
-		t.Errorf("without the own zone's: got %v, want another", p)
+	if p, ok := f.PickPeer(time.Now(), 1, false); !ok || p.Name == "" {
+		t.Errorf("with the sources in zone a backed off from: got %v, want another peer", p)
 	}
 }
 
-// In a large fleet neither the routers that ask the store nor the notes grow with
-// it for each router.
+// TestLargeFleet checks that in a large fleet neither the number of sources per router nor the
+// number of recipients of an attempt report grows with the fleet, and that reports reach all
+// routers in the course of time.
 func TestLargeFleet(t *testing.T) {
 	f := NewFleet("r-0")
 	for i := range 370 {
 		f.Put(Peer{Name: fmt.Sprint("r-", i)})
 	}
-	asked := make(map[string]bool)
+	sources := make(map[string]bool)
 	for draw := range uint64(1000) {
-		p, _ := f.Next(time.Now(), draw, false)
-		asked[p.Name] = true
+		p, _ := f.PickPeer(time.Now(), draw, false)
+		sources[p.Name] = true
 	}
-	if got, want := len(asked), 370/askedBy; got != want {
-		t.Errorf("routers that are asked: got %d, want %d", got, want)
+	if got, want := len(sources), 370/maxPullersPerSource; got != want {
+		t.Errorf("sources: got %d, want %d", got, want)
 	}
-	told := make(map[string]bool)
+	reached := make(map[string]bool)
 	for range 200 {
 		n := 0
-		f.each(everybody, func(p Peer) { n++; told[p.Name] = true })
-		if n != toldMost {
-			t.Fatalf("routers that hear a note: got %d, want %d", n, toldMost)
+		f.forEachRecipient(allZones, func(p Peer) { n++; reached[p.Name] = true })
+		if n != maxRecipients {
+			t.Fatalf("recipients of a report: got %d, want %d", n, maxRecipients)
 		}
 	}
-	if got, want := len(told), 369; got != want {
-		t.Errorf("routers that hear some note: got %d, want %d", got, want)
+	if got, want := len(reached), 369; got != want {
+		t.Errorf("recipients of some report: got %d, want %d", got, want)
 	}
 }
 
-// How busy an endpoint is concerns the routers of its availability zone.
-func TestNotesGoToAZone(t *testing.T) {
+// TestRecipientsByZone checks that a report for an availability zone goes to its routers, to those
+// whose zone is not known, and to others only with OtherZones.
+func TestRecipientsByZone(t *testing.T) {
 	f := NewFleet("r-0")
 	for i := range 9 {
 		f.Put(Peer{Name: fmt.Sprint("r-", i), Zone: []string{"a", "b", ""}[i%3]})
 	}
-	tell := func(to Audience) string {
-		var told []string
-		f.each(to, func(p Peer) { told = append(told, p.Name) })
-		slices.Sort(told)
-		return fmt.Sprint(told)
+	recipients := func(to Recipients) string {
+		var names []string
+		f.forEachRecipient(to, func(p Peer) { names = append(names, p.Name) })
+		slices.Sort(names)
+		return fmt.Sprint(names)
 	}
-	if got, want := tell(Audience{Zone: "b"}), "[r-1 r-2 r-4 r-5 r-7 r-8]"; got != want {
-		t.Errorf("routers of b, and of no zone that is known: got %s, want %s", got, want)
+	if got, want := recipients(Recipients{Zone: "b"}), "[r-1 r-2 r-4 r-5 r-7 r-8]"; got != want {
+		t.Errorf("recipients in zone b or an unknown zone: got %s, want %s", got, want)
 	}
-	if got, want := tell(Audience{Zone: "b", Others: true}), "[r-1 r-2 r-3 r-4 r-5 r-6 r-7 r-8]"; got != want {
-		t.Errorf("those and the others: got %s, want %s", got, want)
+	if got, want := recipients(Recipients{Zone: "b", OtherZones: true}), "[r-1 r-2 r-3 r-4 r-5 r-6 r-7 r-8]"; got != want {
+		t.Errorf("recipients with OtherZones: got %s, want %s", got, want)
 	}
-	large := zoned()
+	large := zonedFleet()
 	zone := 0
-	large.each(Audience{Zone: "b", Others: true}, func(p Peer) {
+	large.forEachRecipient(Recipients{Zone: "b", OtherZones: true}, func(p Peer) {
 		if p.Zone == "b" {
 			zone++
 		}
 	})
-	if zone != toldMost {
-		t.Errorf("routers of b that hear of what is new there, of 40: got %d, want %d", zone, toldMost)
+	if zone != maxRecipients {
+		t.Errorf("recipients among the 40 routers in zone b: got %d, want %d", zone, maxRecipients)
 	}
 }
 
-// While the store is not heard of, one kind alone is asked for.
-func TestOneKindTriesADeadStore(t *testing.T) {
-	a := asker()
-	a.Introduce()
-	put(a.Mirror, 5, time.Now().Add(-unheardAfter-time.Second))
+// TestOneKindProbesALostStore checks that FreshnessKind alone is read from the store while the
+// store is lost.
+func TestOneKindProbesALostStore(t *testing.T) {
+	pl := newTestPuller()
+	pl.SetPeersKnown()
+	putRevision(pl.Mirror, 5, time.Now().Add(-storeLostAfter-time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
-	if !a.Turn(ctx, "config") {
-		t.Error("watched kind: got false, want the store's turn")
+	if !pl.WaitToReadStore(ctx, "config") {
+		t.Error("FreshnessKind: got no read of the store, want one")
 	}
-	time.AfterFunc(5*time.Duration(turnPoll), cancel)
-	if a.Turn(ctx, "k") {
-		t.Error("another kind: got the store's turn, want none before the store is heard of")
+	time.AfterFunc(5*time.Duration(storePollInterval), cancel)
+	if pl.WaitToReadStore(ctx, "k") {
+		t.Error("another kind: got a read of the store, want none while the store is lost")
 	}
-	put(a.Mirror, 6, time.Now())
-	if !a.Turn(context.Background(), "k") {
-		t.Error("another kind after the store was heard of: got false, want its turn")
+	putRevision(pl.Mirror, 6, time.Now())
+	if !pl.WaitToReadStore(context.Background(), "k") {
+		t.Error("another kind after the store has answered: got no read of the store, want one")
 	}
 }
 
-// TestUninformedRouterFindsTheInformedPeerAtOnce has both routers that ask the store
-// cut off from it: those that asked them must not wait at one uninformed peer after
-// the other.
-func TestUninformedRouterFindsTheInformedPeerAtOnce(t *testing.T) {
-	var list []*served
+// TestStaleRouterFindsTheFreshPeerAtOnce covers readers that have both lost the store: routers that
+// pulled from them must not let one stale peer after the other hold their requests.
+func TestStaleRouterFindsTheFreshPeerAtOnce(t *testing.T) {
+	var list []*testPeer
 	for i := range 8 {
-		p := serve(t, fmt.Sprint("p", i))
-		put(p.mirror, 5, time.Now().Add(-time.Minute))
+		p := startPeer(t, fmt.Sprint("p", i))
+		putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
 		list = append(list, p)
 	}
-	put(list[5].mirror, 9, time.Now())
-	a := asker(list...)
-	a.Fleet.Put(Peer{Name: "self"})
-	a.Introduce()
-	put(a.Mirror, 5, time.Now().Add(-time.Minute))
-	ctx := running(t, a)
+	putRevision(list[5].mirror, 9, time.Now())
+	pl := newTestPuller(list...)
+	pl.Fleet.Put(Peer{Name: "self"})
+	pl.SetPeersKnown()
+	putRevision(pl.Mirror, 5, time.Now().Add(-time.Minute))
+	ctx := runPuller(t, pl)
 	began := time.Now()
-	for a.Mirror.Revision("config") < 9 && time.Since(began) < patience {
+	for pl.Mirror.Revision("config") < 9 && time.Since(began) < waitTimeout {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
-	if took := time.Since(began); took > time.Duration(askWait) {
-		t.Errorf("the change was known after %v, want less than one held question (%v)", took, time.Duration(askWait))
+	if took := time.Since(began); took > time.Duration(longPollWait) {
+		t.Errorf("the change was pulled after %v, want less than the hold of one request (%v)", took, time.Duration(longPollWait))
 	}
 }
 
-// running runs an asker until the test ends, and checks how it ends.
-func running(t *testing.T, a *Asker) context.Context {
+// runPuller runs a Puller until the test ends, and checks that it ends without an error.
+func runPuller(t *testing.T, pl *Puller) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- a.Run(ctx) }()
+	go func() { ended <- pl.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Errorf("asker: %v", err)
+			t.Errorf("puller: %v", err)
 		}
 	})
 	return ctx
 }
 
-// A peer whose copy grows too old answers at once, so that it is left.
-func TestHeldQuestionEndsWhenTheCopyIsOld(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
-	put(p.mirror, 5, time.Now().Add(-time.Duration(agedAfter)+50*time.Millisecond))
-	put(a.Mirror, 5, time.Now())
+// TestHeldRequestEndsWhenTheCopyIsStale checks that a peer answers a held request when its copy
+// becomes stale, so that the router pulls from another one.
+func TestHeldRequestEndsWhenTheCopyIsStale(t *testing.T) {
+	p := startPeer(t, "p")
+	pl := newTestPuller(p)
+	putRevision(p.mirror, 5, time.Now().Add(-time.Duration(staleAfter)+50*time.Millisecond))
+	putRevision(pl.Mirror, 5, time.Now())
 	began := time.Now()
-	a.ask(context.Background(), p.Peer, true)
-	if took := time.Since(began); took > time.Duration(askWait)/2 {
-		t.Errorf("answer after %v, want about 50 ms", took)
+	pl.pull(context.Background(), p.Peer, true)
+	if took := time.Since(began); took > time.Duration(longPollWait)/2 {
+		t.Errorf("response after %v, want one after about 50 ms", took)
 	}
 }
 
-// All routers lost the store: each asks few others, and waits at the first ones for word that
-// it is back.
-func TestRoutersThatLostTheStoreWaitForWord(t *testing.T) {
-	var list []*served
+// TestRoutersThatLostTheStoreAwaitItsRecovery covers a store that all routers lost: each pulls from
+// few others, and then waits for its sources to become fresh again.
+func TestRoutersThatLostTheStoreAwaitItsRecovery(t *testing.T) {
+	var list []*testPeer
 	for i := range 12 {
-		p := serve(t, fmt.Sprint("p", i))
-		put(p.mirror, 5, time.Now().Add(-time.Minute))
+		p := startPeer(t, fmt.Sprint("p", i))
+		putRevision(p.mirror, 5, time.Now().Add(-time.Minute))
 		list = append(list, p)
 	}
-	a := asker(list...)
-	a.Fleet.Put(Peer{Name: "self"})
-	a.Introduce()
-	put(a.Mirror, 5, time.Now().Add(-time.Minute))
-	ctx := running(t, a)
-	for deadline := time.Now().Add(patience); !a.direct.Load() && time.Now().Before(deadline); {
+	pl := newTestPuller(list...)
+	pl.Fleet.Put(Peer{Name: "self"})
+	pl.SetPeersKnown()
+	putRevision(pl.Mirror, 5, time.Now().Add(-time.Minute))
+	ctx := runPuller(t, pl)
+	for deadline := time.Now().Add(waitTimeout); !pl.fallback.Load() && time.Now().Before(deadline); {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
-	leader, _ := a.Fleet.Leader(xxhash.Sum64String("self"))
+	leader, _ := pl.Fleet.PickPrimary(xxhash.Sum64String("self"))
 	for _, p := range list {
 		if p.Name == leader.Name {
-			put(p.mirror, 5, time.Now())
+			putRevision(p.mirror, 5, time.Now())
 		}
 	}
 	back := time.Now()
-	for a.direct.Load() && time.Since(back) < patience {
+	for pl.fallback.Load() && time.Since(back) < waitTimeout {
 		tasks.Pause(ctx, time.Now().Add(time.Millisecond))
 	}
-	if took := time.Since(back); took > time.Duration(askWait) {
-		t.Errorf("word that the store is back came after %v, want under %v", took, time.Duration(askWait))
+	if took := time.Since(back); took > time.Duration(longPollWait) {
+		t.Errorf("the fallback ended after %v, want less than %v", took, time.Duration(longPollWait))
 	}
 }
 
-// Whole lists are long where there are many endpoints; changes are not.
+// TestWholeListsAreCompressed checks the size of the response with a whole list of many endpoints;
+// changes are short.
 func TestWholeListsAreCompressed(t *testing.T) {
-	p := serve(t, "p")
+	p := startPeer(t, "p")
 	var objects []mirror.Object
 	for i := range 3000 {
 		spec := fmt.Sprintf(`{"service":"s","address":"10.6.64.%d:8580","zone":"zone-a","version":"v1","capacity":24,"state":"ready","sequence":%d}`, i%250, i)
@@ -548,101 +565,103 @@
 	p.mirror.List("config", nil, 1, time.Now(), time.Time{})
 	var traffic Traffic
 	p.srv.Config.Handler.(*Server).Traffic = &traffic
-	a := asker(p)
-	if !a.ask(context.Background(), p.Peer, false) || a.Mirror.Revision("k") != 3000 {
-		t.Fatalf("revision: got %d, want 3000", a.Mirror.Revision("k"))
+	pl := newTestPuller(p)
+	if !pl.pull(context.Background(), p.Peer, false) || pl.Mirror.Revision("k") != 3000 {
+		t.Fatalf("revision: got %d, want 3000", pl.Mirror.Revision("k"))
 	}
-	if got, _ := a.Mirror.Since("k", -1); len(got.Changes) != 3000 || string(got.Changes[0].Spec) == "" {
-		t.Errorf("objects: got %d, want 3000 with what they specify", len(got.Changes))
+	if got, _ := pl.Mirror.Since("k", -1); len(got.Changes) != 3000 || string(got.Changes[0].Spec) == "" {
+		t.Errorf("objects: got %d, want 3000 with their specifications", len(got.Changes))
 	}
-	if got, most := traffic.Answers.Load(), int64(60_000); got > most {
-		t.Errorf("bytes of the answer: got %d, want at most %d, 20 an object", got, most)
+	if got, most := traffic.PullResponses.Load(), int64(60_000); got > most {
+		t.Errorf("bytes of the response: got %d, want at most %d, 20 per object", got, most)
 	}
 }
 
-// While all routers start, a peer knows one kind a few milliseconds before the others. An
-// answer without the watched kind makes it no ill informed one: it is asked again at once.
-func TestPeerThatStartsTooIsAskedAgainAtOnce(t *testing.T) {
-	p := serve(t, "p")
-	a := asker(p)
+// TestStartingPeerIsRetriedAtOnce covers a peer that is starting as well and has one kind a few
+// milliseconds before the others: it does not count as stale if its response lacks FreshnessKind,
+// and may be pulled from again at once.
+func TestStartingPeerIsRetriedAtOnce(t *testing.T) {
+	p := startPeer(t, "p")
+	pl := newTestPuller(p)
 	at := time.Now()
 	p.mirror.List("k", []mirror.Object{{Name: "a", Revision: 5, Spec: json.RawMessage(`{}`)}}, 5, at, time.Time{})
-	if a.ask(context.Background(), p.Peer, true) {
-		t.Fatal("ask of a peer that has not read the watched kind: got true, want false")
+	if pl.pull(context.Background(), p.Peer, true) {
+		t.Fatal("pull from a peer without FreshnessKind: got a fresh peer, want none")
 	}
-	if _, ok := a.Fleet.Next(time.Now().Add(2*time.Duration(startPoll)), 0, false); !ok {
-		t.Error("next peer, a moment later: got none, want the one that starts too")
+	if _, ok := pl.Fleet.PickPeer(time.Now().Add(2*time.Duration(startPollInterval)), 0, false); !ok {
+		t.Error("next peer after 2 startPollIntervals: got none, want the starting one")
 	}
 }
 
-// A router that lacks a kind asks its peers for that, also where it is one of the first and
-// the kind by which it is well informed came early.
-func TestRouterThatLacksAKindGoesOnAsking(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now())
-	a := asker(p)
-	a.Fleet.Put(Peer{Name: "self"})
-	a.Mirror.List("config", nil, 5, time.Now(), time.Time{})
-	if !a.Fleet.Asker(time.Now()) {
-		t.Fatal("one of two routers: got no asker, want one")
+// TestRouterThatLacksAKindGoesOnPulling checks that a router which lacks a kind pulls it from its
+// peers, also if it is a reader and got FreshnessKind early.
+func TestRouterThatLacksAKindGoesOnPulling(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now())
+	pl := newTestPuller(p)
+	pl.Fleet.Put(Peer{Name: "self"})
+	pl.Mirror.List("config", nil, 5, time.Now(), time.Time{})
+	if !pl.Fleet.ReadsStore(time.Now()) {
+		t.Fatal("one of two routers: got no reader, want one")
 	}
-	a.Introduce()
-	// Two others come before it, so that it does not read the store for others.
-	for i := 0; a.Fleet.First() && i < 64; i++ {
-		a.Fleet.Put(Peer{Name: fmt.Sprint("shunned", i)})
-		a.Fleet.Shun(fmt.Sprint("shunned", i), time.Now().Add(time.Hour))
+	pl.SetPeersKnown()
+	// Routers are added until two precede this one, so that it is no primary reader.
+	for i := 0; pl.Fleet.IsPrimaryReader() && i < 64; i++ {
+		pl.Fleet.Put(Peer{Name: fmt.Sprint("shunned", i)})
+		pl.Fleet.RecordStale(fmt.Sprint("shunned", i), time.Now().Add(time.Hour))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go func() { _ = a.Run(ctx) }()
-	deadline := time.Now().Add(readsAfterLeast)
-	for a.Mirror.Revision("k") < 0 && time.Now().Before(deadline) {
+	go func() { _ = pl.Run(ctx) }()
+	deadline := time.Now().Add(minStartReadDelay)
+	for pl.Mirror.Revision("k") < 0 && time.Now().Before(deadline) {
 		<-time.After(time.Millisecond)
 	}
-	if got := a.Mirror.Revision("k"); got != 5 {
-		t.Errorf("revision of the kind that was missing: got %d, want 5 before the store is read", got)
+	if got := pl.Mirror.Revision("k"); got != 5 {
+		t.Errorf("revision of the missing kind: got %d, want 5 before the start delay", got)
 	}
 }
 
-// readsAfterLeast is the least time after which a starting router reads the store itself.
-const readsAfterLeast = 700 * time.Millisecond
+// minStartReadDelay is less than the start delay of any starting router, after which it reads the
+// store itself.
+const minStartReadDelay = 700 * time.Millisecond
 
-// A VM without power takes no connection and refuses none. That a starting router meets one
-// may not cost the second after which the kernel tries again.
-func TestPeerWithoutPowerIsLeftSoon(t *testing.T) {
-	a := asker()
-	dark := Peer{Name: "dark", Addr: deaf(t), Token: "t"}
+// TestUnreachablePeerIsSkippedSoon covers a VM without power, which neither accepts nor refuses
+// connections. A starting router must not wait for it until the kernel retries after a second.
+func TestUnreachablePeerIsSkippedSoon(t *testing.T) {
+	pl := newTestPuller()
+	unreachable := Peer{Name: "dark", Addr: addrWithFullBacklog(t), Token: "t"}
 	began := time.Now()
-	a.ask(context.Background(), dark, true)
+	pl.pull(context.Background(), unreachable, true)
 	if took := time.Since(began); took > 600*time.Millisecond {
-		t.Errorf("ask: got an answer after %v, want one within 600ms", took)
+		t.Errorf("pull: returned after %v, want within 600ms", took)
 	}
 }
 
-// A peer whose connection comes up late has not asked in vain: its answer is taken over though
-// others were asked meanwhile.
-func TestLateAnswerIsTakenOver(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now())
-	a := asker(p)
+// TestLateResponseIsApplied checks that the response of a peer is applied whose connection takes
+// longer than connectTimeout, although the router has gone on to other peers.
+func TestLateResponseIsApplied(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now())
+	pl := newTestPuller(p)
 	up := make(chan struct{})
-	a.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+	pl.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-up
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}}}
-	if a.ask(context.Background(), p.Peer, false) {
-		t.Fatal("ask without a connection: got true, want false")
+	if pl.pull(context.Background(), p.Peer, false) {
+		t.Fatal("pull without a connection: got a fresh peer, want none")
 	}
 	close(up)
-	if len(a.late) != 1 || !<-a.late[0] {
-		t.Fatal("the late question: got no good answer, want one")
+	if len(pl.background) != 1 || !<-pl.background[0] {
+		t.Fatal("background pull: got no fresh peer, want one")
 	}
-	if got := a.Mirror.Revision("k"); got != 5 {
+	if got := pl.Mirror.Revision("k"); got != 5 {
 		t.Errorf("revision: got %d, want 5", got)
 	}
 }
 
-// brokenOnReuse is a connection that takes nothing more after its first request.
+// brokenOnReuse is a connection that fails each write after the first.
 type brokenOnReuse struct {
 	net.Conn
 	wrote atomic.Int64
@@ -655,20 +674,21 @@
 	return c.Conn.Write(b)
 }
 
-// A kept connection that has gone makes the client take another one for the same question.
-func TestQuestionTakesAnotherConnection(t *testing.T) {
-	p := serve(t, "p")
-	put(p.mirror, 5, time.Now())
-	a := asker(p)
+// TestRequestIsRetriedOnANewConnection checks that the client retries a request on a new connection
+// if the kept-alive one was closed.
+func TestRequestIsRetriedOnANewConnection(t *testing.T) {
+	p := startPeer(t, "p")
+	putRevision(p.mirror, 5, time.Now())
+	pl := newTestPuller(p)
 	dialed := 0
-	a.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+	pl.HTTP = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialed++
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		return &brokenOnReuse{Conn: c}, err
 	}}}
 	for i := range 2 {
-		if !a.ask(context.Background(), p.Peer, false) {
-			t.Errorf("question %d: got no good answer, want one", i+1)
+		if !pl.pull(context.Background(), p.Peer, false) {
+			t.Errorf("pull %d: got no fresh peer, want one", i+1)
 		}
 	}
 	if dialed != 2 {
@@ -676,8 +696,9 @@
 	}
 }
 
-// deaf returns an address whose queue of connections is full.
-func deaf(t *testing.T) netip.AddrPort {
+// addrWithFullBacklog returns the address of a listener whose backlog is full, so that it neither
+// accepts nor refuses connections.
+func addrWithFullBacklog(t *testing.T) netip.AddrPort {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -701,6 +722,6 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("the queue of connections does not fill")
+	t.Fatal("the backlog did not fill up with 8 connections")
 	return netip.AddrPort{}
 }
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -19,69 +19,72 @@
 	"github.com/traildrift/traildrift/pkg/mixer"
 )
 
-// fleetOf returns a fleet of so many routers in six availability zones, most of them weak.
+// fleetOf returns a fleet of n routers in six availability zones, most of them with little CPU.
 func fleetOf(n int) *Fleet {
 	f := NewFleet("")
 	for i := range n {
-		p := Peer{Name: fmt.Sprint("r-", i), Zone: fmt.Sprint("zone-", i%6), Ability: 144}
+		p := Peer{Name: fmt.Sprint("r-", i), Zone: fmt.Sprint("zone-", i%6), Millicores: 144}
 		if i%20 < 2 {
-			p.Ability = 1600
+			p.Millicores = 1600
 		}
 		f.Put(p)
 	}
 	return f
 }
 
-// Pattern: hundreds of routers, of which one in forty asked the store for all that it holds, so that
-// the calls grew with the fleet. Two ask it now, up to 3,200 routers, and none is asked by
-// many.
-func TestStoreReadersDoNotGrow(t *testing.T) {
+// TestStoreReadersDoNotGrowWithTheFleet guards against a number of readers in proportion to the
+// fleet: with one reader in forty of hundreds of routers, each reading the whole store, the calls
+// to the store grow with the fleet. Up to 3,200 routers there are two readers, and no source has
+// too many pullers.
+func TestStoreReadersDoNotGrowWithTheFleet(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct{ routers, readers, relays int }{
 		{2, 2, 0}, {30, 2, 0}, {119, 2, 0}, {120, 2, 3}, {384, 2, 9}, {768, 2, 19}, {1600, 2, 40}, {4000, 2, 100},
 	} {
 		f := fleetOf(c.routers)
-		ask, pass := 0, 0
+		readers, relays := 0, 0
 		for _, p := range f.ranked()[:min(c.routers, 2*(c.readers+c.relays))] {
 			f.self = p.Name
-			if f.Asker(now) {
-				ask++
+			if f.ReadsStore(now) {
+				readers++
 			}
-			if f.Relay(now) {
-				pass++
+			if f.IsRelay(now) {
+				relays++
 			}
 		}
-		// Of large fleets some stand for all.
-		asked, some := make(map[string]int), rand.New(rand.NewPCG(1, 2)).Perm(c.routers)
-		some = some[:min(c.routers, 384)]
-		for _, i := range some {
+		// In large fleets a sample of the routers stands for all.
+		pullers, sampled := make(map[string]int), rand.New(rand.NewPCG(1, 2)).Perm(c.routers)
+		sampled = sampled[:min(c.routers, 384)]
+		for _, i := range sampled {
 			f.self = fmt.Sprint("r-", i)
-			if f.Asker(now) {
+			if f.ReadsStore(now) {
 				continue
 			}
-			if p, ok := f.Next(now, mixer.Mix(uint64(i)), false); ok {
-				asked[p.Name]++
+			if p, ok := f.PickPeer(now, mixer.Mix(uint64(i)), false); ok {
+				pullers[p.Name]++
 			}
 		}
-		if ask != c.readers || pass != c.relays {
-			t.Errorf("%d routers: got %d that ask the store and %d relays, want %d and %d", c.routers, ask, pass, c.readers, c.relays)
+		if readers != c.readers || relays != c.relays {
+			t.Errorf("%d routers: got %d readers and %d relays, want %d and %d", c.routers, readers, relays, c.readers, c.relays)
 		}
-		for name, n := range asked {
-			if n *= c.routers / len(some); n > 3*askedBy {
-				t.Errorf("%d routers: %s is asked by %d, want %d at most", c.routers, name, n, 3*askedBy)
+		for name, n := range pullers {
+			if n *= c.routers / len(sampled); n > 3*maxPullersPerSource {
+				t.Errorf("%d routers: %s is the source of %d, want %d at most", c.routers, name, n, 3*maxPullersPerSource)
 			}
 		}
 	}
 }
 
-// chain is a reader, a relay that asks it and a follower that asks the relay, of 384 routers.
+// chain is a reader, a relay that pulls from it, and a follower that pulls from the relay, out of
+// 384 routers.
 type chain struct {
-	reader, relay, follower *mirror.Mirror
-	asks, follows           *Asker
-	// reads says that the reader hears from the store.
-	reads atomic.Bool
+	reader, relay, follower     *mirror.Mirror
+	relayPuller, followerPuller *Puller
+	// storeUp is set while the reader reaches the store.
+	storeUp atomic.Bool
 }
 
+// newChain starts a chain, and stops it when the test ends.
 func newChain(t *testing.T) *chain {
 	c := &chain{reader: mirror.New("config", "k"), relay: mirror.New("config", "k"), follower: mirror.New("config", "k")}
 	const token = "token-of-all-0123456789"
@@ -91,28 +94,28 @@
 		t.Cleanup(srv.CloseClientConnections)
 		return Peer{Addr: srv.Listener.Addr().(*net.TCPAddr).AddrPort(), Token: token}
 	}
-	read, passed := server(c.reader), server(c.relay)
+	readerPeer, relayPeer := server(c.reader), server(c.relay)
 	order := fleetOf(384).ranked()
-	asker := func(self string, m *mirror.Mirror) *Asker {
+	newPuller := func(self string, m *mirror.Mirror) *Puller {
 		f := fleetOf(384)
 		f.self = self
 		for i, p := range order[:11] {
-			at := passed
+			at := relayPeer
 			if i < 2 {
-				at = read
+				at = readerPeer
 			}
 			p.Addr, p.Token = at.Addr, at.Token
 			f.Put(p)
 		}
-		return NewAsker(zap.NewNop(), f, m, "config", "config", "k")
+		return NewPuller(zap.NewNop(), f, m, "config", "config", "k")
 	}
-	c.asks, c.follows = asker(order[2].Name, c.relay), asker(order[200].Name, c.follower)
+	c.relayPuller, c.followerPuller = newPuller(order[2].Name, c.relay), newPuller(order[200].Name, c.follower)
 	for _, m := range []*mirror.Mirror{c.reader, c.relay, c.follower} {
 		m.List("k", nil, 5, time.Now(), time.Time{})
 		m.List("config", nil, 5, time.Now(), time.Time{})
 	}
-	c.reads.Store(true)
-	for _, run := range []func(context.Context) error{c.watch, c.asks.Run, c.follows.Run} {
+	c.storeUp.Store(true)
+	for _, run := range []func(context.Context) error{c.watch, c.relayPuller.Run, c.followerPuller.Run} {
 		done := make(chan error, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { done <- run(ctx) }()
@@ -121,41 +124,43 @@
 	return c
 }
 
-// watch proves the reader's copy as watches of the store do, and the relay's once it is its turn.
+// watch proves the reader's copy to be the newest, as a watch of the store does, or that of the
+// relay if the reader has lost the store and the relay should read it.
 func (c *chain) watch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sent := time.Now()
 		<-time.After(500 * time.Millisecond)
-		if c.reads.Load() {
+		if c.storeUp.Load() {
 			c.reader.Apply("config", nil, 5, sent)
-		} else if c.asks.may("config", time.Now()) {
+		} else if c.relayPuller.shouldReadStore("config", time.Now()) {
 			c.relay.Apply("config", nil, 5, sent)
 		}
 	}
 	return nil
 }
 
-// A follower of a relay is as sure of its copy as it is of a reader's, and where the readers lose
-// the store the relay takes their place before its followers all turn to the store.
-func TestRelaysAreInformed(t *testing.T) {
+// TestRelayReplacesReadersThatLoseTheStore checks that the copy of a relay's follower is as fresh
+// as it would be with a reader as its source, and that a relay takes over from readers which lose
+// the store before its followers all read the store themselves.
+func TestRelayReplacesReadersThatLoseTheStore(t *testing.T) {
 	c := newChain(t)
-	oldest := time.Duration(0)
-	look := func(lasts time.Duration) {
-		for end := time.Now().Add(lasts); time.Now().Before(end); {
+	maxAge := time.Duration(0)
+	observe := func(d time.Duration) {
+		for end := time.Now().Add(d); time.Now().Before(end); {
 			<-time.After(10 * time.Millisecond)
-			oldest = max(oldest, time.Since(c.follower.Proven("config")))
-			if c.follows.direct.Load() {
-				t.Fatalf("the follower turned to the store; its copy was %v old", oldest)
+			maxAge = max(maxAge, time.Since(c.follower.Proven("config")))
+			if c.followerPuller.fallback.Load() {
+				t.Fatalf("the follower fell back to the store; the maximum age of its copy was %v", maxAge)
 			}
 		}
 	}
-	look(3 * time.Second)
-	if !c.asks.Fleet.Relay(time.Now()) {
-		t.Error("with readers that answer: got no relay, want one")
+	observe(3 * time.Second)
+	if !c.relayPuller.Fleet.IsRelay(time.Now()) {
+		t.Error("while the readers are fresh: got no relay, want one")
 	}
-	c.reads.Store(false)
-	look(4 * time.Second)
-	if oldest > unheardAfter {
-		t.Errorf("age of the follower's copy: got %v, want %v at most", oldest, unheardAfter)
+	c.storeUp.Store(false)
+	observe(4 * time.Second)
+	if maxAge > storeLostAfter {
+		t.Errorf("maximum age of the follower's copy: got %v, want %v at most", maxAge, storeLostAfter)
 	}
 }
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -17,137 +17,146 @@
 	"github.com/traildrift/traildrift/pkg/usage"
 )
 
-// UsageReport is what a router tells the holder of the duties, and those that would follow it,
-// of a window.
+// UsageReport reports the requests that a router counted in a window. It is sent to the holder of
+// the duties and to the routers that would take them over.
 type UsageReport struct {
+	// Report holds the counts of the sender. Datagrams limit each count to 2^32-1 and each name to
+	// 255 bytes.
 	usage.Report
-	// Word is what the teller knows of the duties, Clock what its clock alone shows.
-	Word  duty.Gossip
-	Clock time.Time
-	// token is the teller's, for the answer.
+	// Gossip is what the sender knows of the duties. LocalTime is the time by the sender's own
+	// clock, in which no other router has a part.
+	Gossip    duty.Gossip
+	LocalTime time.Time
+	// token is the start of the sender's token, for the answer.
 	token []byte
 }
 
-// UsageAnswer answers a UsageReport.
-type UsageAnswer struct {
-	// Router is the hearer that answers.
+// UsageAck answers a UsageReport.
+type UsageAck struct {
+	// Router is the name of the router that answers.
 	Router string
-	// Life and Window are the report's; Complete says that all that its teller counted in it is
-	// known.
-	Life     uint64
-	Window   usage.Window
-	Complete bool
-	Word     duty.Gossip
-	// Clock is the true time as the hearer knows it.
-	Clock time.Time
+	// Incarnation and Window are those of the report. Complete is set if the answering router has
+	// all counts of the reporter in the window.
+	Incarnation uint64
+	Window      usage.Window
+	Complete    bool
+	// Gossip is what the answering router knows of the duties.
+	Gossip duty.Gossip
+	// TrueTime is the answering router's estimate of true time.
+	TrueTime time.Time
 }
 
 const (
-	// nameMost bounds a name, in bytes; its length takes one byte.
-	nameMost = 255
-	// entryBytes is what a workspace's count takes beside its name.
-	entryBytes = 1 + 4
+	// maxNameBytes is the maximum length of a name, as its length is encoded in one byte.
+	maxNameBytes = 255
+	// countBytes is the length of a workspace's count, without the name: the length of the name and
+	// the count.
+	countBytes = 1 + 4
 )
 
-// The flags of reports and answers.
+// The flags of usage reports, acknowledgements and gossip.
 const (
 	flagFinal    = 1
 	flagComplete = 1
 	flagResigned = 2
 )
 
-// usageHead is the fixed part of a report.
-type usageHead struct {
-	Token  [tokenBytes]byte
-	Clock  int64
-	Life   uint64
-	Window int64
-	Total  uint64
-	Flags  uint8
+// usageReportHead is the fixed part of an encoded UsageReport. LocalTimeMs is in milliseconds since
+// the start of 1970 (UTC). The name of the reporter, the gossip and the counts follow.
+type usageReportHead struct {
+	Token       [tokenBytes]byte
+	LocalTimeMs int64
+	Incarnation uint64
+	Window      int64
+	Total       uint64
+	Flags       uint8
 }
 
-// answerHead is the fixed part of an answer.
-type answerHead struct {
-	Clock  int64
-	Life   uint64
-	Window int64
-	Flags  uint8
+// usageAckHead is the fixed part of an encoded UsageAck. TrueTimeMs is in milliseconds since the
+// start of 1970 (UTC). The name of the answering router and the gossip follow.
+type usageAckHead struct {
+	TrueTimeMs  int64
+	Incarnation uint64
+	Window      int64
+	Flags       uint8
 }
 
-// wordHead is the fixed part of a word.
-type wordHead struct {
-	Life     uint64
-	Revision int64
-	Settled  int64
-	Flags    uint8
+// gossipHead is the fixed part of an encoded duty.Gossip. The name of the holder follows.
+type gossipHead struct {
+	Incarnation uint64
+	Revision    int64
+	Settled     int64
+	Flags       uint8
 }
 
-// appendName appends a name and its length; one that is too long is cut.
+// appendName appends the length of a name in one byte, and the name, which is cut after
+// maxNameBytes bytes.
 func appendName(b []byte, name string) []byte {
-	name = name[:min(len(name), nameMost)]
+	name = name[:min(len(name), maxNameBytes)]
 	return append(append(b, byte(len(name))), name...)
 }
 
-// appendWord appends a word.
-func appendWord(b []byte, w duty.Gossip) ([]byte, error) {
-	h := wordHead{Life: w.Incarnation, Revision: w.Revision, Settled: int64(w.Settled)}
-	if w.Resigned {
+// appendGossip appends the encoding of g.
+func appendGossip(b []byte, g duty.Gossip) ([]byte, error) {
+	h := gossipHead{Incarnation: g.Incarnation, Revision: g.Revision, Settled: int64(g.Settled)}
+	if g.Resigned {
 		h.Flags = flagResigned
 	}
 	b, err := binary.Append(b, binary.BigEndian, h)
-	return appendName(b, w.Holder), err
+	return appendName(b, g.Holder), err
 }
 
-// fixed reads a part of fixed length from the start of b.
-func fixed[T any](b []byte) (v T, rest []byte, err error) {
+// decodeFixedPart decodes a part of fixed length from the start of b and returns the rest of b.
+func decodeFixedPart[T any](b []byte) (v T, rest []byte, err error) {
 	n, err := binary.Decode(b, binary.BigEndian, &v)
 	if err != nil {
-		return v, nil, errors.Wrap(err, "peers")
+		return v, nil, errors.Wrap(err, "peers: decode fixed part of usage datagram")
 	}
 	return v, b[n:], nil
 }
 
-// errShort says that a datagram ends too soon.
-var errShort = errors.New("peers: the datagram ends too soon")
+// errTruncated means that a datagram ends within a field.
+var errTruncated = errors.New("peers: datagram is truncated")
 
-// readName reads what appendName appended.
+// readName decodes what appendName appended and returns the rest of b.
 func readName(b []byte) (name string, rest []byte, err error) {
 	if len(b) == 0 || len(b) < 1+int(b[0]) {
-		return "", nil, errShort
+		return "", nil, errTruncated
 	}
 	n := 1 + int(b[0])
 	return string(b[1:n]), b[n:], nil
 }
 
-// readWord reads what appendWord appended.
-func readWord(b []byte) (w duty.Gossip, rest []byte, err error) {
-	h, b, err := fixed[wordHead](b)
+// readGossip decodes what appendGossip appended and returns the rest of b.
+func readGossip(b []byte) (g duty.Gossip, rest []byte, err error) {
+	h, b, err := decodeFixedPart[gossipHead](b)
 	if err != nil {
-		return w, nil, err
+		return g, nil, err
 	}
-	w = duty.Gossip{Incarnation: h.Life, Revision: h.Revision, Settled: usage.Window(h.Settled), Resigned: h.Flags&flagResigned != 0}
-	w.Holder, rest, err = readName(b)
-	return w, rest, err
+	g = duty.Gossip{Incarnation: h.Incarnation, Revision: h.Revision, Settled: usage.Window(h.Settled), Resigned: h.Flags&flagResigned != 0}
+	g.Holder, rest, err = readName(b)
+	return g, rest, err
 }
 
-// encodeUsage returns the datagrams that hold a report, each with a part of the counts.
-func encodeUsage(r *UsageReport) (list [][]byte, err error) {
-	h := usageHead{Clock: r.Clock.UnixMilli(), Life: r.Reporter.Incarnation, Window: int64(r.Window), Total: r.Total}
+// encodeUsageReport returns the datagrams that hold a report, at least one. Each has the head and a
+// part of the counts, of which each is limited to the range of uint32.
+func encodeUsageReport(r *UsageReport) (list [][]byte, err error) {
+	h := usageReportHead{LocalTimeMs: r.LocalTime.UnixMilli(), Incarnation: r.Reporter.Incarnation, Window: int64(r.Window), Total: r.Total}
 	copy(h.Token[:], r.token)
 	if r.Final {
 		h.Flags = flagFinal
 	}
-	head, err := binary.Append(datagram(kindUsage, datagramMost-bodyAt), binary.BigEndian, h)
+	head, err := binary.Append(newDatagram(kindUsageReport, maxDatagramBytes-bodyAt), binary.BigEndian, h)
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: encode head of usage report")
 	}
 	head = appendName(head, r.Reporter.Router)
-	if head, err = appendWord(head, r.Word); err != nil {
-		return nil, errors.Wrap(err, "peers")
+	if head, err = appendGossip(head, r.Gossip); err != nil {
+		return nil, errors.Wrap(err, "peers: encode gossip of usage report")
 	}
 	buf := slices.Clone(head)
 	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
-		if len(buf)+len(name)+entryBytes > datagramMost {
+		if len(buf)+len(name)+countBytes > maxDatagramBytes {
 			list, buf = append(list, buf), slices.Clone(head)
 		}
 		buf = appendName(buf, name)
@@ -156,18 +165,18 @@
 	return append(list, buf), nil
 }
 
-// decodeUsage decodes the body of a datagram of encodeUsage.
-func decodeUsage(b []byte) (*UsageReport, error) {
-	h, b, err := fixed[usageHead](b)
+// decodeUsageReport decodes the body of one datagram of encodeUsageReport.
+func decodeUsageReport(b []byte) (*UsageReport, error) {
+	h, b, err := decodeFixedPart[usageReportHead](b)
 	if err != nil {
 		return nil, err
 	}
-	r := &UsageReport{Clock: time.UnixMilli(h.Clock), token: h.Token[:]}
-	r.Reporter.Incarnation, r.Window, r.Total, r.Final = h.Life, usage.Window(h.Window), h.Total, h.Flags&flagFinal != 0
+	r := &UsageReport{LocalTime: time.UnixMilli(h.LocalTimeMs), token: h.Token[:]}
+	r.Reporter.Incarnation, r.Window, r.Total, r.Final = h.Incarnation, usage.Window(h.Window), h.Total, h.Flags&flagFinal != 0
 	if r.Reporter.Router, b, err = readName(b); err != nil {
 		return nil, err
 	}
-	if r.Word, b, err = readWord(b); err != nil {
+	if r.Gossip, b, err = readGossip(b); err != nil {
 		return nil, err
 	}
 	r.Counts = make(usage.Counts)
@@ -177,7 +186,7 @@
 			return nil, err
 		}
 		if len(b) < 4 {
-			return nil, errShort
+			return nil, errTruncated
 		}
 		r.Counts[name] = uint64(binary.BigEndian.Uint32(b))
 		b = b[4:]
@@ -185,71 +194,72 @@
 	return r, nil
 }
 
-// encodeAnswer returns the datagram that holds an answer.
-func encodeAnswer(a UsageAnswer) ([]byte, error) {
-	h := answerHead{Clock: a.Clock.UnixMilli(), Life: a.Life, Window: int64(a.Window)}
+// encodeUsageAck returns the datagram that holds an acknowledgement.
+func encodeUsageAck(a UsageAck) ([]byte, error) {
+	h := usageAckHead{TrueTimeMs: a.TrueTime.UnixMilli(), Incarnation: a.Incarnation, Window: int64(a.Window)}
 	if a.Complete {
 		h.Flags = flagComplete
 	}
-	b, err := binary.Append(datagram(kindUsageAnswer, datagramMost-bodyAt), binary.BigEndian, h)
+	b, err := binary.Append(newDatagram(kindUsageAck, maxDatagramBytes-bodyAt), binary.BigEndian, h)
 	if err != nil {
-		return nil, errors.Wrap(err, "peers")
+		return nil, errors.Wrap(err, "peers: encode head of usage acknowledgement")
 	}
-	b, err = appendWord(appendName(b, a.Router), a.Word)
-	return b, errors.Wrap(err, "peers")
+	b, err = appendGossip(appendName(b, a.Router), a.Gossip)
+	return b, errors.Wrap(err, "peers: encode gossip of usage acknowledgement")
 }
 
-// decodeAnswer decodes the body of a datagram of encodeAnswer.
-func decodeAnswer(b []byte) (a UsageAnswer, err error) {
-	h, b, err := fixed[answerHead](b)
+// decodeUsageAck decodes the body of a datagram of encodeUsageAck.
+func decodeUsageAck(b []byte) (a UsageAck, err error) {
+	h, b, err := decodeFixedPart[usageAckHead](b)
 	if err != nil {
 		return a, err
 	}
-	a = UsageAnswer{Life: h.Life, Window: usage.Window(h.Window), Complete: h.Flags&flagComplete != 0, Clock: time.UnixMilli(h.Clock)}
+	a = UsageAck{Incarnation: h.Incarnation, Window: usage.Window(h.Window), Complete: h.Flags&flagComplete != 0, TrueTime: time.UnixMilli(h.TrueTimeMs)}
 	if a.Router, b, err = readName(b); err != nil {
 		return a, err
 	}
-	a.Word, _, err = readWord(b)
+	a.Gossip, _, err = readGossip(b)
 	return a, err
 }
 
-// SendUsage tells a router what this one counted; the answer comes under this router's token.
-func (n *Notes) SendUsage(r UsageReport, to Peer) {
+// SendUsageReport sends a report to one router, in one datagram or more. Each is answered on its
+// own. It sends nothing while this router has no token.
+func (t *Transport) SendUsageReport(r UsageReport, to Peer) {
 	r.token = make([]byte, tokenBytes)
-	if !n.secret.copyTo(r.token) {
+	if !t.secret.copyTo(r.token) {
 		return
 	}
-	list, err := encodeUsage(&r)
+	list, err := encodeUsageReport(&r)
 	if err != nil {
-		n.Log.Error("peers: A report of usage could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A usage report could not be encoded.", logs.Err(err))
 		return
 	}
 	for _, b := range list {
-		n.Traffic.Usage.Add(n.sendOne(to, b))
+		t.Traffic.Usage.Add(t.sendToPeer(to, b))
 	}
 }
 
-// hearUsage decodes a UsageReport and answers it.
-func (n *Notes) hearUsage(b []byte, from netip.AddrPort) {
-	r, err := decodeUsage(b)
-	if !n.sound(err, from, "peers: A report of usage could not be decoded.") {
+// receiveUsageReport decodes a UsageReport and sends the answer of OnUsageReport, if any.
+func (t *Transport) receiveUsageReport(b []byte, from netip.AddrPort) {
+	r, err := decodeUsageReport(b)
+	if !t.decoded(err, from, "peers: A report of usage could not be decoded.") {
 		return
 	}
-	a, ok := n.OnUsage(*r)
+	a, ok := t.OnUsageReport(*r)
 	if !ok {
 		return
 	}
-	answer, err := encodeAnswer(a)
+	ack, err := encodeUsageAck(a)
 	if err != nil {
-		n.Log.Error("peers: An answer about usage could not be encoded.", logs.Err(err))
+		t.Log.Error("peers: A usage acknowledgement could not be encoded.", logs.Err(err))
 		return
 	}
-	n.Traffic.Usage.Add(n.sendOne(Peer{Name: r.Reporter.Router, Addr: from, Token: string(r.token)}, answer))
+	t.Traffic.Usage.Add(t.sendToPeer(Peer{Name: r.Reporter.Router, Addr: from, Token: string(r.token)}, ack))
 }
 
-// hearUsageAnswer decodes a UsageAnswer.
-func (n *Notes) hearUsageAnswer(b []byte, from netip.AddrPort) {
-	if a, err := decodeAnswer(b); n.sound(err, from, "peers: An answer about usage could not be decoded.") {
-		n.OnUsageAnswer(a)
+// receiveUsageAck decodes a UsageAck.
+func (t *Transport) receiveUsageAck(b []byte, from netip.AddrPort) {
+	if a, err := decodeUsageAck(b); t.decoded(err, from, "peers: An answer about usage could not be decoded.") {
+		t.OnUsageAck(a)
 	}
 }
--- a/internal/peers/usage_test.go
+++ b/internal/peers/usage_test.go
@@ -15,8 +15,9 @@
 	"github.com/traildrift/traildrift/pkg/usage"
 )
 
+// usageOf returns a final report with the counts of so many workspaces.
 func usageOf(workspaces int) UsageReport {
-	r := UsageReport{Clock: time.UnixMilli(1_800_000_000_123), token: []byte("token-of-a-0123456")[:tokenBytes], Word: duty.Gossip{Holder: "vm-b", Incarnation: 1 << 60, Revision: 77, Settled: 41, Resigned: true}}
+	r := UsageReport{LocalTime: time.UnixMilli(1_800_000_000_123), token: []byte("token-of-a-0123456")[:tokenBytes], Gossip: duty.Gossip{Holder: "vm-b", Incarnation: 1 << 60, Revision: 77, Settled: 41, Resigned: true}}
 	r.Reporter, r.Window, r.Final, r.Counts = usage.Reporter{Router: "vm-a", Incarnation: 1<<63 + 5}, 42, true, usage.Counts{}
 	for i := range workspaces {
 		r.Counts[fmt.Sprintf("workspace-%03d", i)] = uint64(i + 1)
@@ -25,21 +26,21 @@
 	return r
 }
 
-// A report of many workspaces goes in datagrams that any link takes in one piece, which together
-// hold all of it.
+// TestUsageInDatagrams checks that the datagrams of a report of many workspaces have at most
+// maxDatagramBytes bytes each, and together hold all counts.
 func TestUsageInDatagrams(t *testing.T) {
 	for _, n := range []int{0, 1, 60, 333, 1000} {
 		want := usageOf(n)
-		list, err := encodeUsage(&want)
+		list, err := encodeUsageReport(&want)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := make(usage.Counts)
 		for _, b := range list {
-			if len(b) > datagramMost {
-				t.Errorf("%d workspaces: got a datagram of %d bytes, want %d at most", n, len(b), datagramMost)
+			if len(b) > maxDatagramBytes {
+				t.Errorf("%d workspaces: got a datagram of %d bytes, want %d at most", n, len(b), maxDatagramBytes)
 			}
-			r, err := decodeUsage(b[bodyAt:])
+			r, err := decodeUsageReport(b[bodyAt:])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -55,26 +56,27 @@
 	}
 }
 
-func TestUsageAnswer(t *testing.T) {
-	want := UsageAnswer{Router: "vm-b", Life: 9, Window: 42, Complete: true, Clock: time.UnixMilli(1_800_000_000_123), Word: duty.Gossip{Holder: strings.Repeat("h", 200), Revision: 8}}
-	b, err := encodeAnswer(want)
+func TestUsageAckRoundTrip(t *testing.T) {
+	want := UsageAck{Router: "vm-b", Incarnation: 9, Window: 42, Complete: true, TrueTime: time.UnixMilli(1_800_000_000_123), Gossip: duty.Gossip{Holder: strings.Repeat("h", 200), Revision: 8}}
+	b, err := encodeUsageAck(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decodeAnswer(b[bodyAt:])
+	got, err := decodeUsageAck(b[bodyAt:])
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 }
 
-// What other routers send is decoded without harm, whatever it is.
+// FuzzUsage checks that any bytes decode without a panic, and that a decoded report can be encoded
+// again.
 func FuzzUsage(f *testing.F) {
 	r := usageOf(3)
-	list, err := encodeUsage(&r)
+	list, err := encodeUsageReport(&r)
 	if err != nil {
 		f.Fatal(err)
 	}
-	a, err := encodeAnswer(UsageAnswer{Router: "vm-b"})
+	a, err := encodeUsageAck(UsageAck{Router: "vm-b"})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -82,11 +84,11 @@
 	f.Add(a[bodyAt:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := decodeUsage(b); err == nil {
-			if _, err := encodeUsage(r); err != nil {
-				t.Errorf("decoded, but not encoded again: %v", err)
+		if r, err := decodeUsageReport(b); err == nil {
+			if _, err := encodeUsageReport(r); err != nil {
+				t.Errorf("encoding a decoded report: %v", err)
 			}
 		}
-		_, _ = decodeAnswer(b)
+		_, _ = decodeUsageAck(b)
 	})
 }
