--- a/cmd/traildrift/duties.go
+++ b/cmd/traildrift/duties.go
@@ -39,24 +39,24 @@
 	fmt.Fprintf(w, "holder\t%s\n", r.Holder)
 	fmt.Fprintf(w, "fence\t%d\n", r.EffectiveFence())
 	fmt.Fprintf(w, "held before by\t%s\n", strings.Join(r.PastHolders, ", "))
-	fmt.Fprintf(w, "newest settled window\t%s\n", a.named(r.Settled))
-	fmt.Fprintf(w, "next window due from\t%s\n", a.end(r.Settled+1))
+	fmt.Fprintf(w, "newest settled window\t%s\n", a.windowText(r.Settled))
+	fmt.Fprintf(w, "next window due from\t%s\n", a.windowEnd(r.Settled+1))
 	for _, u := range r.Unsent {
-		fmt.Fprintf(w, "not known to be sent\t%s, %d requests of %d workspaces\n", a.named(u.Window), u.Counts.Sum(), len(u.Counts))
+		fmt.Fprintf(w, "not known to be sent\t%s, %d requests of %d workspaces\n", a.windowText(u.Window), u.Counts.Sum(), len(u.Counts))
 	}
 	return w.Flush()
 }
 
-// named returns a window's number, with when it ended if that is known.
-func (a *dutiesArgs) named(w usage.Window) string {
+// windowText returns a window's number, with when it ended if that is known.
+func (a *dutiesArgs) windowText(w usage.Window) string {
 	if a.Window <= 0 {
 		return fmt.Sprint(int64(w))
 	}
-	return fmt.Sprintf("%d, ended at %s", w, a.end(w))
+	return fmt.Sprintf("%d, ended at %s", w, a.windowEnd(w))
 }
 
-// end returns when a window ends, as far as that is known.
-func (a *dutiesArgs) end(w usage.Window) string {
+// windowEnd returns when a window ends, as far as that is known.
+func (a *dutiesArgs) windowEnd(w usage.Window) string {
 	if a.Window <= 0 {
 		return "-"
 	}
--- a/cmd/traildrift/main.go
+++ b/cmd/traildrift/main.go
@@ -98,8 +98,8 @@
 	return "traildrift routes requests to versions of models, and explains every choice."
 }
 
-// chosen returns the command that was named; nil for none.
-func (a *args) chosen() command {
+// selected returns the command that was named; nil for none.
+func (a *args) selected() command {
 	for _, c := range []struct {
 		named bool
 		command
@@ -122,7 +122,7 @@
 	var a args
 	p := arg.MustParse(&a)
 	err := errUsage
-	if c := a.chosen(); c != nil {
+	if c := a.selected(); c != nil {
 		err = c.run(context.Background())
 	}
 	if err == nil {
--- a/cmd/traildrift/ask.go
+++ b/cmd/traildrift/query.go
@@ -46,7 +46,7 @@
 
 func (a *explainArgs) run(ctx context.Context) error {
 	if len(a.Logs) > 0 {
-		return a.fromLogs()
+		return a.explainFromLogs()
 	}
 	r, err := a.find(ctx)
 	if err != nil {
@@ -60,22 +60,22 @@
 	return desk.Explain(os.Stdout, r)
 }
 
-// fromLogs tells a request's story from the logs of routers.
-func (a *explainArgs) fromLogs() error {
-	told := false
+// explainFromLogs tells a request's story from the logs of routers.
+func (a *explainArgs) explainFromLogs() error {
+	anyFound := false
 	for _, name := range a.Logs {
 		f, err := os.Open(name)
 		if err != nil {
 			return errors.Wrap(err, "explain")
 		}
-		found, err := desk.Story(os.Stdout, name, f, a.Request)
+		found, err := desk.ExplainFromLog(os.Stdout, name, f, a.Request)
 		_ = f.Close()
 		if err != nil {
 			return err
 		}
-		told = told || found
+		anyFound = anyFound || found
 	}
-	if !told {
+	if !anyFound {
 		return errors.Newf("explain: no log tells of request %s", a.Request)
 	}
 	return nil
--- a/cmd/traildrift/rollout.go
+++ b/cmd/traildrift/rollout.go
@@ -55,11 +55,11 @@
 	case a.Start != nil:
 		return a.Start.run(ctx)
 	case a.Pause != nil:
-		return a.Pause.order(ctx, roll.Paused)
+		return a.Pause.setState(ctx, roll.Paused)
 	case a.Resume != nil:
-		return a.Resume.order(ctx, roll.Running)
+		return a.Resume.setState(ctx, roll.Running)
 	case a.Abort != nil:
-		return a.Abort.order(ctx, roll.Aborting)
+		return a.Abort.setState(ctx, roll.Aborting)
 	case a.Show != nil:
 		return a.Show.run(ctx)
 	default:
@@ -70,7 +70,7 @@
 // defaultWaves and defaultLoads are used where the operator names none.
 var defaultWaves = []float64{0.05, 0.25, 1}
 
-const defaultLoads = 4
+const defaultLoadsAtOnce = 4
 
 func (a *startArgs) run(ctx context.Context) error {
 	c := a.store()
@@ -95,7 +95,7 @@
 			b.LoadsAtOnce = max(a.LoadsAtOnce, 0)
 		}
 		if b.LoadsAtOnce == 0 {
-			b.LoadsAtOnce = defaultLoads
+			b.LoadsAtOnce = defaultLoadsAtOnce
 		}
 		return b.Start(roll.Rollout{
 			ID: proc.NewID(), Model: model, Version: version, Pool: v.Pool,
@@ -104,7 +104,7 @@
 	})
 }
 
-func (a *orderArgs) order(ctx context.Context, s roll.State) error {
+func (a *orderArgs) setState(ctx context.Context, s roll.State) error {
 	return rolls.Update(ctx, a.store(), func(b *roll.Board) error { return b.SetState(a.Version, s) })
 }
 
@@ -142,8 +142,8 @@
 	Keys string `arg:"--keys,required" help:"key file"`
 }
 
-// statusWithin bounds the questions to all processes.
-const statusWithin = 10 * time.Second
+// statusTimeout bounds the questions to all processes.
+const statusTimeout = 10 * time.Second
 
 func (a *statusArgs) run(ctx context.Context) error {
 	var keys proc.Keys
@@ -154,14 +154,14 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	rows, err := desk.Status(ctx, store.NewVMs(a.Platform), ring)
 	if err != nil {
 		return err
 	}
 	for _, r := range rows {
-		fmt.Printf("%-20s %-9s %-10s %-12s %s\n", r.VM.Name, r.VM.Role, r.VM.AvailabilityZone, r.VM.State, r.Word())
+		fmt.Printf("%-20s %-9s %-10s %-12s %s\n", r.VM.Name, r.VM.Role, r.VM.AvailabilityZone, r.VM.State, r.RevisionText())
 	}
 	b, _, err := rolls.Read(ctx, a.store())
 	if err != nil {
--- a/cmd/traildrift/settings.go
+++ b/cmd/traildrift/settings.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func parse(file string) (config.File, error) {
+func parseFile(file string) (config.File, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return config.File{}, err
@@ -94,7 +94,7 @@
 }
 
 func (a *checkArgs) run() error {
-	f, err := parse(a.File)
+	f, err := parseFile(a.File)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 }
 
 func (a *applyArgs) run(ctx context.Context) error {
-	f, err := parse(a.File)
+	f, err := parseFile(a.File)
 	if err != nil {
 		return err
 	}
--- a/internal/acct/account.go
+++ b/internal/acct/account.go
@@ -14,90 +14,90 @@
 )
 
 const (
-	// lineMost bounds a line of a log, in bytes.
-	lineMost = 1 << 20
-	// intervalsMost bounds the attempts that are kept to find what a late one waited
+	// maxLineBytes bounds a line of a log, in bytes.
+	maxLineBytes = 1 << 20
+	// maxHeadWaits bounds the attempts that are kept to find what a late one waited
 	// behind: at 48 bytes each they take 48 MB, enough for two million lines of
 	// logs. Later ones count in all tables, but hold up nobody.
-	intervalsMost = 1 << 20
+	maxHeadWaits = 1 << 20
 )
 
 // Account is what logs tell. Use New.
 type Account struct {
 	// Requests counts all requests, Late those served late, Failed those not served.
 	Requests, Late, Failed int
-	// LeftOut counts attempts beyond those that are kept.
-	LeftOut int
+	// OmittedAttempts counts attempts beyond those that are kept.
+	OmittedAttempts int
 
-	names   names
-	sources []*source
-	byName  map[string]*source
-	ends    []ended
-	ivals   []interval
-	rows    map[rowKey]*Row
-	behind  map[behindKey]*Row
-	bytes   map[bytesKey]int64
-	calls   map[callKey]*callRow
-	tokens  map[string]*Tokens
-	heads   map[headKey]*Heads
-	load    map[string]int
+	interned      stringTable
+	sources       []*source
+	byName        map[string]*source
+	misses        []miss
+	headWaits     []headWait
+	missRows      map[missKey]*Totals
+	blockers      map[blockerKey]*Totals
+	bytes         map[bytesKey]int64
+	calls         map[callKey]*callTimes
+	tokens        map[string]*Tokens
+	headTimes     map[headTimeKey]*HeadTimes
+	attemptCounts map[string]int
 }
 
-// ended is a request that was late or not served.
-type ended struct {
-	src   *source
-	at    time.Time
-	route string
-	model string
-	over  int64
-	main  Cause
-	parts []share
+// miss is a request that was late or not served.
+type miss struct {
+	src       *source
+	arrived   time.Time
+	route     string
+	model     string
+	overMs    int64
+	mainCause Cause
+	parts     []causeTime
 	// endpoint and sent are those of the last attempt.
 	endpoint string
 	sent     time.Time
-	head     int64
+	headMs   int64
 }
 
-// interval is the time in which an attempt waited for its head. Names stand as their
+// headWait is the time in which an attempt waited for its head. Names stand as their
 // numbers, see names.
-type interval struct {
+type headWait struct {
 	src, endpoint, route, model int32
 	sent                        time.Time
 	headMs, readMs              int32
 }
 
-// names numbers names. The zero value has none.
-type names struct {
-	list    []string
-	numbers map[string]int32
+// stringTable numbers stringTable. The zero value has none.
+type stringTable struct {
+	strings []string
+	indexes map[string]int32
 }
 
-// number returns the number of a name.
-func (n *names) number(name string) int32 {
-	if i, ok := n.numbers[name]; ok {
+// index returns the index of a name.
+func (n *stringTable) index(name string) int32 {
+	if i, ok := n.indexes[name]; ok {
 		return i
 	}
-	if n.numbers == nil {
-		n.numbers = make(map[string]int32)
+	if n.indexes == nil {
+		n.indexes = make(map[string]int32)
 	}
-	i := int32(len(n.list))
-	n.list, n.numbers[name] = append(n.list, name), i
+	i := int32(len(n.strings))
+	n.strings, n.indexes[name] = append(n.strings, name), i
 	return i
 }
 
 // New returns an empty account.
 func New() *Account {
 	return &Account{
-		byName: make(map[string]*source), rows: make(map[rowKey]*Row), behind: make(map[behindKey]*Row), bytes: make(map[bytesKey]int64),
-		calls: make(map[callKey]*callRow), tokens: make(map[string]*Tokens), heads: make(map[headKey]*Heads), load: make(map[string]int),
+		byName: make(map[string]*source), missRows: make(map[missKey]*Totals), blockers: make(map[blockerKey]*Totals), bytes: make(map[bytesKey]int64),
+		calls: make(map[callKey]*callTimes), tokens: make(map[string]*Tokens), headTimes: make(map[headTimeKey]*HeadTimes), attemptCounts: make(map[string]int),
 	}
 }
 
 // Read takes in one log. Its lines are those of the router that name names, unless
 // something before a line's first brace names another one.
-func (a *Account) Read(name string, log io.Reader) error {
-	scan := bufio.NewScanner(log)
-	scan.Buffer(nil, lineMost)
+func (a *Account) Read(name string, r io.Reader) error {
+	scan := bufio.NewScanner(r)
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		router, l, ok := parse(scan.Bytes())
 		if !ok {
@@ -106,162 +106,162 @@
 		if router == "" {
 			router = name
 		}
-		a.take(a.source(router), l)
+		a.addLine(a.sourceOf(router), l)
 	}
 	return errors.Wrap(scan.Err(), name)
 }
 
-func (a *Account) source(name string) *source {
+func (a *Account) sourceOf(name string) *source {
 	s, ok := a.byName[name]
 	if !ok {
-		s = &source{name: name, number: int32(len(a.sources)), marks: make(map[string]time.Time)}
+		s = &source{name: name, index: int32(len(a.sources)), configTimes: make(map[string]time.Time)}
 		a.byName[name] = s
 		a.sources = append(a.sources, s)
 	}
 	return s
 }
 
-// take takes in one line.
-func (a *Account) take(s *source, l line) {
+// addLine takes in one line.
+func (a *Account) addLine(s *source, l line) {
 	switch l.Msg {
 	case msgStarted:
 		// What was under way in an earlier life has no end.
 		s.attempts = s.attempts[:0]
 	case msgConfig:
-		s.mark(&l)
+		s.recordConfig(&l)
 	case msgAttempt:
 		s.attempts = append(s.attempts, l)
 	case msgEnded:
-		a.request(s, &l)
+		a.addRequest(s, &l)
 		s.attempts = s.attempts[:0]
 	case msgStoreCall:
-		a.call(s, &l)
+		a.addCall(s, &l)
 	case msgSent:
-		a.sentToPeers(&l)
+		a.addPeerBytes(&l)
 	}
 }
 
-// request takes in the end of a request whose attempts came before.
-func (a *Account) request(s *source, end *line) {
+// addRequest takes in the end of a addRequest whose attempts came before.
+func (a *Account) addRequest(s *source, end *line) {
 	a.Requests++
 	for i := range s.attempts {
-		a.attempt(s, end.Route, &s.attempts[i])
+		a.addAttempt(s, end.Route, &s.attempts[i])
 	}
-	e := ended{src: s, at: end.At.Add(-time.Duration(end.TookMs) * time.Millisecond), route: end.Route}
+	e := miss{src: s, arrived: end.Time.Add(-time.Duration(end.TookMs) * time.Millisecond), route: end.Route}
 	if n := len(s.attempts); n > 0 {
 		last := &s.attempts[n-1]
-		e.model, e.endpoint, e.sent, e.head = last.Model, last.Endpoint, last.Sent, last.HeadMs
+		e.model, e.endpoint, e.sent, e.headMs = last.Model, last.Endpoint, last.SentAt, last.HeadMs
 	}
 	if end.Outcome != outcomeWhole {
 		a.Failed++
-		e.main, e.over = refused(end.Outcome), end.TookMs
-		a.ends = append(a.ends, e)
+		e.mainCause, e.overMs = notServed(end.Outcome), end.TookMs
+		a.misses = append(a.misses, e)
 		return
 	}
-	e.over, e.main, e.parts = late(s.attempts, end)
-	if e.over > 0 {
+	e.overMs, e.mainCause, e.parts = latenessOf(s.attempts, end)
+	if e.overMs > 0 {
 		a.Late++
-		a.ends = append(a.ends, e)
+		a.misses = append(a.misses, e)
 	}
 }
 
-// attempt takes in one attempt of a request on a route.
-func (a *Account) attempt(s *source, route string, t *line) {
-	a.load[t.Endpoint]++
-	a.bytes[bytesKey{"prompts and bodies", t.Far}] += t.SentBytes
-	a.bytes[bytesKey{"answers", t.Far}] += t.GotBytes
-	a.read(route, t)
+// addAttempt takes in one addAttempt of a request on a route.
+func (a *Account) addAttempt(s *source, route string, t *line) {
+	a.attemptCounts[t.Endpoint]++
+	a.bytes[bytesKey{"prompts and bodies", t.CrossZone}] += t.SentBytes
+	a.bytes[bytesKey{"answers", t.CrossZone}] += t.GotBytes
+	a.addTokens(route, t)
 	if t.Outcome == outcomeDropped || t.Outcome == "delivered" {
-		a.head(route, t)
+		a.addHeadTime(route, t)
 	}
-	if len(a.ivals) >= intervalsMost {
-		a.LeftOut++
+	if len(a.headWaits) >= maxHeadWaits {
+		a.OmittedAttempts++
 		return
 	}
-	n := &a.names
-	a.ivals = append(a.ivals, interval{s.number, n.number(t.Endpoint), n.number(route), n.number(t.Model), t.Sent, int32(t.HeadMs), int32(t.ReadMs)})
+	n := &a.interned
+	a.headWaits = append(a.headWaits, headWait{s.index, n.index(t.Endpoint), n.index(route), n.index(t.Model), t.SentAt, int32(t.HeadMs), int32(t.ReadMs)})
 }
 
 // Finish puts the logs on one clock and fills the tables; it is called once, after the
 // last Read.
 func (a *Account) Finish() {
-	align(a.sources)
-	for i := range a.ivals {
-		a.ivals[i].sent = a.ivals[i].sent.Add(-a.sources[a.ivals[i].src].ahead)
+	alignClocks(a.sources)
+	for i := range a.headWaits {
+		a.headWaits[i].sent = a.headWaits[i].sent.Add(-a.sources[a.headWaits[i].src].clockOffset)
 	}
-	slices.SortFunc(a.ivals, func(p, q interval) int {
+	slices.SortFunc(a.headWaits, func(p, q headWait) int {
 		return cmp.Or(cmp.Compare(p.endpoint, q.endpoint), p.sent.Compare(q.sent), cmp.Compare(p.src, q.src))
 	})
-	first := a.first()
-	for i := range a.ends {
-		e := &a.ends[i]
-		e.at = e.at.Add(-e.src.ahead)
-		e.sent = e.sent.Add(-e.src.ahead)
-		a.enter(e, int(e.at.Sub(first)/time.Second))
+	first := a.start()
+	for i := range a.misses {
+		e := &a.misses[i]
+		e.arrived = e.arrived.Add(-e.src.clockOffset)
+		e.sent = e.sent.Add(-e.src.clockOffset)
+		a.addMiss(e, int(e.arrived.Sub(first)/time.Second))
 	}
 	for _, c := range a.calls {
-		c.place(first)
+		c.setSeconds(first)
 	}
 }
 
-// first returns when the first attempt was sent or the first request ended.
-func (a *Account) first() (t time.Time) {
+// start returns when the start attempt was sent or the start request ended.
+func (a *Account) start() (t time.Time) {
 	earlier := func(at time.Time) {
 		if t.IsZero() || at.Before(t) {
 			t = at
 		}
 	}
-	for i := range a.ivals {
-		earlier(a.ivals[i].sent)
+	for i := range a.headWaits {
+		earlier(a.headWaits[i].sent)
 	}
-	for i := range a.ends {
-		earlier(a.ends[i].at.Add(-a.ends[i].src.ahead))
+	for i := range a.misses {
+		earlier(a.misses[i].arrived.Add(-a.misses[i].src.clockOffset))
 	}
 	return t
 }
 
-// enter adds a late or failed request to the tables.
-func (a *Account) enter(e *ended, second int) {
-	r := entry(a.rows, rowKey{e.route, e.model, e.main, second})
+// addMiss adds a late or failed request to the tables.
+func (a *Account) addMiss(e *miss, second int) {
+	r := getOrNew(a.missRows, missKey{e.route, e.model, e.mainCause, second})
 	r.Requests++
-	r.OverMs += e.over
+	r.OverMs += e.overMs
 	for _, p := range e.parts {
-		r.Parts[slices.Index(lateness, p.cause)] += p.ms
+		r.CauseMs[slices.Index(latenessCauses, p.cause)] += p.ms
 	}
-	if e.main != Behind && e.main != Unforeseen {
+	if e.mainCause != QueueWait && e.mainCause != UnpredictedWait {
 		return
 	}
-	key := behindKey{route: e.route, model: e.model, behind: "nothing that the logs tell of"}
-	if b := a.ahead(e); b != nil {
-		key.behind, key.own = a.names.list[b.route]+" "+a.names.list[b.model], b.src == e.src.number
+	key := blockerKey{route: e.route, model: e.model, blocker: "nothing that the logs tell of"}
+	if b := a.blocker(e); b != nil {
+		key.blocker, key.sameRouter = a.interned.strings[b.route]+" "+a.interned.strings[b.model], b.src == e.src.index
 	}
-	q := entry(a.behind, key)
+	q := getOrNew(a.blockers, key)
 	q.Requests++
-	q.OverMs += e.over
+	q.OverMs += e.overMs
 }
 
-// lookBack is how many attempts at an endpoint before a late one are looked at.
-const lookBack = 64
+// maxLookBack is how many attempts at an endpoint before a late one are looked at.
+const maxLookBack = 64
 
-// ahead returns the attempt with the longest prompt among those that were sent to the
+// blocker returns the attempt with the longest prompt among those that were sent to the
 // same endpoint before a late one and had no head yet; nil if there is none.
-func (a *Account) ahead(e *ended) (found *interval) {
-	endpoint := a.names.number(e.endpoint)
-	i, _ := slices.BinarySearchFunc(a.ivals, e, func(p interval, e *ended) int {
+func (a *Account) blocker(e *miss) (found *headWait) {
+	endpoint := a.interned.index(e.endpoint)
+	i, _ := slices.BinarySearchFunc(a.headWaits, e, func(p headWait, e *miss) int {
 		return cmp.Or(cmp.Compare(p.endpoint, endpoint), p.sent.Compare(e.sent))
 	})
-	for j := i - 1; j >= max(i-lookBack, 0) && a.ivals[j].endpoint == endpoint; j-- {
-		p := &a.ivals[j]
-		over := p.sent.Add(time.Duration(p.headMs) * time.Millisecond)
-		if over.After(e.sent) && (found == nil || p.readMs > found.readMs) {
+	for j := i - 1; j >= max(i-maxLookBack, 0) && a.headWaits[j].endpoint == endpoint; j-- {
+		p := &a.headWaits[j]
+		headAt := p.sent.Add(time.Duration(p.headMs) * time.Millisecond)
+		if headAt.After(e.sent) && (found == nil || p.readMs > found.readMs) {
 			found = p
 		}
 	}
 	return found
 }
 
-// entry returns what a map holds under a key; a new zero value if there is none.
-func entry[K comparable, V any](in map[K]*V, key K) *V {
+// getOrNew returns what a map holds under a key; a new zero value if there is none.
+func getOrNew[K comparable, V any](in map[K]*V, key K) *V {
 	v, ok := in[key]
 	if !ok {
 		v = new(V)
--- a/internal/acct/acct_test.go
+++ b/internal/acct/acct_test.go
@@ -16,9 +16,9 @@
 	"github.com/traildrift/traildrift/internal/golden"
 )
 
-// recorded reads the logs in testdata: of three routers, the clock of one of which is
+// readTestLogs reads the logs in testdata: of three routers, the clock of one of which is
 // 90 s ahead.
-func recorded(t *testing.T) *Account {
+func readTestLogs(t *testing.T) *Account {
 	t.Helper()
 	a := New()
 	for _, name := range []string{"a-1.log", "b-1.log", "c-1.log"} {
@@ -38,7 +38,7 @@
 }
 
 func TestTables(t *testing.T) {
-	a := recorded(t)
+	a := readTestLogs(t)
 	var out bytes.Buffer
 	if err := a.Write(&out, 0); err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 }
 
 func TestCSV(t *testing.T) {
-	a, dir := recorded(t), t.TempDir()
+	a, dir := readTestLogs(t), t.TempDir()
 	if err := a.WriteCSV(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 }
 
 func TestPlots(t *testing.T) {
-	for _, a := range []*Account{recorded(t), New()} {
+	for _, a := range []*Account{readTestLogs(t), New()} {
 		dir := t.TempDir()
 		a.Finish()
 		if err := a.WritePlots(dir); err != nil {
@@ -91,9 +91,9 @@
 		{HeadMs: 150, Outcome: outcomeDropped},
 		{HeadMs: 500, Outcome: "delivered", ReadMs: 120, WaitMs: 80},
 	}
-	want := map[Cause]int64{EarlierTry: 250, FailedAttempt: 200, OwnBound: 100, SmallerModel: 150, Reading: 120, Behind: 80, Unforeseen: 300, Router: 50}
+	want := map[Cause]int64{EarlierRequest: 250, FailedAttempt: 200, SilenceTimeout: 100, SmallerModel: 150, PromptRead: 120, QueueWait: 80, UnpredictedWait: 300, Router: 50}
 	got := make(map[Cause]int64)
-	for _, p := range divide(attempts, end) {
+	for _, p := range divideTime(attempts, end) {
 		got[p.cause] += p.ms
 	}
 	for c, ms := range want {
@@ -106,12 +106,12 @@
 func TestCorrelation(t *testing.T) {
 	a := New()
 	for i := range int64(10) {
-		a.head("r", &line{WaitMs: i, ReadMs: 2 * i, HeadMs: 5 + 6*i})
+		a.addHeadTime("r", &line{WaitMs: i, ReadMs: 2 * i, HeadMs: 5 + 6*i})
 	}
-	if got := a.heads[headKey{"r", ""}].Correlation(); math.Abs(got-1) > 1e-9 {
+	if got := a.headTimes[headTimeKey{"r", ""}].Correlation(); math.Abs(got-1) > 1e-9 {
 		t.Errorf("correlation: got %v, want 1", got)
 	}
-	if got := (&Heads{N: 1}).Correlation(); got != 0 {
+	if got := (&HeadTimes{N: 1}).Correlation(); got != 0 {
 		t.Errorf("correlation of one: got %v, want 0", got)
 	}
 }
@@ -120,19 +120,19 @@
 func TestAlign(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	log := func(ahead time.Duration, versions ...string) *source {
-		s := &source{marks: make(map[string]time.Time)}
+		s := &source{configTimes: make(map[string]time.Time)}
 		for i, v := range versions {
-			s.marks[v] = t0.Add(time.Duration(i)*time.Second + ahead)
+			s.configTimes[v] = t0.Add(time.Duration(i)*time.Second + ahead)
 		}
 		return s
 	}
 	a, b, c, alone := log(0, "1", "2", "3"), log(time.Hour, "1", "2", "3"), log(20*time.Millisecond, "1", "2", "3"), log(time.Hour, "9")
-	align([]*source{a, b, c, alone})
-	if got := b.ahead - a.ahead; got != time.Hour {
+	alignClocks([]*source{a, b, c, alone})
+	if got := b.clockOffset - a.clockOffset; got != time.Hour {
 		t.Errorf("the clock that is ahead: got %v, want 1h", got)
 	}
-	if alone.ahead != 0 {
-		t.Errorf("a log that shares nothing: got %v, want 0", alone.ahead)
+	if alone.clockOffset != 0 {
+		t.Errorf("a log that shares nothing: got %v, want 0", alone.clockOffset)
 	}
 }
 
--- a/internal/acct/line.go
+++ b/internal/acct/line.go
@@ -29,8 +29,8 @@
 
 // line is what an account needs of a router's line.
 type line struct {
-	At  time.Time `json:"ts"`
-	Msg string    `json:"msg"`
+	Time time.Time `json:"ts"`
+	Msg  string    `json:"msg"`
 	// VM is set at a start, Version where a configuration came in force.
 	VM      string `json:"vm"`
 	Version any    `json:"version"`
@@ -47,17 +47,17 @@
 	TookMs     int64 `json:"tookMs"`
 	TokensIn   int   `json:"tokensIn"`
 
-	Sent         time.Time `json:"at"`
+	SentAt       time.Time `json:"at"`
 	Endpoint     string    `json:"endpoint"`
 	Model        string    `json:"model"`
-	Far          bool      `json:"far"`
-	Unread       int       `json:"unread"`
+	CrossZone    bool      `json:"far"`
+	UnreadTokens int       `json:"unread"`
 	WaitMs       int64     `json:"waitMs"`
 	ReadMs       int64     `json:"readMs"`
 	PauseMs      int64     `json:"pauseMs"`
 	SentBytes    int64     `json:"sentBytes"`
 	GotBytes     int64     `json:"gotBytes"`
-	Passed       string    `json:"passed"`
+	PassedOver   string    `json:"passed"`
 	CostMs       int64     `json:"costMs"`
 	PassedCostMs int64     `json:"passedCostMs"`
 
@@ -65,15 +65,15 @@
 	Kind   string `json:"kind"`
 	Status int    `json:"status"`
 
-	// Notes, Reports, Questions and Answers are bytes sent to other routers.
-	Notes     int64 `json:"notesBytes"`
-	Reports   int64 `json:"reportsBytes"`
-	Questions int64 `json:"questionsBytes"`
-	Answers   int64 `json:"answersBytes"`
+	// AttemptReportBytes, Reports, Questions and Answers are bytes sent to other routers.
+	AttemptReportBytes int64 `json:"notesBytes"`
+	TrialReportBytes   int64 `json:"reportsBytes"`
+	PullRequestBytes   int64 `json:"questionsBytes"`
+	PullResponseBytes  int64 `json:"answersBytes"`
 }
 
-// read is whether an account reads a line of this text: decoding is what costs time.
-func read(b []byte) bool {
+// isRelevant is whether an account reads a line of this text: decoding is what costs time.
+func isRelevant(b []byte) bool {
 	for _, msg := range []string{msgAttempt, msgEnded, msgStoreCall, msgSent, msgConfig, msgStarted} {
 		if bytes.Contains(b, []byte(msg)) {
 			return true
@@ -86,7 +86,7 @@
 // of which names the router. ok is false for a line that tells an account nothing.
 func parse(b []byte) (router string, l line, ok bool) {
 	i := bytes.IndexByte(b, '{')
-	if i < 0 || !read(b) || json.Unmarshal(b[i:], &l) != nil {
+	if i < 0 || !isRelevant(b) || json.Unmarshal(b[i:], &l) != nil {
 		return "", line{}, false
 	}
 	if words := strings.Fields(string(b[:i])); len(words) > 0 {
--- a/internal/acct/plots.go
+++ b/internal/acct/plots.go
@@ -44,12 +44,12 @@
 }
 
 func (a *Account) drawHeads(p *plot.Plot) error {
-	xy, most := plotter.XYs{}, 0.0
-	for _, k := range a.headKeys() {
-		h := a.heads[k]
+	xy, limit := plotter.XYs{}, 0.0
+	for _, k := range a.headTimeKeys() {
+		h := a.headTimes[k]
 		for i := range h.actual {
-			xy = append(xy, plotter.XY{X: h.foretold[i], Y: h.actual[i]})
-			most = max(most, h.foretold[i], h.actual[i])
+			xy = append(xy, plotter.XY{X: h.predicted[i], Y: h.actual[i]})
+			limit = max(limit, h.predicted[i], h.actual[i])
 		}
 	}
 	dots, err := plotter.NewScatter(xy)
@@ -57,18 +57,18 @@
 		return err
 	}
 	dots.Radius = vg.Points(1)
-	even, err := plotter.NewLine(plotter.XYs{{}, {X: most, Y: most}})
+	diagonal, err := plotter.NewLine(plotter.XYs{{}, {X: limit, Y: limit}})
 	if err != nil {
 		return err
 	}
-	p.Add(plotter.NewGrid(), dots, even)
+	p.Add(plotter.NewGrid(), dots, diagonal)
 	return nil
 }
 
 func (a *Account) drawLateness(p *plot.Plot) error {
 	bySecond := make(map[int]float64)
-	for k, r := range a.rows {
-		if k.main.served() {
+	for k, r := range a.missRows {
+		if k.mainCause.served() {
 			bySecond[k.second] += float64(r.OverMs) / 1000
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 func (a *Account) drawLoad(p *plot.Plot) error {
-	counts := slices.Sorted(maps.Values(a.load))
+	counts := slices.Sorted(maps.Values(a.attemptCounts))
 	slices.Reverse(counts)
 	values := make(plotter.Values, len(counts))
 	for i, n := range counts {
--- a/internal/acct/source.go
+++ b/internal/acct/source.go
@@ -12,45 +12,45 @@
 // source is one router's log.
 type source struct {
 	name string
-	// number is its place among the sources.
-	number int32
-	// marks holds when configurations came in force, by the log's clock: they do so
+	// index is its place among the sources.
+	index int32
+	// configTimes holds when configurations came in force, by the log's clock: they do so
 	// at all routers within a fraction of a second.
-	marks map[string]time.Time
+	configTimes map[string]time.Time
 	// attempts holds those of the request whose end has not come yet.
 	attempts []line
-	// ahead is by how much the clock is ahead of the others'.
-	ahead time.Duration
+	// clockOffset is by how much the clock is clockOffset of the others'.
+	clockOffset time.Duration
 }
 
-// mark notes that a configuration came in force, the first time in this log.
-func (s *source) mark(l *line) {
+// recordConfig notes that a configuration came in force, the first time in this log.
+func (s *source) recordConfig(l *line) {
 	version := fmt.Sprint(l.Version)
-	if _, ok := s.marks[version]; !ok {
-		s.marks[version] = l.At
+	if _, ok := s.configTimes[version]; !ok {
+		s.configTimes[version] = l.Time
 	}
 }
 
-// align finds by how much each clock is ahead: the median, over the configurations, of
+// alignClocks finds by how much each clock is ahead: the median, over the configurations, of
 // how much later than at the median router one came in force. A log that shares none
 // with the others counts as right.
-func align(sources []*source) {
+func alignClocks(sources []*source) {
 	times := make(map[string][]time.Time)
 	for _, s := range sources {
-		for version, at := range s.marks {
+		for version, at := range s.configTimes {
 			times[version] = append(times[version], at)
 		}
 	}
 	for _, s := range sources {
-		var over []time.Duration
-		for version, at := range s.marks {
+		var offsets []time.Duration
+		for version, at := range s.configTimes {
 			if all := times[version]; len(all) > 1 {
-				over = append(over, at.Sub(medianTime(all)))
+				offsets = append(offsets, at.Sub(medianTime(all)))
 			}
 		}
-		if len(over) > 0 {
-			slices.Sort(over)
-			s.ahead = over[len(over)/2]
+		if len(offsets) > 0 {
+			slices.Sort(offsets)
+			s.clockOffset = offsets[len(offsets)/2]
 		}
 	}
 }
--- a/internal/acct/write.go
+++ b/internal/acct/write.go
@@ -16,16 +16,16 @@
 )
 
 // Write writes the account as text, with at most so many rows of each table; 0 for all.
-func (a *Account) Write(w io.Writer, most int) error {
+func (a *Account) Write(w io.Writer, maxRows int) error {
 	head := fmt.Sprintf("%d requests of %d routers: %d late, %d not served\n", a.Requests, len(a.sources), a.Late, a.Failed)
-	if a.LeftOut > 0 {
-		head += fmt.Sprintf("%d attempts too many to keep: what waited behind them is not told\n", a.LeftOut)
+	if a.OmittedAttempts > 0 {
+		head += fmt.Sprintf("%d attempts too many to keep: what waited behind them is not told\n", a.OmittedAttempts)
 	}
 	if _, err := io.WriteString(w, head); err != nil {
 		return errors.Wrap(err, "account")
 	}
 	for _, t := range a.Tables() {
-		if err := t.write(w, most); err != nil {
+		if err := t.write(w, maxRows); err != nil {
 			return errors.Wrap(err, "account")
 		}
 	}
@@ -33,21 +33,21 @@
 }
 
 // write writes a table in columns.
-func (t *Table) write(w io.Writer, most int) error {
+func (t *Table) write(w io.Writer, maxRows int) error {
 	if _, err := fmt.Fprintf(w, "\n%s\n", t.Title); err != nil {
 		return err
 	}
 	rows := t.Rows
-	if most > 0 {
-		rows = rows[:min(most, len(rows))]
+	if maxRows > 0 {
+		rows = rows[:min(maxRows, len(rows))]
 	}
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range append([][]string{t.Head}, rows...) {
-		if _, err := fmt.Fprintln(tab, "  "+strings.Join(row, "\t")); err != nil {
+		if _, err := fmt.Fprintln(tw, "  "+strings.Join(row, "\t")); err != nil {
 			return err
 		}
 	}
-	if err := tab.Flush(); err != nil {
+	if err := tw.Flush(); err != nil {
 		return err
 	}
 	if left := len(t.Rows) - len(rows); left > 0 {
--- a/internal/desk/diff.go
+++ b/internal/desk/diff.go
@@ -42,13 +42,13 @@
 	old := byName(a)
 	for _, c := range b {
 		name := c.Model + "@" + c.Version
-		was, ok := old[name]
+		before, ok := old[name]
 		delete(old, name)
 		switch {
 		case !ok:
 			out = append(out, fmt.Sprintf("%s: version %s is allowed", config.PathName(path), name))
-		case was.Spec != c.Spec:
-			out = append(out, fmt.Sprintf("%s: version %s: %+v -> %+v", config.PathName(path), name, was.Spec, c.Spec))
+		case before.Spec != c.Spec:
+			out = append(out, fmt.Sprintf("%s: version %s: %+v -> %+v", config.PathName(path), name, before.Spec, c.Spec))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(old)) {
--- a/internal/desk/explain.go
+++ b/internal/desk/explain.go
@@ -25,8 +25,8 @@
 // ErrUnknownRequest says that no trail holds the request.
 var ErrUnknownRequest = errors.New("no trail holds this request; it may be younger than a second, refused before a decision, or lost while the platform was down")
 
-// askWithin bounds one call to a process.
-const askWithin = 5 * time.Second
+// fetchTimeout bounds one call to a process.
+const fetchTimeout = 5 * time.Second
 
 // Fetch reads a path of a process's operators' listener.
 func Fetch(addr netip.AddrPort, token, path string) ([]byte, error) {
@@ -37,7 +37,7 @@
 	if token != "" {
 		req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+token)
 	}
-	if err := fasthttp.DoDeadline(req, resp, time.Now().Add(askWithin)); err != nil {
+	if err := fasthttp.DoDeadline(req, resp, time.Now().Add(fetchTimeout)); err != nil {
 		return nil, err
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
@@ -95,7 +95,7 @@
 	p.line("request   %s", r.RequestID)
 	p.line("for       %s", config.Path(r.Workspace, r.Workload, r.District))
 	p.line("entry     %s, settings revision %d", r.Entry, r.Revision)
-	p.line("times     arrived %s, ended %s, deadline %s", stamp(r.Arrived), stamp(r.Ended), stamp(r.Deadline))
+	p.line("times     arrived %s, ended %s, deadline %s", formatTime(r.Arrived), formatTime(r.Ended), formatTime(r.Deadline))
 	p.line("bill      %s", r.BillID)
 	if r.Key != "" {
 		p.line("key       %s", r.Key)
@@ -118,7 +118,7 @@
 	return p.err
 }
 
-func stamp(t time.Time) string { return t.UTC().Format(time.RFC3339Nano) }
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339Nano) }
 
 // printer writes lines and keeps the first error.
 type printer struct {
@@ -137,9 +137,9 @@
 	if where == "" {
 		where = "no endpoint"
 	}
-	p.line("attempt %d at %s, revision %d: %s %s", s.Attempt, stamp(s.At), s.Revision, versionName(s.Model, s.Version), where)
+	p.line("attempt %d at %s, revision %d: %s %s", s.Attempt, formatTime(s.At), s.Revision, versionName(s.Model, s.Version), where)
 	for _, c := range s.Candidates {
-		p.line("  %-24s %-22s cost %-8v quality %-6v wait %-6.2f score %-8.3f %s", versionName(c.Model, c.Version), c.Reason, c.Cost, c.Quality, c.Wait, c.Score, why(c.Reason.Setting(), settings))
+		p.line("  %-24s %-22s cost %-8v quality %-6v wait %-6.2f score %-8.3f %s", versionName(c.Model, c.Version), c.Reason, c.Cost, c.Quality, c.Wait, c.Score, decidingSetting(c.Reason.Setting(), settings))
 	}
 	if s.Err != nil {
 		p.line("  ended: %s", s.Err)
@@ -153,8 +153,8 @@
 	return model + "@" + version
 }
 
-// why names the setting that decided, with its value and origin.
-func why(key string, settings []config.Setting) string {
+// decidingSetting names the setting that decided, with its value and origin.
+func decidingSetting(key string, settings []config.Setting) string {
 	for _, s := range settings {
 		if s.Key == key {
 			return fmt.Sprintf("by %s %s from %s", s.Key, s.Value, originName(s.Origin))
--- a/internal/desk/story.go
+++ b/internal/desk/fromlog.go
@@ -35,15 +35,15 @@
 	msgStarted = "router: Started."
 )
 
-// struck and blamed begin the topics of a request under which an endpoint ended and of one that
+// crashTopicPrefix and quarantineTopicPrefix begin the topics of a request under which an endpoint ended and of one that
 // is quarantined; the request's fingerprint follows.
 const (
-	struck = "crash under request "
-	blamed = "quarantine of request "
+	crashTopicPrefix      = "crash under request "
+	quarantineTopicPrefix = "quarantine of request "
 )
 
-// lineMost bounds a line of a log, in bytes.
-const lineMost = 1 << 20
+// maxLineBytes bounds a line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
 // topic names what a line changes the process's mind about; empty for nothing.
 func (l *logLine) topic() string {
@@ -55,7 +55,7 @@
 	case strings.HasPrefix(l.Msg, "peers: "):
 		return "peers"
 	case l.Fingerprint != "":
-		return l.blame()
+		return l.requestTopic()
 	case l.Endpoint != "":
 		return "endpoint " + l.Endpoint
 	case l.Service != "":
@@ -71,24 +71,24 @@
 	}
 }
 
-// blame names what a line says of a request that may end endpoints.
-func (l *logLine) blame() string {
+// requestTopic names what a line says of a request that may end endpoints.
+func (l *logLine) requestTopic() string {
 	if l.Endpoint != "" {
-		return struck + l.Fingerprint + " of " + l.Endpoint
+		return crashTopicPrefix + l.Fingerprint + " of " + l.Endpoint
 	}
-	return blamed + l.Fingerprint
+	return quarantineTopicPrefix + l.Fingerprint
 }
 
-// Story reads a router's log and writes what it tells of a request: its attempts,
+// ExplainFromLog reads a router's log and writes what it tells of a request: its attempts,
 // its end, and what the router believed then, by the lines that came before in the
 // same log, so that no clocks are compared. It reports whether the request was
 // found; one that came twice is told twice.
-func Story(w io.Writer, name string, log io.Reader, request string) (found bool, err error) {
+func ExplainFromLog(w io.Writer, name string, log io.Reader, request string) (found bool, err error) {
 	p := &printer{w: w}
-	beliefs := make(map[string]string)
+	state := make(map[string]string)
 	var attempts []logLine
 	scan := bufio.NewScanner(log)
-	scan.Buffer(nil, lineMost)
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		l, ok := parseLine(scan.Bytes())
 		if !ok {
@@ -97,15 +97,15 @@
 		switch {
 		case l.Msg == msgStarted:
 			// A new life of the process knows nothing of the one before.
-			clear(beliefs)
-			beliefs["process"] = l.text
+			clear(state)
+			state["process"] = l.text
 		case l.topic() != "":
-			beliefs[l.topic()] = l.text
+			state[l.topic()] = l.text
 		case l.Request != request:
 		case l.Msg == msgAttempt:
 			attempts = append(attempts, l)
 		default:
-			p.story(name, attempts, l, beliefs)
+			p.requestFromLog(name, attempts, l, state)
 			found, attempts = true, nil
 		}
 	}
@@ -125,28 +125,28 @@
 	return l, true
 }
 
-// story writes one request's story.
-func (p *printer) story(name string, attempts []logLine, end logLine, beliefs map[string]string) {
+// requestFromLog writes one request's requestFromLog.
+func (p *printer) requestFromLog(name string, attempts []logLine, end logLine, state map[string]string) {
 	p.line("%s", name)
 	for _, a := range attempts {
 		p.line("  attempt  %s", a.text)
 	}
 	p.line("  end      %s", end.text)
 	p.line("  believed then")
-	for _, topic := range slices.Sorted(maps.Keys(beliefs)) {
-		if !concerns(topic, attempts, &end) {
+	for _, topic := range slices.Sorted(maps.Keys(state)) {
+		if !isRelevant(topic, attempts, &end) {
 			continue
 		}
-		p.line("    %s: %s", topic, beliefs[topic])
+		p.line("    %s: %s", topic, state[topic])
 	}
 }
 
-// concerns reports whether what a router believed of a topic may have decided about a request.
-func concerns(topic string, attempts []logLine, end *logLine) bool {
+// isRelevant reports whether what a router believed of a topic may have decided about a request.
+func isRelevant(topic string, attempts []logLine, end *logLine) bool {
 	if id, ok := strings.CutPrefix(topic, "endpoint "); ok {
 		return slices.ContainsFunc(attempts, func(a logLine) bool { return a.Endpoint == id })
 	}
-	for _, prefix := range []string{struck, blamed} {
+	for _, prefix := range []string{crashTopicPrefix, quarantineTopicPrefix} {
 		if rest, ok := strings.CutPrefix(topic, prefix); ok {
 			return end.Fingerprint != "" && strings.HasPrefix(rest, end.Fingerprint)
 		}
--- a/internal/desk/story_test.go
+++ b/internal/desk/fromlog_test.go
@@ -12,36 +12,36 @@
 	"github.com/traildrift/traildrift/internal/golden"
 )
 
-func TestStory(t *testing.T) {
+func TestExplainFromLog(t *testing.T) {
 	log, err := os.ReadFile("testdata/router.log")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got bytes.Buffer
-	found, err := Story(&got, "router.log", bytes.NewReader(log), "r1")
+	found, err := ExplainFromLog(&got, "router.log", bytes.NewReader(log), "r1")
 	if err != nil || !found {
 		t.Fatalf("got %v, %v; want the request found", found, err)
 	}
-	golden.Check(t, "story.golden", got.Bytes())
+	golden.Check(t, "fromlog.golden", got.Bytes())
 }
 
-func TestStoryOfAnotherRequest(t *testing.T) {
+func TestExplainFromLogWithoutTheRequest(t *testing.T) {
 	var got bytes.Buffer
-	found, err := Story(&got, "x", strings.NewReader("no line of ours\n{broken\n"), "r1")
+	found, err := ExplainFromLog(&got, "x", strings.NewReader("no line of ours\n{broken\n"), "r1")
 	if found || err != nil || got.Len() > 0 {
 		t.Errorf("got %v, %v and %q; want nothing", found, err, got.String())
 	}
 }
 
 // The story of a quarantined request tells which endpoints ended under it, and of no other's.
-func TestStoryOfAQuarantinedRequest(t *testing.T) {
+func TestExplainFromLogOfAQuarantinedRequest(t *testing.T) {
 	log := `{"msg":"relay: An endpoint has crashed under a request.","endpoint":"e1","service":"s","request":"r0","fingerprint":"aa","ends":1}
 {"msg":"relay: An endpoint has crashed under a request.","endpoint":"e1","service":"s","request":"r8","fingerprint":"bb","ends":1}
 {"msg":"relay: A request is quarantined.","fingerprint":"aa","round":1,"ends":3}
 {"msg":"relay: A request has ended.","request":"r1","fingerprint":"aa","outcome":"quarantined"}
 `
 	var got bytes.Buffer
-	found, err := Story(&got, "x", strings.NewReader(log), "r1")
+	found, err := ExplainFromLog(&got, "x", strings.NewReader(log), "r1")
 	if err != nil || !found {
 		t.Fatalf("got %v, %v; want the request found", found, err)
 	}
--- a/internal/desk/wait.go
+++ b/internal/desk/wait.go
@@ -20,19 +20,19 @@
 	"github.com/traildrift/traildrift/pkg/seal"
 )
 
-// waitPoll is how often processes that lag are asked again.
-const waitPoll = config.Span(100 * time.Millisecond)
+// pollInterval is how often processes that lag are asked again.
+const pollInterval = config.Span(100 * time.Millisecond)
 
 // Wait returns once every live VM's process reports the revision, or an error
 // that names those that do not by the deadline of ctx.
 func Wait(ctx context.Context, vms *store.VMs, keys *seal.Keyring, revision int64) error {
-	local := operator(keys)
+	local := operatorLocal(keys)
 	for {
-		lagging, err := behind(ctx, local, vms, revision)
+		lagging, err := laggingVMs(ctx, local, vms, revision)
 		if err == nil && len(lagging) == 0 {
 			return nil
 		}
-		tasks.Pause(ctx, waitPoll.After(time.Now()))
+		tasks.Pause(ctx, pollInterval.After(time.Now()))
 		if ctx.Err() != nil {
 			if err != nil {
 				return errors.Wrap(err, "the VM list does not answer")
@@ -42,8 +42,8 @@
 	}
 }
 
-// operator returns an operator's side of links.
-func operator(keys *seal.Keyring) *link.Local {
+// operatorLocal returns an operatorLocal's side of links.
+func operatorLocal(keys *seal.Keyring) *link.Local {
 	return &link.Local{
 		Identity: wire.Identity{VM: "operator", Role: "operator", Incarnation: fmt.Sprintf("operator-%d", time.Now().UnixNano())},
 		Keys:     keys,
@@ -52,7 +52,7 @@
 	}
 }
 
-func behind(ctx context.Context, local *link.Local, vms *store.VMs, revision int64) ([]string, error) {
+func laggingVMs(ctx context.Context, local *link.Local, vms *store.VMs, revision int64) ([]string, error) {
 	list, err := vms.List(ctx)
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 		if vm.State != store.VMLive {
 			continue
 		}
-		if has, ok := revisionOf(ctx, local, vm); !ok || has < revision {
+		if reported, ok := fetchRevision(ctx, local, vm); !ok || reported < revision {
 			lagging = append(lagging, vm.Name)
 		}
 	}
@@ -70,8 +70,8 @@
 	return lagging, nil
 }
 
-// revisionOf asks a VM's process for its revision.
-func revisionOf(ctx context.Context, local *link.Local, vm store.VM) (int64, bool) {
+// fetchRevision asks a VM's process for its revision.
+func fetchRevision(ctx context.Context, local *link.Local, vm store.VM) (int64, bool) {
 	c, err := local.Dial(ctx, vm.Link)
 	if err != nil {
 		return 0, false
@@ -82,33 +82,33 @@
 	return reply.Revision, err == nil
 }
 
-// Row is what status shows of a VM.
-type Row struct {
+// VMStatus is what status shows of a VM.
+type VMStatus struct {
 	VM store.VM
-	// Answers says that the VM's process has answered; Revision is its own.
-	Answers  bool
+	// Answered says that the VM's process has answered; Revision is its own.
+	Answered bool
 	Revision int64
 }
 
-// Word returns the row's last column.
-func (r Row) Word() string {
-	if !r.Answers {
+// RevisionText returns the row's last column.
+func (r VMStatus) RevisionText() string {
+	if !r.Answered {
 		return "does not answer"
 	}
 	return fmt.Sprintf("revision %d", r.Revision)
 }
 
 // Status asks the process of every VM for its revision.
-func Status(ctx context.Context, vms *store.VMs, keys *seal.Keyring) ([]Row, error) {
+func Status(ctx context.Context, vms *store.VMs, keys *seal.Keyring) ([]VMStatus, error) {
 	list, err := vms.List(ctx)
 	if err != nil {
 		return nil, err
 	}
-	local := operator(keys)
-	rows := make([]Row, len(list))
+	local := operatorLocal(keys)
+	rows := make([]VMStatus, len(list))
 	for i, vm := range list {
 		rows[i].VM = vm
-		rows[i].Revision, rows[i].Answers = revisionOf(ctx, local, vm)
+		rows[i].Revision, rows[i].Answered = fetchRevision(ctx, local, vm)
 	}
 	return rows, nil
 }
