--- a/internal/acct/account.go
+++ b/internal/acct/account.go
@@ -14,21 +14,25 @@
 )
 
 const (
-	// maxLineBytes bounds a line of a log, in bytes.
+	// maxLineBytes is the maximum length of a log line. Read fails on a longer one.
 	maxLineBytes = 1 << 20
-	// maxHeadWaits bounds the attempts that are kept to find what a late one waited
-	// behind: at 48 bytes each they take 48 MB, enough for two million lines of
-	// logs. Later ones count in all tables, but hold up nobody.
+	// maxHeadWaits is the maximum number of attempts that are kept to find what a late request
+	// waited for. At 48 bytes each they take 48 MB, which is enough for two million log lines.
+	// Further attempts count in all tables, but are not found as blockers of late requests.
 	maxHeadWaits = 1 << 20
 )
 
-// Account is what logs tell. Use New.
+// Account holds the sums and samples of the logs that were read. Create it with New. It is not
+// safe for concurrent use.
 type Account struct {
-	// Requests counts all requests, Late those served late, Failed those not served.
+	// Requests is the number of all requests, Late of those served late, Failed of those not
+	// served. Read sets them.
 	Requests, Late, Failed int
-	// OmittedAttempts counts attempts beyond those that are kept.
+	// OmittedAttempts is the number of attempts beyond maxHeadWaits, which are not considered as
+	// blockers of late requests. Read sets it.
 	OmittedAttempts int
 
+	// interned holds the names of endpoints, routes and models in headWaits.
 	interned      stringTable
 	sources       []*source
 	byName        map[string]*source
@@ -45,34 +49,36 @@
 
 // miss is a request that was late or not served.
 type miss struct {
-	src       *source
-	arrived   time.Time
-	route     string
-	model     string
+	src *source
+	// arrived is by the clock of the log until Finish puts it on the common clock; sent likewise.
+	arrived time.Time
+	route   string
+	model   string
+	// overMs is by how much the request was late or, if it was not served, how long it took.
 	overMs    int64
 	mainCause Cause
 	parts     []causeTime
-	// endpoint and sent are those of the last attempt.
+	// endpoint, sent and headMs are those of the last attempt.
 	endpoint string
 	sent     time.Time
 	headMs   int64
 }
 
-// headWait is the time in which an attempt waited for its head. Names stand as their
-// numbers, see names.
+// headWait is the interval in which an attempt waited for its head: headMs from sent on. src is
+// the index of the source; endpoint, route and model are indexes in Account.interned.
 type headWait struct {
 	src, endpoint, route, model int32
 	sent                        time.Time
 	headMs, readMs              int32
 }
 
-// stringTable numbers stringTable. The zero value has none.
+// stringTable assigns each distinct string an index, from 0 on. The zero value is empty.
 type stringTable struct {
 	strings []string
 	indexes map[string]int32
 }
 
-// index returns the index of a name.
+// index returns the index of a name, which it adds if it is new.
 func (n *stringTable) index(name string) int32 {
 	if i, ok := n.indexes[name]; ok {
 		return i
@@ -93,8 +99,9 @@
 	}
 }
 
-// Read takes in one log. Its lines are those of the router that name names, unless
-// something before a line's first brace names another one.
+// Read adds one log. name is the name of the router that wrote it; a line whose text before its
+// first brace names another router counts for that one. Lines that cannot be decoded are skipped.
+// Read returns the error of r, or bufio.ErrTooLong if a line is longer than 1 MiB, each wrapped.
 func (a *Account) Read(name string, r io.Reader) error {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(nil, maxLineBytes)
@@ -121,11 +128,11 @@
 	return s
 }
 
-// addLine takes in one line.
+// addLine adds one line. The lines of the attempts of a request come before that of its end.
 func (a *Account) addLine(s *source, l line) {
 	switch l.Msg {
 	case msgStarted:
-		// What was under way in an earlier life has no end.
+		// Requests that were under way at a restart have no line of their end.
 		s.attempts = s.attempts[:0]
 	case msgConfig:
 		s.recordConfig(&l)
@@ -141,7 +148,7 @@
 	}
 }
 
-// addRequest takes in the end of a addRequest whose attempts came before.
+// addRequest adds a request at the line of its end. s.attempts holds the lines of its attempts.
 func (a *Account) addRequest(s *source, end *line) {
 	a.Requests++
 	for i := range s.attempts {
@@ -165,7 +172,7 @@
 	}
 }
 
-// addAttempt takes in one addAttempt of a request on a route.
+// addAttempt adds one attempt of a request on a route.
 func (a *Account) addAttempt(s *source, route string, t *line) {
 	a.attemptCounts[t.Endpoint]++
 	a.bytes[bytesKey{"prompts and bodies", t.CrossZone}] += t.SentBytes
@@ -182,8 +189,7 @@
 	a.headWaits = append(a.headWaits, headWait{s.index, n.index(t.Endpoint), n.index(route), n.index(t.Model), t.SentAt, int32(t.HeadMs), int32(t.ReadMs)})
 }
 
-// Finish puts the logs on one clock and fills the tables; it is called once, after the
-// last Read.
+// Finish puts the logs on a common clock and fills the tables. Call it once, after the last Read.
 func (a *Account) Finish() {
 	alignClocks(a.sources)
 	for i := range a.headWaits {
@@ -204,7 +210,8 @@
 	}
 }
 
-// start returns when the start attempt was sent or the start request ended.
+// start returns the earliest time at which an attempt was sent or a late or failed request
+// arrived, on the common clock. Seconds in tables and plots count from it.
 func (a *Account) start() (t time.Time) {
 	earlier := func(at time.Time) {
 		if t.IsZero() || at.Before(t) {
@@ -220,7 +227,8 @@
 	return t
 }
 
-// addMiss adds a late or failed request to the tables.
+// addMiss adds a late or failed request to the tables. second is its time of arrival, counted from
+// the start.
 func (a *Account) addMiss(e *miss, second int) {
 	r := getOrNew(a.missRows, missKey{e.route, e.model, e.mainCause, second})
 	r.Requests++
@@ -240,11 +248,12 @@
 	q.OverMs += e.overMs
 }
 
-// maxLookBack is how many attempts at an endpoint before a late one are looked at.
+// maxLookBack is the number of preceding attempts at an endpoint that blocker considers.
 const maxLookBack = 64
 
-// blocker returns the attempt with the longest prompt among those that were sent to the
-// same endpoint before a late one and had no head yet; nil if there is none.
+// blocker returns the attempt that a late request most likely waited for: among those that were
+// sent to the same endpoint earlier and had no head yet when the late one was sent, the one with
+// the longest predicted time to read its prompt. It returns nil if there is none.
 func (a *Account) blocker(e *miss) (found *headWait) {
 	endpoint := a.interned.index(e.endpoint)
 	i, _ := slices.BinarySearchFunc(a.headWaits, e, func(p headWait, e *miss) int {
@@ -260,7 +269,7 @@
 	return found
 }
 
-// getOrNew returns what a map holds under a key; a new zero value if there is none.
+// getOrNew returns the value of a key in a map. If there is none, it adds a zero value.
 func getOrNew[K comparable, V any](in map[K]*V, key K) *V {
 	v, ok := in[key]
 	if !ok {
--- a/internal/acct/acct_test.go
+++ b/internal/acct/acct_test.go
@@ -16,8 +16,8 @@
 	"github.com/traildrift/traildrift/internal/golden"
 )
 
-// readTestLogs reads the logs in testdata: of three routers, the clock of one of which is
-// 90 s ahead.
+// readTestLogs returns the account of the logs in testdata. They are of three routers; the clock of
+// one is 90 s ahead.
 func readTestLogs(t *testing.T) *Account {
 	t.Helper()
 	a := New()
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		if got, want := len(rows), len(table.Rows)+1; got != want {
-			t.Errorf("%s: got %d rows, want %d", table.Name, got, want)
+			t.Errorf("%s.csv: got %d rows, want %d", table.Name, got, want)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// A request's time is divided without a rest.
+// The parts into which the time of a request is divided add up to the whole.
 func TestDivide(t *testing.T) {
 	end := &line{HeadMs: 1000, WaitedMs: 250}
 	attempts := []line{
@@ -112,11 +112,12 @@
 		t.Errorf("correlation: got %v, want 1", got)
 	}
 	if got := (&HeadTimes{N: 1}).Correlation(); got != 0 {
-		t.Errorf("correlation of one: got %v, want 0", got)
+		t.Errorf("correlation of a single attempt: got %v, want 0", got)
 	}
 }
 
-// Clocks that jump and logs without a common configuration do not stop an account.
+// A clock that is an hour ahead is corrected. A log without a configuration in common with others,
+// which gives nothing to compare, keeps its times.
 func TestAlign(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	log := func(ahead time.Duration, versions ...string) *source {
@@ -129,10 +130,10 @@
 	a, b, c, alone := log(0, "1", "2", "3"), log(time.Hour, "1", "2", "3"), log(20*time.Millisecond, "1", "2", "3"), log(time.Hour, "9")
 	alignClocks([]*source{a, b, c, alone})
 	if got := b.clockOffset - a.clockOffset; got != time.Hour {
-		t.Errorf("the clock that is ahead: got %v, want 1h", got)
+		t.Errorf("offset of the clock that is 1h ahead: got %v, want 1h", got)
 	}
 	if alone.clockOffset != 0 {
-		t.Errorf("a log that shares nothing: got %v, want 0", alone.clockOffset)
+		t.Errorf("offset of a log without a common configuration: got %v, want 0", alone.clockOffset)
 	}
 }
 
--- a/internal/acct/cause.go
+++ b/internal/acct/cause.go
@@ -5,49 +5,51 @@
 
 import "strings"
 
-// Cause says where the time of a request went, or why it was not served.
+// Cause is a component of the time to the head of a request, or why the request was not served.
+// Tables print it as it is.
 type Cause string
 
-// The causes of lateness. One request's time is divided among them without a rest.
+// The causes of lateness. The time of a late request is divided among them; the parts add up to
+// the whole.
 const (
-	// EarlierRequest is the time that the caller had waited with an earlier request, which
-	// routers of earlier releases tell.
+	// EarlierRequest is the time that the caller had waited with an earlier request. Only routers
+	// of earlier releases log it.
 	EarlierRequest Cause = "earlierTry"
-	// Router is the time in the router itself: before the first attempt and between
-	// two.
+	// Router is the time in the router itself: before the first attempt and between attempts.
 	Router Cause = "router"
-	// FailedAttempt is that of attempts that got no answer that could be passed on,
-	// OwnBound that of those which the router ended as too silent.
+	// FailedAttempt is the time of attempts without an answer that could be passed on,
+	// SilenceTimeout that of attempts which the router ended as the endpoint sent nothing for too
+	// long.
 	FailedAttempt  Cause = "failedAttempt"
 	SilenceTimeout Cause = "ownBound"
-	// SmallerModel is that of answers that were dropped for a larger model.
+	// SmallerModel is the time of answers that were discarded as a larger model was asked instead.
 	SmallerModel Cause = "smallerModel"
-	// QueueWait is the wait behind other prompts that the router had foretold, Reading
-	// the time that it had foretold for the request's own prompt, and Unforeseen
-	// what the head of the delivered answer took beyond both.
+	// QueueWait is the time for which the router predicted that the endpoint reads other prompts
+	// first, PromptRead the predicted time to read the request's own prompt, and UnpredictedWait
+	// how much longer than both together the head of the delivered answer took.
 	QueueWait       Cause = "behindOthers"
 	PromptRead      Cause = "ownPrompt"
 	UnpredictedWait Cause = "unforeseenWait"
-	// Pause is too long a time between two events.
+	// Pause is a time between two reads of a stream that exceeds the route's target.
 	Pause Cause = "pause"
 )
 
-// notServed names the cause of a request that was not served.
+// notServed returns the cause of a request that was not served, from its outcome.
 func notServed(outcome string) Cause { return Cause("not served: " + outcome) }
 
-// latenessCauses are the causes in the order in which they are told.
+// latenessCauses lists the causes in the order of the table's columns and of Totals.CauseMs.
 var latenessCauses = []Cause{EarlierRequest, Router, FailedAttempt, SilenceTimeout, SmallerModel, QueueWait, PromptRead, UnpredictedWait, Pause}
 
-// served reports whether a cause is one of an answer that was given, though late.
+// served reports whether the cause is that of a late request and not of one that was not served.
 func (c Cause) served() bool { return !strings.HasPrefix(string(c), "not served: ") }
 
-// causeTime is a part of a request's time.
+// causeTime is the part of a request's time, in milliseconds, that has one cause.
 type causeTime struct {
 	cause Cause
 	ms    int64
 }
 
-// divideTime returns where the time to the head of a request went.
+// divideTime divides the time to the head of a request, and the caller's wait before it, by cause.
 func divideTime(attempts []line, end *line) []causeTime {
 	parts := []causeTime{{EarlierRequest, end.WaitedMs}}
 	left := end.HeadMs
@@ -71,8 +73,9 @@
 	return append(parts, causeTime{Router, left})
 }
 
-// latenessOf returns by how much a served request was latenessOf, in milliseconds, its main cause,
-// and the parts of its time; 0 for one in time.
+// latenessOf returns by how much a served request was late, in milliseconds, the main cause, and
+// the time by cause. It returns 0 for a request that met its targets. A stream that exceeded the
+// target for pauses by more than its head exceeded that for heads has the cause Pause alone.
 func latenessOf(attempts []line, end *line) (overMs int64, mainCause Cause, parts []causeTime) {
 	if end.AimMs <= 0 || end.HeadMs < 0 {
 		return 0, "", nil
@@ -94,7 +97,7 @@
 	return overMs, mainCause, parts
 }
 
-// longestPause returns the longestPause pause of the attempts' streams.
+// longestPause returns the longest pause of the attempts' streams.
 func longestPause(attempts []line) (ms int64) {
 	for i := range attempts {
 		ms = max(ms, attempts[i].PauseMs)
--- a/internal/acct/line.go
+++ b/internal/acct/line.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The lines that an account reads.
+// The messages of the log lines that an account reads. Routers write them letter for letter.
 const (
 	msgStarted   = "router: Started."
 	msgConfig    = "relay: A configuration is in force."
@@ -20,26 +20,30 @@
 	msgSent      = "peers: Bytes were sent to other routers."
 )
 
-// The outcomes of attempts and requests that an account tells apart.
+// The outcomes of attempts and requests, as routers log them, that an account distinguishes:
+// a complete answer, an answer discarded because a larger model was asked instead, and an attempt
+// that the router ended because its endpoint sent nothing for too long.
 const (
 	outcomeWhole   = "whole"
 	outcomeDropped = "dropped for a larger model"
 	outcomeSilent  = "silent"
 )
 
-// line is what an account needs of a router's line.
+// line holds the fields of a router's log line that an account uses. Fields ending in Ms are in
+// milliseconds, those ending in Bytes in bytes.
 type line struct {
 	Time time.Time `json:"ts"`
 	Msg  string    `json:"msg"`
-	// VM is set at a start, Version where a configuration came in force.
+	// VM is set in msgStarted, Version in msgConfig: the version of the configuration.
 	VM      string `json:"vm"`
 	Version any    `json:"version"`
 
 	Request string `json:"request"`
 	Route   string `json:"route"`
 	Outcome string `json:"outcome"`
-	// AimMs and PauseAimMs are the route's, 0 for none; HeadMs is the time to the
-	// head, -1 for none.
+	// AimMs and PauseAimMs are the route's targets for the time to the head and for the longest
+	// pause of a stream, 0 for none. HeadMs is the time to the head, -1 for none. WaitedMs is how
+	// long the caller had waited with an earlier request, TookMs the time from arrival to the end.
 	AimMs      int64 `json:"aimMs"`
 	PauseAimMs int64 `json:"pauseAimMs"`
 	HeadMs     int64 `json:"headMs"`
@@ -47,6 +51,11 @@
 	TookMs     int64 `json:"tookMs"`
 	TokensIn   int   `json:"tokensIn"`
 
+	// The fields up to PassedCostMs are those of an attempt: UnreadTokens, WaitMs and ReadMs are
+	// the predictions of how many tokens of the prompt the endpoint reads, how long it reads other
+	// prompts first, and how long this one. PauseMs is the longest time between two reads of the
+	// stream. PassedOver is the endpoint that held the prefix where another one was picked, empty
+	// otherwise; CostMs is the predicted cost at the one picked, PassedCostMs at PassedOver.
 	SentAt       time.Time `json:"at"`
 	Endpoint     string    `json:"endpoint"`
 	Model        string    `json:"model"`
@@ -61,18 +70,20 @@
 	CostMs       int64     `json:"costMs"`
 	PassedCostMs int64     `json:"passedCostMs"`
 
+	// Verb, Kind and Status are those of a call to the store.
 	Verb   string `json:"verb"`
 	Kind   string `json:"kind"`
 	Status int    `json:"status"`
 
-	// AttemptReportBytes, Reports, Questions and Answers are bytes sent to other routers.
+	// The sizes of what the router sent to other routers since the previous line of the kind.
 	AttemptReportBytes int64 `json:"notesBytes"`
 	TrialReportBytes   int64 `json:"reportsBytes"`
 	PullRequestBytes   int64 `json:"questionsBytes"`
 	PullResponseBytes  int64 `json:"answersBytes"`
 }
 
-// isRelevant is whether an account reads a line of this text: decoding is what costs time.
+// isRelevant reports whether an account uses a line. It avoids decoding the others, which would
+// take most of the time.
 func isRelevant(b []byte) bool {
 	for _, msg := range []string{msgAttempt, msgEnded, msgStoreCall, msgSent, msgConfig, msgStarted} {
 		if bytes.Contains(b, []byte(msg)) {
@@ -82,8 +93,8 @@
 	return false
 }
 
-// parse decodes a line, which may have something before its first brace, the last word
-// of which names the router. ok is false for a line that tells an account nothing.
+// parse decodes a line. The last word before its first brace, if any, is the name of the router.
+// ok is false for a line that an account does not use or that cannot be decoded.
 func parse(b []byte) (router string, l line, ok bool) {
 	i := bytes.IndexByte(b, '{')
 	if i < 0 || !isRelevant(b) || json.Unmarshal(b[i:], &l) != nil {
--- a/internal/acct/plots.go
+++ b/internal/acct/plots.go
@@ -20,7 +20,8 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// WritePlots draws the account's plots as SVG files in a folder; Finish comes before.
+// WritePlots writes the plots as SVG files to an existing directory. Call Finish before. It
+// overwrites files of the same name and returns the first error, wrapped.
 func (a *Account) WritePlots(dir string) error {
 	for _, p := range []struct {
 		file, title, x, y string
@@ -85,7 +86,8 @@
 	return drawSeconds(p, bySecond)
 }
 
-// drawSeconds draws a sum for each second; seconds without one have none.
+// drawSeconds draws sums by second as steps, from the first second with a sum to the last; seconds
+// without one count as 0. Without sums it draws nothing.
 func drawSeconds(p *plot.Plot, sums map[int]float64) error {
 	if len(sums) == 0 {
 		return nil
--- a/internal/acct/source.go
+++ b/internal/acct/source.go
@@ -12,18 +12,19 @@
 // source is one router's log.
 type source struct {
 	name string
-	// index is its place among the sources.
+	// index is the position in Account.sources.
 	index int32
-	// configTimes holds when configurations came in force, by the log's clock: they do so
-	// at all routers within a fraction of a second.
+	// configTimes holds when each version of the configuration first came in force, by the log's
+	// clock. A version comes in force at all routers within a fraction of a second, so these times
+	// show how far the clocks differ.
 	configTimes map[string]time.Time
-	// attempts holds those of the request whose end has not come yet.
+	// attempts holds the attempts of the request whose end has not been read yet.
 	attempts []line
-	// clockOffset is by how much the clock is clockOffset of the others'.
+	// clockOffset is by how much the clock is ahead of the common clock. alignClocks sets it.
 	clockOffset time.Duration
 }
 
-// recordConfig notes that a configuration came in force, the first time in this log.
+// recordConfig records when a configuration came in force, unless the log had it before.
 func (s *source) recordConfig(l *line) {
 	version := fmt.Sprint(l.Version)
 	if _, ok := s.configTimes[version]; !ok {
@@ -31,9 +32,9 @@
 	}
 }
 
-// alignClocks finds by how much each clock is ahead: the median, over the configurations, of
-// how much later than at the median router one came in force. A log that shares none
-// with the others counts as right.
+// alignClocks sets the clock offset of each source: the median, over the configurations, of the
+// time at which one came in force by this log minus the median of these times over all logs. The
+// offset of a log that has no configuration in common with others stays 0.
 func alignClocks(sources []*source) {
 	times := make(map[string][]time.Time)
 	for _, s := range sources {
@@ -55,7 +56,7 @@
 	}
 }
 
-// medianTime returns the middle one of some times, which it sorts.
+// medianTime returns the lower median of a list, which it sorts in place.
 func medianTime(list []time.Time) time.Time {
 	slices.SortFunc(list, time.Time.Compare)
 	return list[(len(list)-1)/2]
--- a/internal/acct/tables.go
+++ b/internal/acct/tables.go
@@ -15,23 +15,24 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// missKey names a row of the table of late and failed requests.
+// missKey groups late and failed requests. second is that of their arrival, counted from the start.
 type missKey struct {
 	route, model string
 	mainCause    Cause
 	second       int
 }
 
-// Totals sums up requests.
+// Totals holds sums over a group of late or failed requests.
 type Totals struct {
 	Requests int
-	// OverMs is by how much they were late, or how long they were held in vain.
+	// OverMs is the sum of how much they were late or, for requests that were not served, of how
+	// long they took to fail, in milliseconds.
 	OverMs int64
-	// CauseMs is where their time went, in milliseconds, in the order of lateness.
+	// CauseMs is their time by cause, in milliseconds, in the order of latenessCauses.
 	CauseMs [9]int64
 }
 
-// add sums up rows.
+// add adds the sums of o.
 func (r *Totals) add(o *Totals) {
 	r.Requests += o.Requests
 	r.OverMs += o.OverMs
@@ -40,20 +41,22 @@
 	}
 }
 
-// blockerKey names what late requests waited behind.
+// blockerKey groups late requests by route, model and the attempt that they waited for.
 type blockerKey struct {
+	// blocker is the route and the model of that attempt, or a text that there is none in the logs.
 	route, model, blocker string
-	// sameRouter says that the same router had sent it.
+	// sameRouter says that the router of the late request had sent that attempt too.
 	sameRouter bool
 }
 
-// bytesKey names bytes by what they were and whether they crossed zones.
+// bytesKey groups bytes by content and by whether they crossed availability zones.
 type bytesKey struct {
 	content   string
 	crossZone bool
 }
 
-// addPeerBytes takes in what a router sent to others.
+// addPeerBytes adds the bytes that a router sent to other routers. All of them count as crossing
+// zones, as the log does not say where they went.
 func (a *Account) addPeerBytes(l *line) {
 	a.bytes[bytesKey{"notes of load and failures", true}] += l.AttemptReportBytes
 	a.bytes[bytesKey{"reports on roll-outs", true}] += l.TrialReportBytes
@@ -61,18 +64,19 @@
 	a.bytes[bytesKey{"answers to routers", true}] += l.PullResponseBytes
 }
 
-// callKey names calls to the store.
+// callKey groups calls to the store.
 type callKey struct {
 	verb, kind string
 	status     int
 	router     string
 }
 
-// callTimes holds when calls were made.
+// callTimes holds the times of one router's calls of a kind, by the clock of its log.
 type callTimes struct {
 	src   *source
 	times []time.Time
-	// seconds holds them on the common clock.
+	// seconds holds the times on the common clock, in whole seconds from the start. setSeconds
+	// fills it.
 	seconds []int
 }
 
@@ -82,7 +86,7 @@
 	r.times = append(r.times, l.Time)
 }
 
-// setSeconds puts the calls on the common clock.
+// setSeconds converts the times to seconds from the start on the common clock, sorted.
 func (r *callTimes) setSeconds(start time.Time) {
 	for _, at := range r.times {
 		r.seconds = append(r.seconds, int(math.Floor(at.Add(-r.src.clockOffset).Sub(start).Seconds())))
@@ -90,14 +94,15 @@
 	slices.Sort(r.seconds)
 }
 
-// Tokens sums up the prompts of a route.
+// Tokens holds sums over the attempts of a route.
 type Tokens struct {
 	Attempts int
-	// Predicted is what the routers believed would be read.
+	// Predicted is the number of prompt tokens that routers predicted the endpoints would read.
 	Predicted int64
-	// PassedOver counts the attempts that did not go where the prefix was believed to
-	// be, PassedTokens what was read for that, and the costs, in milliseconds, are the
-	// sums of the ones compared.
+	// PassedOver is the number of attempts that did not go to the endpoint estimated to hold the
+	// prefix of the prompt, PassedTokens the predicted number of tokens read in them. CostMs and
+	// PassedCostMs are the sums of the predicted costs that were compared in these attempts, at the
+	// endpoint picked and at the one passed over, in milliseconds.
 	PassedOver           int
 	PassedTokens         int64
 	CostMs, PassedCostMs int64
@@ -115,18 +120,19 @@
 	}
 }
 
-// headTimeKey names attempts whose times to the head are compared.
+// headTimeKey groups attempts whose predicted and actual times to the head are compared.
 type headTimeKey struct{ route, model string }
 
-// HeadTimes holds foretold times to the head and actual ones, in milliseconds.
+// HeadTimes holds predicted and actual times to the head, in milliseconds, of the attempts of a
+// route and model.
 type HeadTimes struct {
-	// N counts them all; at most headsMost of them are kept.
+	// N is the number of attempts, of which the first maxHeadTimes are kept.
 	N                 int
 	predicted, actual []float64
 }
 
-// maxHeadTimes bounds the times that are kept of one sort; those of the first hour of a busy
-// sort say as much as all.
+// maxHeadTimes is the maximum number of times that are kept per route and model. Those of the
+// first hour of a busy route are as informative as all of them.
 const maxHeadTimes = 20_000
 
 func (a *Account) addHeadTime(route string, t *line) {
@@ -138,7 +144,8 @@
 	}
 }
 
-// Correlation returns that of foretold and actual times; 0 where there is none.
+// Correlation returns the Pearson correlation of the predicted and the actual times that were
+// kept; 0 where it is undefined, as for fewer than two attempts.
 func (h *HeadTimes) Correlation() float64 {
 	if c := stat.Correlation(h.predicted, h.actual, nil); !math.IsNaN(c) {
 		return c
@@ -146,7 +153,7 @@
 	return 0
 }
 
-// predictionErrors returns by how much heads came later than foretold, in order.
+// predictionErrors returns the actual times minus the predicted ones, in milliseconds, sorted.
 func (h *HeadTimes) predictionErrors() []float64 {
 	late := make([]float64, len(h.actual))
 	for i, t := range h.actual {
@@ -158,18 +165,20 @@
 
 // Table is one table of an account.
 type Table struct {
-	// Name is one word, which also names a file of it.
+	// Name is one word, which is also the base name of the CSV file. Title is the heading.
 	Name, Title string
-	Head        []string
-	Rows        [][]string
+	// Head holds the names of the columns, Rows a cell for each of them.
+	Head []string
+	Rows [][]string
 }
 
-// Tables returns all tables; Finish comes before.
+// Tables returns all tables. Call Finish before.
 func (a *Account) Tables() []Table {
 	return []Table{a.causes(), a.seconds(), a.waits(), a.zoneBytes(), a.storeCalls(), a.topCallers(), a.prompts(), a.headTimeTable()}
 }
 
-// missRowsBy sums up the rows of late and failed requests by what of gives.
+// missRowsBy sums the late and failed requests over the keys that group maps to the same key. The
+// keys are in the order of the rows: by second, then the largest OverMs first.
 func (a *Account) missRowsBy(group func(k missKey) missKey) ([]missKey, map[missKey]*Totals) {
 	sum := make(map[missKey]*Totals)
 	for k, r := range a.missRows {
@@ -251,7 +260,7 @@
 	return t
 }
 
-// maxTopCallers is how many routers the table of those that call the store most has.
+// maxTopCallers is the number of rows of the table of routers that call the store most.
 const maxTopCallers = 10
 
 func (a *Account) topCallers() Table {
@@ -290,7 +299,7 @@
 	return t
 }
 
-// headTimeKeys returns the keys of heads in order.
+// headTimeKeys returns the keys of headTimes, sorted by route and model.
 func (a *Account) headTimeKeys() []headTimeKey {
 	return slices.SortedFunc(maps.Keys(a.headTimes), func(p, q headTimeKey) int {
 		return cmp.Or(cmp.Compare(p.route, q.route), cmp.Compare(p.model, q.model))
@@ -301,7 +310,7 @@
 
 func formatRounded(f float64) string { return strconv.FormatFloat(math.Round(f), 'f', 0, 64) }
 
-// orDash returns a name, or a dash for none.
+// orDash returns a name, or a dash for an empty one.
 func orDash(name string) string {
 	if name == "" {
 		return "-"
--- a/internal/acct/write.go
+++ b/internal/acct/write.go
@@ -15,7 +15,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Write writes the account as text, with at most so many rows of each table; 0 for all.
+// Write writes the account as text, with at most maxRows rows of each table; 0 means all rows.
+// Call Finish before.
 func (a *Account) Write(w io.Writer, maxRows int) error {
 	head := fmt.Sprintf("%d requests of %d routers: %d late, %d not served\n", a.Requests, len(a.sources), a.Late, a.Failed)
 	if a.OmittedAttempts > 0 {
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// write writes a table in columns.
+// write writes the title of a table, its columns aligned, and the number of rows left out.
 func (t *Table) write(w io.Writer, maxRows int) error {
 	if _, err := fmt.Fprintf(w, "\n%s\n", t.Title); err != nil {
 		return err
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// WriteCSV writes each table to a file of its name in a folder.
+// WriteCSV writes each table to a CSV file of its name in an existing directory. Call Finish
+// before. It overwrites files of the same name.
 func (a *Account) WriteCSV(dir string) error {
 	for _, t := range a.Tables() {
 		if err := t.writeCSV(filepath.Join(dir, t.Name+".csv")); err != nil {
