--- a/internal/acct/account.go
+++ b/internal/acct/account.go
@@ -33,15 +33,16 @@
 	OmittedAttempts int
 
 	// interned holds the names of endpoints, routes and models in headWaits.
-	interned      stringTable
-	sources       []*source
-	byName        map[string]*source
-	misses        []miss
-	headWaits     []headWait
-	missRows      map[missKey]*Totals
-	blockers      map[blockerKey]*Totals
-	bytes         map[bytesKey]int64
-	calls         map[callKey]*callTimes
+	interned  stringTable
+	sources   []*source
+	byName    map[string]*source
+	misses    []miss
+	headWaits []headWait
+	missRows  map[missKey]*Totals
+	blockers  map[blockerKey]*Totals
+	bytes     map[bytesKey]int64
+	calls     map[callKey]*callTimes
+	// tokens is by route, attemptCounts by endpoint.
 	tokens        map[string]*Tokens
 	headTimes     map[headTimeKey]*HeadTimes
 	attemptCounts map[string]int
--- a/internal/desk/diff.go
+++ b/internal/desk/diff.go
@@ -12,7 +12,8 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Diff writes the effective difference between two trees, path by path.
+// Diff writes the differences in effective values and allowed versions from a to b, a line for each,
+// sorted by path. It returns the error of w.
 func Diff(w io.Writer, a, b *config.Snapshot) error {
 	paths := a.Nodes()
 	maps.Copy(paths, b.Nodes())
@@ -26,6 +27,7 @@
 	return nil
 }
 
+// diffPath returns the lines of one path.
 func diffPath(path string, a, b *config.Snapshot) []string {
 	var out []string
 	ea, eb := a.EffectiveAt(path), b.EffectiveAt(path)
@@ -37,6 +39,7 @@
 	return append(out, diffVersions(path, a.Candidates(ea), b.Candidates(eb))...)
 }
 
+// diffVersions returns the lines of the versions that are allowed at a path.
 func diffVersions(path string, a, b []config.Candidate) []string {
 	var out []string
 	old := byName(a)
@@ -57,6 +60,7 @@
 	return out
 }
 
+// byName returns the candidates by model@version.
 func byName(cs []config.Candidate) map[string]config.Candidate {
 	m := make(map[string]config.Candidate, len(cs))
 	for _, c := range cs {
@@ -65,6 +69,7 @@
 	return m
 }
 
+// originName returns the level, path and revision that set a value; the level alone for a default.
 func originName(o config.Origin) string {
 	if o.Level == config.LevelDefault {
 		return string(o.Level)
@@ -72,7 +77,8 @@
 	return fmt.Sprintf("%s %s, revision %d", o.Level, config.PathName(o.Path), o.Revision)
 }
 
-// Effective writes every effective value at a path with the level that set it.
+// Effective writes the effective values at a path with the levels that set them, then the versions
+// that are allowed there. workload and district may be empty. It returns the error of w.
 func Effective(w io.Writer, s *config.Snapshot, workspace, workload, district string) error {
 	e := s.Effective(workspace, workload, district)
 	for _, v := range e.All() {
--- a/internal/desk/diff_test.go
+++ b/internal/desk/diff_test.go
@@ -11,7 +11,8 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// TestDiff shows the effective difference with the level that set it.
+// TestDiff changes a value at the fleet's level: the difference lists every path below that inherits
+// the value, with the level that set it, but not those that override it.
 func TestDiff(t *testing.T) {
 	const tree = `
 models: {m: {versions: {"1": {pool: p, cost: 1, quality: 0.9}}}}
--- a/internal/desk/explain.go
+++ b/internal/desk/explain.go
@@ -22,13 +22,15 @@
 	"github.com/traildrift/traildrift/pkg/trail"
 )
 
-// ErrUnknownRequest says that no trail holds the request.
+// ErrUnknownRequest is returned by FindTrail if no trail holds the request.
 var ErrUnknownRequest = errors.New("no trail holds this request; it may be younger than a second, refused before a decision, or lost while the platform was down")
 
-// fetchTimeout bounds one call to a process.
+// fetchTimeout is the timeout of one call to a process.
 const fetchTimeout = 5 * time.Second
 
-// Fetch reads a path of a process's operators' listener.
+// Fetch returns the body at a path of a process's operators' listener. token is sent as a bearer
+// token unless it is empty. Fetch returns an error if the process does not answer within
+// fetchTimeout or answers with a status other than 200.
 func Fetch(addr netip.AddrPort, token, path string) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -41,13 +43,15 @@
 		return nil, err
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return nil, errors.Newf("%s answered %d: %s", addr, resp.StatusCode(), resp.Body())
+		return nil, errors.Newf("%s answered with status %d: %s", addr, resp.StatusCode(), resp.Body())
 	}
 	return append([]byte(nil), resp.Body()...), nil
 }
 
-// FindTrail returns the record of a past request from the platform. The
-// request ID begins with the incarnation that names the batches.
+// FindTrail returns the decision record of a past request from the platform. A request ID begins
+// with the incarnation of the process that served it, and so do the names of that process's trail
+// batches; only these batches are read. FindTrail returns ErrUnknownRequest if none of them holds
+// the request.
 func FindTrail(ctx context.Context, c *store.Client, requestID string) (trail.Record, error) {
 	incarnation, _, _ := strings.Cut(requestID, "-")
 	objects, err := c.List(ctx, ledger.KindTrail, incarnation)
@@ -68,7 +72,8 @@
 	return trail.Record{}, ErrUnknownRequest
 }
 
-// Bills returns the folded bill lines of a workspace, or of all.
+// Bills returns the bill lines of a workspace, or of all workspaces if it is empty, as bill.Fold
+// merges them: one for each bill ID, sorted by ID.
 func Bills(ctx context.Context, c *store.Client, workspace string) ([]bill.Line, error) {
 	objects, err := c.List(ctx, ledger.KindBills, "")
 	if err != nil {
@@ -89,7 +94,7 @@
 	return bill.Fold(lines), nil
 }
 
-// Explain writes a trail record for a person.
+// Explain writes a decision record as text. It returns the error of w.
 func Explain(w io.Writer, r trail.Record) error {
 	p := &printer{w: w}
 	p.line("request   %s", r.RequestID)
@@ -120,7 +125,7 @@
 
 func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339Nano) }
 
-// printer writes lines and keeps the first error.
+// printer writes lines until the first error, which it keeps in err.
 type printer struct {
 	w   io.Writer
 	err error
@@ -132,6 +137,8 @@
 	}
 }
 
+// step writes one decision: the endpoint that was picked, and for each candidate the reason and the
+// setting that decided on it.
 func (p *printer) step(s trail.Step, settings []config.Setting) {
 	where := s.VM
 	if where == "" {
@@ -146,6 +153,7 @@
 	}
 }
 
+// versionName returns model@version, or "(service)" for a request to a plain service.
 func versionName(model, version string) string {
 	if model == "" {
 		return "(service)"
@@ -153,7 +161,7 @@
 	return model + "@" + version
 }
 
-// decidingSetting names the setting that decided, with its value and origin.
+// decidingSetting returns the setting of a key with its value and origin; empty if there is none.
 func decidingSetting(key string, settings []config.Setting) string {
 	for _, s := range settings {
 		if s.Key == key {
--- a/internal/desk/fromlog.go
+++ b/internal/desk/fromlog.go
@@ -15,37 +15,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// logLine is what a story needs of a router's line.
+// logLine holds the fields of a router's log line that ExplainFromLog uses.
 type logLine struct {
 	Msg      string `json:"msg"`
 	Request  string `json:"request"`
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
 	Kind     string `json:"kind"`
-	// Fingerprint names a request among its repeats.
+	// Fingerprint identifies a request across its repeats.
 	Fingerprint string `json:"fingerprint"`
-	// text is the whole line from its first brace on.
+	// text is the line from its first brace on.
 	text string
 }
 
-// The lines that end a request, tell of an attempt, and begin a process's life.
+// The messages of the lines of a request's end, of an attempt's end, and of a process's start.
 const (
 	msgEnded   = "relay: A request has ended."
 	msgAttempt = "relay: An attempt has ended."
 	msgStarted = "router: Started."
 )
 
-// crashTopicPrefix and quarantineTopicPrefix begin the topics of a request under which an endpoint ended and of one that
-// is quarantined; the request's fingerprint follows.
+// Prefixes of the topics of a request during which an endpoint crashed and of a quarantined request.
+// The request's fingerprint follows.
 const (
 	crashTopicPrefix      = "crash under request "
 	quarantineTopicPrefix = "quarantine of request "
 )
 
-// maxLineBytes bounds a line of a log, in bytes.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// topic names what a line changes the process's mind about; empty for nothing.
+// topic returns the name of the part of the router's state that a line reports; empty if it reports
+// none. A later line of the same topic replaces an earlier one.
 func (l *logLine) topic() string {
 	switch {
 	case l.Msg == msgEnded || l.Msg == msgAttempt:
@@ -71,7 +72,7 @@
 	}
 }
 
-// requestTopic names what a line says of a request that may end endpoints.
+// requestTopic returns the topic of a line on a request that is suspected of crashing endpoints.
 func (l *logLine) requestTopic() string {
 	if l.Endpoint != "" {
 		return crashTopicPrefix + l.Fingerprint + " of " + l.Endpoint
@@ -79,10 +80,12 @@
 	return quarantineTopicPrefix + l.Fingerprint
 }
 
-// ExplainFromLog reads a router's log and writes what it tells of a request: its attempts,
-// its end, and what the router believed then, by the lines that came before in the
-// same log, so that no clocks are compared. It reports whether the request was
-// found; one that came twice is told twice.
+// ExplainFromLog reads a router's log and writes what it holds on a request: the lines of its
+// attempts and of its end, and the state of the router at its end. This state is taken from the
+// lines that precede the end in the same log, so that no clocks are compared. It reports whether
+// the request was found; a request ID that occurs twice is written twice. name is the name of the
+// log in the output and in errors. ExplainFromLog returns the error of w or log, or
+// bufio.ErrTooLong if a line is longer than 1 MiB.
 func ExplainFromLog(w io.Writer, name string, log io.Reader, request string) (found bool, err error) {
 	p := &printer{w: w}
 	state := make(map[string]string)
@@ -96,7 +99,7 @@
 		}
 		switch {
 		case l.Msg == msgStarted:
-			// A new life of the process knows nothing of the one before.
+			// A restarted process has none of the state from before.
 			clear(state)
 			state["process"] = l.text
 		case l.topic() != "":
@@ -115,7 +118,7 @@
 	return found, p.err
 }
 
-// parseLine reads a line, which may have something before its first brace.
+// parseLine decodes a line, ignoring text before its first brace. ok is false if it is not JSON.
 func parseLine(b []byte) (l logLine, ok bool) {
 	i := bytes.IndexByte(b, '{')
 	if i < 0 || json.Unmarshal(b[i:], &l) != nil {
@@ -125,7 +128,7 @@
 	return l, true
 }
 
-// requestFromLog writes one request's requestFromLog.
+// requestFromLog writes the lines of one request and the topics of the state that are relevant to it.
 func (p *printer) requestFromLog(name string, attempts []logLine, end logLine, state map[string]string) {
 	p.line("%s", name)
 	for _, a := range attempts {
@@ -141,7 +144,9 @@
 	}
 }
 
-// isRelevant reports whether what a router believed of a topic may have decided about a request.
+// isRelevant reports whether the state of a topic may have influenced the decisions on a request.
+// That of an endpoint is relevant if an attempt went to it, and that of a suspected request if it
+// has the same fingerprint; all other topics always are.
 func isRelevant(topic string, attempts []logLine, end *logLine) bool {
 	if id, ok := strings.CutPrefix(topic, "endpoint "); ok {
 		return slices.ContainsFunc(attempts, func(a logLine) bool { return a.Endpoint == id })
--- a/internal/desk/fromlog_test.go
+++ b/internal/desk/fromlog_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// The story of a quarantined request tells which endpoints ended under it, and of no other's.
+// The explanation of a quarantined request lists the endpoints that crashed during it, and none that
+// crashed during requests with another fingerprint.
 func TestExplainFromLogOfAQuarantinedRequest(t *testing.T) {
 	log := `{"msg":"relay: An endpoint has crashed under a request.","endpoint":"e1","service":"s","request":"r0","fingerprint":"aa","ends":1}
 {"msg":"relay: An endpoint has crashed under a request.","endpoint":"e1","service":"s","request":"r8","fingerprint":"bb","ends":1}
@@ -51,6 +52,6 @@
 		}
 	}
 	if strings.Contains(got.String(), "bb") {
-		t.Errorf("got %s, want nothing of another request", got.String())
+		t.Errorf("got %s, want no line on the request with fingerprint bb", got.String())
 	}
 }
--- a/internal/desk/wait.go
+++ b/internal/desk/wait.go
@@ -20,11 +20,12 @@
 	"github.com/traildrift/traildrift/pkg/seal"
 )
 
-// pollInterval is how often processes that lag are asked again.
+// pollInterval is the time between two queries of all processes in Wait.
 const pollInterval = config.Span(100 * time.Millisecond)
 
-// Wait returns once every live VM's process reports the revision, or an error
-// that names those that do not by the deadline of ctx.
+// Wait polls the processes of all live VMs until each has the given revision of the settings, or a
+// newer one, in force. If ctx is done before, it returns an error that lists the VMs whose process
+// has an older one or does not answer, or the error of reading the VM list.
 func Wait(ctx context.Context, vms *store.VMs, keys *seal.Keyring, revision int64) error {
 	local := operatorLocal(keys)
 	for {
@@ -35,14 +36,15 @@
 		tasks.Pause(ctx, pollInterval.After(time.Now()))
 		if ctx.Err() != nil {
 			if err != nil {
-				return errors.Wrap(err, "the VM list does not answer")
+				return errors.Wrap(err, "the VM list could not be read")
 			}
 			return errors.Newf("revision %d is not in force at: %s", revision, strings.Join(lagging, ", "))
 		}
 	}
 }
 
-// operatorLocal returns an operatorLocal's side of links.
+// operatorLocal returns the local side of links that an operator's command opens to processes. It
+// serves no methods and has no settings, so its revision is 0.
 func operatorLocal(keys *seal.Keyring) *link.Local {
 	return &link.Local{
 		Identity: wire.Identity{VM: "operator", Role: "operator", Incarnation: fmt.Sprintf("operator-%d", time.Now().UnixNano())},
@@ -52,6 +54,8 @@
 	}
 }
 
+// laggingVMs returns the names, sorted, of the live VMs whose process has an older revision in force
+// or does not answer.
 func laggingVMs(ctx context.Context, local *link.Local, vms *store.VMs, revision int64) ([]string, error) {
 	list, err := vms.List(ctx)
 	if err != nil {
@@ -70,7 +74,8 @@
 	return lagging, nil
 }
 
-// fetchRevision asks a VM's process for its revision.
+// fetchRevision queries the process of a VM for the revision that it has in force. It returns false
+// if the process does not answer.
 func fetchRevision(ctx context.Context, local *link.Local, vm store.VM) (int64, bool) {
 	c, err := local.Dial(ctx, vm.Link)
 	if err != nil {
@@ -82,15 +87,17 @@
 	return reply.Revision, err == nil
 }
 
-// VMStatus is what status shows of a VM.
+// VMStatus is the status of a VM and its process.
 type VMStatus struct {
 	VM store.VM
-	// Answered says that the VM's process has answered; Revision is its own.
+	// Answered says that the VM's process has answered. Revision is the revision of the settings
+	// that it has in force, 0 if it has not answered.
 	Answered bool
 	Revision int64
 }
 
-// RevisionText returns the row's last column.
+// RevisionText returns the last column of the status table: the revision, or that the process does
+// not answer.
 func (r VMStatus) RevisionText() string {
 	if !r.Answered {
 		return "does not answer"
@@ -98,7 +105,8 @@
 	return fmt.Sprintf("revision %d", r.Revision)
 }
 
-// Status asks the process of every VM for its revision.
+// Status queries the process of every VM, one after the other, for the revision that it has in
+// force. It returns an error only if the VM list cannot be read.
 func Status(ctx context.Context, vms *store.VMs, keys *seal.Keyring) ([]VMStatus, error) {
 	list, err := vms.List(ctx)
 	if err != nil {
