--- a/cmd/traildrift/account.go
+++ b/cmd/traildrift/account.go
@@ -14,12 +14,12 @@
 	"github.com/traildrift/traildrift/internal/acct"
 )
 
-// accountArgs account for the time of requests, from routers' logs.
+// accountArgs are the arguments of the command that analyses routers' logs.
 type accountArgs struct {
-	Logs  []string `arg:"positional,required" help:"logs of routers; each is named for its router, unless something before a line's first brace ends with the router's name"`
-	Rows  int      `arg:"--rows" default:"20" help:"rows of each table; 0 for all"`
-	CSV   string   `arg:"--csv" help:"folder for a CSV file of each table"`
-	Plots string   `arg:"--plots" help:"folder for the plots, as SVG"`
+	Logs  []string `arg:"positional,required" help:"logs of routers; the file name without its extension is the router's name, unless the text before a line's first brace ends with another one"`
+	Rows  int      `arg:"--rows" default:"20" help:"maximum number of rows of each table; 0 for all"`
+	CSV   string   `arg:"--csv" help:"existing folder to write a CSV file of each table to"`
+	Plots string   `arg:"--plots" help:"existing folder to write the plots to, as SVG"`
 }
 
 func (a *accountArgs) run(context.Context) error {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// readLog takes in one log, which is closed again.
+// readLog adds the log in a file. The router's name is the file's, without its extension.
 func readLog(account *acct.Account, name string) (err error) {
 	f, err := os.Open(filepath.Clean(name))
 	if err != nil {
--- a/cmd/traildrift/duties.go
+++ b/cmd/traildrift/duties.go
@@ -20,10 +20,11 @@
 	"github.com/traildrift/traildrift/platform"
 )
 
-// dutiesArgs show who has the duties of one VM at a time on the users' platform.
+// dutiesArgs are the arguments of the command that shows the record of the duties, which one VM at a
+// time holds on the users' platform.
 type dutiesArgs struct {
-	Store  netip.AddrPort `arg:"--store,required" help:"the platform's store"`
-	Window config.Span    `arg:"--window" help:"length of the usage windows, to show them as times"`
+	Store  netip.AddrPort `arg:"--store,required" help:"address of the platform's store"`
+	Window config.Span    `arg:"--window" help:"length of the usage windows, to show when they end"`
 }
 
 func (a *dutiesArgs) run(ctx context.Context) error {
@@ -47,7 +48,7 @@
 	return w.Flush()
 }
 
-// windowText returns a window's number, with when it ended if that is known.
+// windowText returns the number of a window and, if the length of windows is given, when it ended.
 func (a *dutiesArgs) windowText(w usage.Window) string {
 	if a.Window <= 0 {
 		return fmt.Sprint(int64(w))
@@ -55,7 +56,7 @@
 	return fmt.Sprintf("%d, ended at %s", w, a.windowEnd(w))
 }
 
-// windowEnd returns when a window ends, as far as that is known.
+// windowEnd returns when a window ends, or a dash if the length of windows is not given.
 func (a *dutiesArgs) windowEnd(w usage.Window) string {
 	if a.Window <= 0 {
 		return "-"
--- a/cmd/traildrift/main.go
+++ b/cmd/traildrift/main.go
@@ -1,8 +1,12 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Command traildrift is the router: the processes that run on VMs, and the
-// operator's tool.
+// Command traildrift runs the router's processes on VMs (entry, guard and router) and is the
+// operator's tool: it shows and changes fleet settings and roll-outs, explains decisions on
+// requests, analyses logs, and shows the state of processes, quarantines, usage reports and bills.
+//
+// It exits with 1 after a failure, and with 2 if no command is named or a settings file has
+// errors.
 package main
 
 import (
@@ -24,21 +28,21 @@
 // version is set by the linker at a release.
 var version = "development"
 
-// Exit codes.
+// Exit codes. exitUsage is also that of errors in a settings file.
 const (
 	exitFailure = 1
 	exitUsage   = 2
 )
 
-// processArgs start a process of the system.
+// processArgs are the arguments of the commands that run an entry or a guard.
 type processArgs struct {
 	Config string `arg:"-c,--config,required" help:"process settings file"`
 }
 
-// routerArgs start a router.
+// routerArgs are the arguments of the command that runs a router.
 type routerArgs struct {
-	Config string `arg:"-c,--config" help:"router settings file; the platform's environment names it if left out"`
-	Check  bool   `arg:"--check" help:"check the settings file and say what is wrong, without starting"`
+	Config string `arg:"-c,--config" help:"router settings file; by default the one that the platform's environment names"`
+	Check  bool   `arg:"--check" help:"check the settings file and report its errors, without starting the router"`
 }
 
 func (a *routerArgs) run(ctx context.Context) error {
@@ -53,17 +57,17 @@
 	return nil
 }
 
-// entryArgs start an entry.
+// entryArgs are the arguments of the command that runs an entry.
 type entryArgs struct{ processArgs }
 
 func (a *entryArgs) run(ctx context.Context) error { return entry.Main(ctx, a.Config) }
 
-// guardArgs start a guard.
+// guardArgs are the arguments of the command that runs a guard.
 type guardArgs struct{ processArgs }
 
 func (a *guardArgs) run(ctx context.Context) error { return guard.Main(ctx, a.Config) }
 
-// versionArgs are those of a command without any.
+// versionArgs are the arguments of the command that shows the version; there are none.
 type versionArgs struct{}
 
 func (*versionArgs) run(context.Context) error {
@@ -71,21 +75,21 @@
 	return nil
 }
 
-// command is one of the program's commands.
+// command is implemented by the arguments of each command.
 type command interface {
 	run(ctx context.Context) error
 }
 
-// args are the program's commands.
+// args holds the arguments of the command that was named; all other fields are nil.
 type args struct {
-	Entry      *entryArgs      `arg:"subcommand:entry" help:"run an entry: serve callers"`
-	Guard      *guardArgs      `arg:"subcommand:guard" help:"run a guard: serve the endpoint on this VM"`
+	Entry      *entryArgs      `arg:"subcommand:entry" help:"run an entry, which serves callers"`
+	Guard      *guardArgs      `arg:"subcommand:guard" help:"run a guard, which serves the endpoint on this VM"`
 	Router     *routerArgs     `arg:"subcommand:router" help:"run a router on the users' platform"`
 	Settings   *settingsArgs   `arg:"subcommand:settings" help:"check, show and change fleet settings"`
 	Rollout    *rolloutArgs    `arg:"subcommand:rollout" help:"stage, pause and abort roll-outs of versions"`
 	Status     *statusArgs     `arg:"subcommand:status" help:"show every VM's process, its revision, and the roll-outs"`
-	Explain    *explainArgs    `arg:"subcommand:explain" help:"say why a request went where it went"`
-	Account    *accountArgs    `arg:"subcommand:account" help:"say where the time and the bytes of requests went, from routers' logs"`
+	Explain    *explainArgs    `arg:"subcommand:explain" help:"show which endpoints a request was sent to, and why"`
+	Account    *accountArgs    `arg:"subcommand:account" help:"show from routers' logs where the time and the bytes of requests went"`
 	Dump       *dumpArgs       `arg:"subcommand:dump" help:"show the state of a process"`
 	Quarantine *quarantineArgs `arg:"subcommand:quarantine" help:"show and lift quarantines of requests that crash endpoints"`
 	Duties     *dutiesArgs     `arg:"subcommand:duties" help:"show which VM reports usage to the platform, and what it has reported"`
@@ -98,7 +102,7 @@
 	return "traildrift routes requests to versions of models, and explains every choice."
 }
 
-// selected returns the command that was named; nil for none.
+// selected returns the command that was named; nil if none was.
 func (a *args) selected() command {
 	for _, c := range []struct {
 		named bool
@@ -115,8 +119,9 @@
 	return nil
 }
 
-// errUsage says that no command was named.
-var errUsage = errors.New("name a command")
+// errUsage is returned if no command, no subcommand or too few flags are given. main then prints the
+// help.
+var errUsage = errors.New("no command is named")
 
 func main() {
 	var a args
--- a/cmd/traildrift/quarantine.go
+++ b/cmd/traildrift/quarantine.go
@@ -15,10 +15,11 @@
 	"github.com/traildrift/traildrift/platform"
 )
 
-// quarantineArgs show and lift quarantines of requests on the users' platform.
+// quarantineArgs are the arguments of the command that shows and lifts quarantines of requests on
+// the users' platform.
 type quarantineArgs struct {
-	Store netip.AddrPort `arg:"--store,required" help:"the platform's store"`
-	Lift  string         `arg:"--lift" help:"fingerprint of a request to lift the quarantine of, at all routers"`
+	Store netip.AddrPort `arg:"--store,required" help:"address of the platform's store"`
+	Lift  string         `arg:"--lift" help:"lift the quarantine of the request with this fingerprint at all routers"`
 }
 
 func (a *quarantineArgs) run(ctx context.Context) error {
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// show writes a line for each quarantined request.
+// show writes a heading and a line for each quarantined request.
 func (a *quarantineArgs) show(ctx context.Context) error {
 	list, err := platform.Quarantines(ctx, a.Store)
 	if err != nil {
--- a/cmd/traildrift/query.go
+++ b/cmd/traildrift/query.go
@@ -18,12 +18,13 @@
 	"github.com/traildrift/traildrift/pkg/trail"
 )
 
-// operatorArgs name a process's operators' listener.
+// operatorArgs are the arguments of commands that query a process at its operators' listener.
 type operatorArgs struct {
-	Operators netip.AddrPort `arg:"--operators" help:"a process's operators' listener"`
+	Operators netip.AddrPort `arg:"--operators" help:"address of a process's operators' listener"`
 	Token     string         `arg:"--token" help:"file with the operators' token"`
 }
 
+// fetch returns the body at a path of the listener. Without a token file it sends no token.
 func (o operatorArgs) fetch(path string) ([]byte, error) {
 	token := ""
 	if o.Token != "" {
@@ -36,12 +37,13 @@
 	return desk.Fetch(o.Operators, token, path)
 }
 
+// explainArgs are the arguments of the command that shows the decisions on a request.
 type explainArgs struct {
 	operatorArgs
-	Platform netip.AddrPort `arg:"--platform,env:TRAILDRIFT_PLATFORM" help:"the object API, for requests of the past"`
+	Platform netip.AddrPort `arg:"--platform,env:TRAILDRIFT_PLATFORM" help:"address of the object API, which holds the decisions on past requests"`
 	Request  string         `arg:"positional,required" help:"request ID, from the header Traildrift-Request"`
 	JSON     bool           `arg:"--json" help:"write JSON"`
-	Logs     []string       `arg:"--logs" help:"logs of routers to look in, instead of asking"`
+	Logs     []string       `arg:"--logs" help:"logs of routers to search, instead of querying a process or the platform"`
 }
 
 func (a *explainArgs) run(ctx context.Context) error {
@@ -60,7 +62,8 @@
 	return desk.Explain(os.Stdout, r)
 }
 
-// explainFromLogs tells a request's story from the logs of routers.
+// explainFromLogs writes what the logs of routers hold on the request. It returns an error if none
+// of them has it.
 func (a *explainArgs) explainFromLogs() error {
 	anyFound := false
 	for _, name := range a.Logs {
@@ -76,13 +79,13 @@
 		anyFound = anyFound || found
 	}
 	if !anyFound {
-		return errors.Newf("explain: no log tells of request %s", a.Request)
+		return errors.Newf("explain: no log has the end of request %s", a.Request)
 	}
 	return nil
 }
 
-// find asks the process if one is named, and the platform otherwise or if the
-// process does not know.
+// find returns the decision record of the request: from the process if one is named, from the
+// platform if none is or the process does not return the record.
 func (a *explainArgs) find(ctx context.Context) (trail.Record, error) {
 	var r trail.Record
 	if a.Operators.IsValid() {
@@ -100,6 +103,7 @@
 	return desk.FindTrail(ctx, platformArgs{a.Platform}.store(), a.Request)
 }
 
+// dumpArgs are the arguments of the command that shows the state of a process, as JSON.
 type dumpArgs struct {
 	operatorArgs
 }
@@ -113,9 +117,10 @@
 	return err
 }
 
+// billsArgs are the arguments of the command that shows bills.
 type billsArgs struct {
 	platformArgs
-	Workspace string `arg:"--workspace" help:"only this workspace"`
+	Workspace string `arg:"--workspace" help:"show the bills of this workspace only"`
 	JSON      bool   `arg:"--json" help:"write JSON lines"`
 }
 
--- a/cmd/traildrift/rollout.go
+++ b/cmd/traildrift/rollout.go
@@ -22,29 +22,33 @@
 	"github.com/traildrift/traildrift/pkg/seal"
 )
 
+// rolloutArgs are the arguments of the command that changes and shows roll-outs.
 type rolloutArgs struct {
 	Start  *startArgs `arg:"subcommand:start" help:"load a version on its pool and open it to requests in waves"`
-	Pause  *orderArgs `arg:"subcommand:pause" help:"begin no further load and no further wave"`
-	Resume *orderArgs `arg:"subcommand:resume" help:"go on"`
-	Abort  *orderArgs `arg:"subcommand:abort" help:"end it and withdraw the version"`
+	Pause  *orderArgs `arg:"subcommand:pause" help:"start no further load and no further wave of a roll-out"`
+	Resume *orderArgs `arg:"subcommand:resume" help:"resume a paused roll-out"`
+	Abort  *orderArgs `arg:"subcommand:abort" help:"end a roll-out and withdraw the version"`
 	Show   *showArgs  `arg:"subcommand:show" help:"show the roll-outs"`
 }
 
+// startArgs are the arguments of the command that starts a roll-out.
 type startArgs struct {
 	platformArgs
-	Version     string        `arg:"positional,required" help:"model@version; in the settings with share 0"`
+	Version     string        `arg:"positional,required" help:"model@version; the settings must have it with share 0"`
 	Waves       []float64     `arg:"--waves" help:"shares of requests, growing to 1; 0.05 0.25 1 by default"`
 	Hold        time.Duration `arg:"--hold" default:"10m" help:"how long each wave is held"`
-	LoadsAtOnce int           `arg:"--loads-at-once" help:"how many loads the weight store bears, over all roll-outs"`
-	Reason      string        `arg:"--reason,required" help:"goes into the settings' history"`
-	Author      string        `arg:"--author" help:"goes into the settings' history; the user's name by default"`
+	LoadsAtOnce int           `arg:"--loads-at-once" help:"maximum number of concurrent loads from the weight store, over all roll-outs"`
+	Reason      string        `arg:"--reason,required" help:"reason to record in the settings' history"`
+	Author      string        `arg:"--author" help:"author to record in the settings' history; the user's name by default"`
 }
 
+// orderArgs are the arguments of the commands that change the state of a roll-out.
 type orderArgs struct {
 	platformArgs
 	Version string `arg:"positional,required" help:"model@version"`
 }
 
+// showArgs are the arguments of the command that shows the roll-outs.
 type showArgs struct {
 	platformArgs
 	JSON bool `arg:"--json" help:"write JSON"`
@@ -81,10 +85,10 @@
 	}
 	v, ok := tree.Version(model, version)
 	if !ok {
-		return errors.Newf("the settings have no %s", a.Version)
+		return errors.Newf("the settings have no version %s", a.Version)
 	}
 	if v.Exposure() > 0 {
-		return errors.Newf("%s is open to %v of the requests already; its share must be 0", a.Version, v.Exposure())
+		return errors.Newf("version %s already has share %v of the requests; it must be 0", a.Version, v.Exposure())
 	}
 	if len(a.Waves) == 0 {
 		a.Waves = defaultWaves
@@ -124,6 +128,7 @@
 	return nil
 }
 
+// printRollout prints a line on a roll-out, with the numbers of VMs by the state of their load.
 func printRollout(r *roll.Rollout) {
 	loads := make(map[roll.LoadState]int)
 	for _, t := range r.Targets {
@@ -137,12 +142,13 @@
 	fmt.Printf(", by %s: %s\n", r.Author, r.Reason)
 }
 
+// statusArgs are the arguments of the command that shows the VMs and the roll-outs.
 type statusArgs struct {
 	platformArgs
 	Keys string `arg:"--keys,required" help:"key file"`
 }
 
-// statusTimeout bounds the questions to all processes.
+// statusTimeout is the timeout of the queries to all processes together.
 const statusTimeout = 10 * time.Second
 
 func (a *statusArgs) run(ctx context.Context) error {
--- a/cmd/traildrift/settings.go
+++ b/cmd/traildrift/settings.go
@@ -23,45 +23,51 @@
 	"github.com/traildrift/traildrift/pkg/seal"
 )
 
-// platformArgs name the platform.
+// platformArgs are the arguments of commands that read or write objects of the platform.
 type platformArgs struct {
-	Platform netip.AddrPort `arg:"--platform,required,env:TRAILDRIFT_PLATFORM" help:"the object API, by IP number and port"`
+	Platform netip.AddrPort `arg:"--platform,required,env:TRAILDRIFT_PLATFORM" help:"IP number and port of the object API"`
 }
 
 func (p platformArgs) store() *store.Client { return store.New(p.Platform) }
 
+// settingsArgs are the arguments of the command that checks, shows and changes fleet settings.
 type settingsArgs struct {
 	Check   *checkArgs   `arg:"subcommand:check" help:"check a settings file"`
 	Get     *getArgs     `arg:"subcommand:get" help:"show the settings in force"`
 	Apply   *applyArgs   `arg:"subcommand:apply" help:"put a settings file in force"`
 	History *historyArgs `arg:"subcommand:history" help:"list the last changes"`
-	Diff    *diffArgs    `arg:"subcommand:diff" help:"show the effective difference of two revisions"`
+	Diff    *diffArgs    `arg:"subcommand:diff" help:"show the differences in effective settings between two revisions"`
 }
 
+// checkArgs are the arguments of the command that checks a settings file.
 type checkArgs struct {
 	File string `arg:"positional,required"`
 }
 
+// getArgs are the arguments of the command that shows the settings in force.
 type getArgs struct {
 	platformArgs
-	Effective string `arg:"--effective" help:"show values and their levels at WORKSPACE/WORKLOAD/DISTRICT"`
+	Effective string `arg:"--effective" help:"show the effective values at WORKSPACE/WORKLOAD/DISTRICT and the levels that set them"`
 }
 
+// applyArgs are the arguments of the command that puts a settings file in force.
 type applyArgs struct {
 	platformArgs
 	File   string        `arg:"positional,required"`
-	Reason string        `arg:"--reason,required" help:"goes into the history"`
-	Author string        `arg:"--author" help:"goes into the history; the user's name by default"`
-	Base   int64         `arg:"--base" default:"-1" help:"the revision that the file started from; the newest by default"`
-	DryRun bool          `arg:"--dry-run" help:"show the difference and write nothing"`
-	Wait   time.Duration `arg:"--wait" help:"wait so long for every live process to report the revision"`
+	Reason string        `arg:"--reason,required" help:"reason to record in the history"`
+	Author string        `arg:"--author" help:"author to record in the history; the user's name by default"`
+	Base   int64         `arg:"--base" default:"-1" help:"revision that the file is based on; the newest by default"`
+	DryRun bool          `arg:"--dry-run" help:"show the differences and write nothing"`
+	Wait   time.Duration `arg:"--wait" help:"maximum time to wait until every live process has the revision in force"`
 	Keys   string        `arg:"--keys" help:"key file, for --wait"`
 }
 
+// historyArgs are the arguments of the command that lists the last changes.
 type historyArgs struct {
 	platformArgs
 }
 
+// diffArgs are the arguments of the command that compares two revisions of the settings.
 type diffArgs struct {
 	platformArgs
 	From int64 `arg:"positional,required"`
@@ -85,6 +91,7 @@
 	}
 }
 
+// parseFile reads and checks a settings file. It returns config.Problems if the file has errors.
 func parseFile(file string) (config.File, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -152,6 +159,7 @@
 	return a.wait(ctx, change.Revision)
 }
 
+// author returns the author to record: that of the flag, else the user's name, else "unknown".
 func (a *applyArgs) author() string {
 	if a.Author != "" {
 		return a.Author
@@ -162,6 +170,7 @@
 	return "unknown"
 }
 
+// wait waits until every live process has the revision in force, if --wait is given.
 func (a *applyArgs) wait(ctx context.Context, revision int64) error {
 	if a.Wait == 0 {
 		return nil
