--- a/cmd/traildrift/account.go
+++ b/cmd/traildrift/account.go
@@ -16,7 +16,7 @@
 
 // accountArgs are the arguments of the command that analyses routers' logs.
 type accountArgs struct {
-	Logs  []string `arg:"positional,required" help:"logs of routers; the file name without its extension is the router's name, unless the text before a line's first brace ends with another one"`
+	Logs  []string `arg:"positional,required" help:"logs of routers; the file name without extension names the router, unless text before a line's first brace does"`
 	Rows  int      `arg:"--rows" default:"20" help:"maximum number of rows of each table; 0 for all"`
 	CSV   string   `arg:"--csv" help:"existing folder to write a CSV file of each table to"`
 	Plots string   `arg:"--plots" help:"existing folder to write the plots to, as SVG"`
--- a/cmd/traildrift/rollout.go
+++ b/cmd/traildrift/rollout.go
@@ -71,11 +71,14 @@
 	}
 }
 
-// defaultWaves and defaultLoads are used where the operator names none.
+// defaultWaves is the default of --waves.
 var defaultWaves = []float64{0.05, 0.25, 1}
 
+// defaultLoadsAtOnce is the limit of concurrent loads if neither --loads-at-once nor an earlier
+// roll-out has set one.
 const defaultLoadsAtOnce = 4
 
+// run starts a roll-out of a version that the settings have and that is open to no requests yet.
 func (a *startArgs) run(ctx context.Context) error {
 	c := a.store()
 	model, version, _ := strings.Cut(a.Version, "@")
--- a/internal/acct/cause.go
+++ b/internal/acct/cause.go
@@ -22,7 +22,7 @@
 	// long.
 	FailedAttempt  Cause = "failedAttempt"
 	SilenceTimeout Cause = "ownBound"
-	// SmallerModel is the time of answers that were discarded as a larger model was asked instead.
+	// SmallerModel is the time of answers that were discarded for an attempt with a larger model.
 	SmallerModel Cause = "smallerModel"
 	// QueueWait is the time for which the router predicted that the endpoint reads other prompts
 	// first, PromptRead the predicted time to read the request's own prompt, and UnpredictedWait
--- a/internal/acct/line.go
+++ b/internal/acct/line.go
@@ -21,8 +21,8 @@
 )
 
 // The outcomes of attempts and requests, as routers log them, that an account distinguishes:
-// a complete answer, an answer discarded because a larger model was asked instead, and an attempt
-// that the router ended because its endpoint sent nothing for too long.
+// a complete answer, an answer discarded for an attempt with a larger model, and an attempt that
+// the router ended because its endpoint sent nothing for too long.
 const (
 	outcomeWhole   = "whole"
 	outcomeDropped = "dropped for a larger model"
@@ -51,11 +51,12 @@
 	TookMs     int64 `json:"tookMs"`
 	TokensIn   int   `json:"tokensIn"`
 
-	// The fields up to PassedCostMs are those of an attempt: UnreadTokens, WaitMs and ReadMs are
-	// the predictions of how many tokens of the prompt the endpoint reads, how long it reads other
-	// prompts first, and how long this one. PauseMs is the longest time between two reads of the
-	// stream. PassedOver is the endpoint that held the prefix where another one was picked, empty
-	// otherwise; CostMs is the predicted cost at the one picked, PassedCostMs at PassedOver.
+	// The fields from SentAt to PassedCostMs are those of an attempt; see relay.Attempt.
+	// UnreadTokens is the predicted number of prompt tokens that the endpoint reads, WaitMs the
+	// predicted time for which it reads other prompts first, ReadMs that for reading these tokens.
+	// PauseMs is the longest time between two reads of the stream. PassedOver is the endpoint that
+	// held the prefix where another one was picked, empty otherwise. CostMs is the predicted wait
+	// and reading time at the endpoint picked, PassedCostMs that at PassedOver.
 	SentAt       time.Time `json:"at"`
 	Endpoint     string    `json:"endpoint"`
 	Model        string    `json:"model"`
