--- a/internal/acct/write.go
+++ b/internal/acct/write.go
@@ -15,39 +15,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Write writes the account as text, with at most so many rows of each table; 0 for all.
-func (a *Account) Write(w io.Writer, most int) error {
+// Write writes the account as text, with at most maxRows rows of each table; 0 means all rows.
+// Call Finish before.
+func (a *Account) Write(w io.Writer, maxRows int) error {
 	head := fmt.Sprintf("%d requests of %d routers: %d late, %d not served\n", a.Requests, len(a.sources), a.Late, a.Failed)
-	if a.LeftOut > 0 {
-		head += fmt.Sprintf("%d attempts too many to keep: what waited behind them is not told\n", a.LeftOut)
+	if a.OmittedAttempts > 0 {
+		head += fmt.Sprintf("%d attempts too many to keep: what waited behind them is not told\n", a.OmittedAttempts)
 	}
 	if _, err := io.WriteString(w, head); err != nil {
 		return errors.Wrap(err, "account")
 	}
 	for _, t := range a.Tables() {
-		if err := t.write(w, most); err != nil {
+		if err := t.write(w, maxRows); err != nil {
 			return errors.Wrap(err, "account")
 		}
 	}
 	return nil
 }
 
-// write writes a table in columns.
-func (t *Table) write(w io.Writer, most int) error {
+// write writes the title of a table, its columns aligned, and the number of rows left out.
+func (t *Table) write(w io.Writer, maxRows int) error {
 	if _, err := fmt.Fprintf(w, "\n%s\n", t.Title); err != nil {
 		return err
 	}
 	rows := t.Rows
-	if most > 0 {
-		rows = rows[:min(most, len(rows))]
+	if maxRows > 0 {
+		rows = rows[:min(maxRows, len(rows))]
 	}
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range append([][]string{t.Head}, rows...) {
-		if _, err := fmt.Fprintln(tab, "  "+strings.Join(row, "\t")); err != nil {
+		if _, err := fmt.Fprintln(tw, "  "+strings.Join(row, "\t")); err != nil {
 			return err
 		}
 	}
-	if err := tab.Flush(); err != nil {
+	if err := tw.Flush(); err != nil {
 		return err
 	}
 	if left := len(t.Rows) - len(rows); left > 0 {
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// WriteCSV writes each table to a file of its name in a folder.
+// WriteCSV writes each table to a CSV file of its name in an existing directory. Call Finish
+// before. It overwrites files of the same name.
 func (a *Account) WriteCSV(dir string) error {
 	for _, t := range a.Tables() {
 		if err := t.writeCSV(filepath.Join(dir, t.Name+".csv")); err != nil {
--- a/internal/desk/wait.go
+++ b/internal/desk/wait.go
@@ -20,30 +20,32 @@
 	"github.com/traildrift/traildrift/pkg/seal"
 )
 
-// waitPoll is how often processes that lag are asked again.
-const waitPoll = config.Span(100 * time.Millisecond)
+// pollInterval is the time between two queries of all processes in Wait.
+const pollInterval = config.Span(100 * time.Millisecond)
 
-// Wait returns once every live VM's process reports the revision, or an error
-// that names those that do not by the deadline of ctx.
+// Wait polls the processes of all live VMs until each has the given revision of the settings, or a
+// newer one, in force. If ctx is done before, it returns an error that lists the VMs whose process
+// has an older one or does not answer, or the error of reading the VM list.
 func Wait(ctx context.Context, vms *store.VMs, keys *seal.Keyring, revision int64) error {
-	local := operator(keys)
+	local := operatorLocal(keys)
 	for {
-		lagging, err := behind(ctx, local, vms, revision)
+		lagging, err := laggingVMs(ctx, local, vms, revision)
 		if err == nil && len(lagging) == 0 {
 			return nil
 		}
-		tasks.Pause(ctx, waitPoll.After(time.Now()))
+		tasks.Pause(ctx, pollInterval.After(time.Now()))
 		if ctx.Err() != nil {
 			if err != nil {
-				return errors.Wrap(err, "the VM list does not answer")
+				return errors.Wrap(err, "the VM list could not be read")
 			}
 			return errors.Newf("revision %d is not in force at: %s", revision, strings.Join(lagging, ", "))
 		}
 	}
 }
 
-// operator returns an operator's side of links.
-func operator(keys *seal.Keyring) *link.Local {
+// operatorLocal returns the local side of links that an operator's command opens to processes. It
+// serves no methods and has no settings, so its revision is 0.
+func operatorLocal(keys *seal.Keyring) *link.Local {
 	return &link.Local{
 		Identity: wire.Identity{VM: "operator", Role: "operator", Incarnation: fmt.Sprintf("operator-%d", time.Now().UnixNano())},
 		Keys:     keys,
@@ -52,7 +54,9 @@
 	}
 }
 
-func behind(ctx context.Context, local *link.Local, vms *store.VMs, revision int64) ([]string, error) {
+// laggingVMs returns the names, sorted, of the live VMs whose process has an older revision in force
+// or does not answer.
+func laggingVMs(ctx context.Context, local *link.Local, vms *store.VMs, revision int64) ([]string, error) {
 	list, err := vms.List(ctx)
 	if err != nil {
 		return nil, err
@@ -62,7 +66,7 @@
 		if vm.State != store.VMLive {
 			continue
 		}
-		if has, ok := revisionOf(ctx, local, vm); !ok || has < revision {
+		if reported, ok := fetchRevision(ctx, local, vm); !ok || reported < revision {
 			lagging = append(lagging, vm.Name)
 		}
 	}
@@ -70,8 +74,9 @@
 	return lagging, nil
 }
 
-// revisionOf asks a VM's process for its revision.
-func revisionOf(ctx context.Context, local *link.Local, vm store.VM) (int64, bool) {
+// fetchRevision queries the process of a VM for the revision that it has in force. It returns false
+// if the process does not answer.
+func fetchRevision(ctx context.Context, local *link.Local, vm store.VM) (int64, bool) {
 	c, err := local.Dial(ctx, vm.Link)
 	if err != nil {
 		return 0, false
@@ -82,33 +87,36 @@
 	return reply.Revision, err == nil
 }
 
-// Row is what status shows of a VM.
-type Row struct {
+// VMStatus is the status of a VM and its process.
+type VMStatus struct {
 	VM store.VM
-	// Answers says that the VM's process has answered; Revision is its own.
-	Answers  bool
+	// Answered says that the VM's process has answered. Revision is the revision of the settings
+	// that it has in force, 0 if it has not answered.
+	Answered bool
 	Revision int64
 }
 
-// Word returns the row's last column.
-func (r Row) Word() string {
-	if !r.Answers {
+// RevisionText returns the last column of the status table: the revision, or that the process does
+// not answer.
+func (r VMStatus) RevisionText() string {
+	if !r.Answered {
 		return "does not answer"
 	}
 	return fmt.Sprintf("revision %d", r.Revision)
 }
 
-// Status asks the process of every VM for its revision.
-func Status(ctx context.Context, vms *store.VMs, keys *seal.Keyring) ([]Row, error) {
+// Status queries the process of every VM, one after the other, for the revision that it has in
+// force. It returns an error only if the VM list cannot be read.
+func Status(ctx context.Context, vms *store.VMs, keys *seal.Keyring) ([]VMStatus, error) {
 	list, err := vms.List(ctx)
 	if err != nil {
 		return nil, err
 	}
-	local := operator(keys)
-	rows := make([]Row, len(list))
+	local := operatorLocal(keys)
+	rows := make([]VMStatus, len(list))
 	for i, vm := range list {
 		rows[i].VM = vm
-		rows[i].Revision, rows[i].Answers = revisionOf(ctx, local, vm)
+		rows[i].Revision, rows[i].Answered = fetchRevision(ctx, local, vm)
 	}
 	return rows, nil
 }
