--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -24,7 +24,7 @@
     "warmingNotShared": ("pkg/pool/warm.go", "if n == 0 || rank >= allowance {", "if n == 0 {", "./pkg/pool", "TestSharesAddUpToTheAllowance|TestAllProcessesKeepTheAllowance"),
     "warmingNotPaced": ("pkg/pool/warm.go", "!now.Before(p.nextAt) && ", "", "./pkg/pool", "TestAllProcessesKeepTheAllowance"),
     "earlierLifeForgotten": ("pkg/pool/warm.go", " && !now.Before(p.senders.NotBefore)", "", "./pkg/pool", "TestUnknownFleetSendsNothingToAWarmingEndpoint"),
-    "closingNotFollowed": ("internal/router/follow.go", "		r.Engine.CloseZone(c.Name, c.Revision)", "		_ = c", "./platform", "TestEvacuatedZoneIsLeftAndTakenBack"),
+    "closingNotFollowed": ("internal/router/follow.go", "		r.Engine.CloseZone(c.Name, c.Revision)", "		_ = c", "./platform", "TestEvacuatedZoneIsClosedAndReopened"),
     "noClaim": ("internal/entry/serve.go", 'if key != "" && !*eff.Values.Repeatable {', "if false {", "./internal/rig", "TestRepeats"),
     "claimOwnGeneration": ("pkg/claim/bucket.go", "return r.Generation == old.Generation+1", "return r.Generation <= old.Generation+1", "./internal/claims", "TestOneWinner|TestGenerations"),
     "claimUnconditional": ("internal/claims/log.go", "sliceName(b.n, slice), version, body)", "sliceName(b.n, slice), l.newest(call, b.n, slice), body)", "./internal/claims", "TestOneWinner|TestGenerations"),
