--- a/cmd/tdfake/experiment.go
+++ b/cmd/tdfake/experiment.go
@@ -20,5 +20,5 @@
 	if err := proc.Load(a.File, &x); err != nil {
 		return err
 	}
-	return emul.Table(os.Stdout, &x)
+	return emul.WriteTable(os.Stdout, &x)
 }
--- a/cmd/tdfake/main.go
+++ b/cmd/tdfake/main.go
@@ -203,7 +203,7 @@
 const loadUnder = 2000
 
 func (a *loadArgs) run() error {
-	l := drive.Load{PerSecond: a.PerSecond, Until: a.For.After(time.Now()), Seed: a.Seed, Most: loadUnder}
+	l := drive.Load{ArrivalsPerSecond: a.PerSecond, Until: a.For.After(time.Now()), Seed: a.Seed, MaxInFlight: loadUnder}
 	for _, addr := range a.Entries {
 		if !addr.Addr().IsLoopback() {
 			return errors.Newf("%s is not on loopback", addr)
@@ -211,8 +211,8 @@
 		l.Callers = append(l.Callers, drive.NewCaller(addr, a.Key))
 	}
 	for _, streamed := range []bool{false, true} {
-		l.Mix = append(l.Mix, drive.Share{Name: fmt.Sprintf("%s, streamed %v", a.Model, streamed), Weight: 1, Make: func(n int) drive.Ask {
-			return drive.Ask{
+		l.Mix = append(l.Mix, drive.MixEntry{Name: fmt.Sprintf("%s, streamed %v", a.Model, streamed), Weight: 1, NewRequest: func(n int) drive.Request {
+			return drive.Request{
 				Chat:     fakes.ChatRequest{Model: a.Model, Messages: []fakes.Message{{Role: "user", Content: fmt.Sprint("load ", n)}}, MaxTokens: a.Words, Stream: streamed},
 				Deadline: time.Now().Add(time.Minute),
 			}
--- a/internal/claims/log_test.go
+++ b/internal/claims/log_test.go
@@ -133,9 +133,9 @@
 func injectFaults(o *fakes.Objects, rnd *rand.Rand) {
 	for range 8 {
 		o.Set(fakes.Faults{
-			LoseAnswers: float64(rnd.IntN(3)) / 4,
-			Down:        rnd.IntN(4) == 0,
-			Delay:       config.Span(rnd.IntN(3)) * config.Span(10*time.Millisecond),
+			ResponseLossRate: float64(rnd.IntN(3)) / 4,
+			Down:             rnd.IntN(4) == 0,
+			Delay:            config.Span(rnd.IntN(3)) * config.Span(10*time.Millisecond),
 		})
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -168,7 +168,7 @@
 // its own record there.
 func TestLostAnswer(t *testing.T) {
 	o, addr := startObjects(t, 1)
-	o.Set(fakes.Faults{LoseAnswers: 1})
+	o.Set(fakes.Faults{ResponseLossRate: 1})
 	l := startLog(t, addr)
 	held, err := l.Claim(t.Context(), claim.Record{Key: KeyOf("w", "k"), Run: "r"})
 	if err != nil || held.Run != "r" {
--- a/internal/commit/apply_test.go
+++ b/internal/commit/apply_test.go
@@ -103,7 +103,7 @@
 	if _, err := Apply(t.Context(), c, edit(t, "all", -1, text.String())); err != nil {
 		t.Fatal(err)
 	}
-	o.Set(fakes.Faults{LoseAnswers: 0.3})
+	o.Set(fakes.Faults{ResponseLossRate: 0.3})
 	var wg sync.WaitGroup
 	for i := range operators {
 		wg.Add(1)
--- a/internal/drive/caller.go
+++ b/internal/drive/caller.go
@@ -40,8 +40,8 @@
 	}}
 }
 
-// Secure makes the caller use TLS and take any certificate.
-func (c *Caller) Secure() {
+// UseTLS makes the caller use TLS and take any certificate.
+func (c *Caller) UseTLS() {
 	c.scheme = "https://"
 	c.http.TLSConfig = &tls.Config{InsecureSkipVerify: true}
 }
@@ -49,10 +49,10 @@
 // readyPoll is how often readiness is asked for.
 const readyPoll = 50 * time.Millisecond
 
-// Ready waits until the entry is ready.
-func (c *Caller) Ready(deadline time.Time) error {
+// WaitReady waits until the entry is ready.
+func (c *Caller) WaitReady(deadline time.Time) error {
 	for time.Now().Before(deadline) {
-		a, err := c.Do(Ask{Path: "/readyz", Deadline: time.Now().Add(time.Second)})
+		a, err := c.Do(Request{Path: "/readyz", Deadline: time.Now().Add(time.Second)})
 		if err == nil && a.Status == fasthttp.StatusOK {
 			return nil
 		}
@@ -61,8 +61,8 @@
 	return errors.Newf("%s is not ready", c.Addr)
 }
 
-// Ask is one request.
-type Ask struct {
+// Request is one request.
+type Request struct {
 	// Path is empty for a chat request.
 	Path string
 	// Chat is the body of a chat request, Body that of another.
@@ -75,25 +75,25 @@
 
 // Answer is what came back.
 type Answer struct {
-	Status                                      int
-	Request, Model, Version, Session, RetryText string
-	// Unkept says that the session's name could not be kept.
-	Unkept bool
-	Body   []byte
+	Status                                         int
+	RequestID, Model, Version, Session, RetryAfter string
+	// SessionNotKept says that the session's name could not be kept.
+	SessionNotKept bool
+	Body           []byte
 	// Err is the failure that the answer names, if it does.
 	Err *fault.Error
 	// Sent, First and Done are when the request was sent, the first byte of
 	// the body was read and the last one.
 	Sent, First, Done time.Time
-	// Bad says why the answer is not a right one; empty for a right one.
-	Bad string
+	// InvalidReason says why the answer is not a right one; empty for a right one.
+	InvalidReason string
 }
 
 // ErrNoAnswer says that the connection broke before an answer was whole.
 var ErrNoAnswer = errors.New("drive: no whole answer")
 
 // Do sends a request and checks the answer. The error is ErrNoAnswer.
-func (c *Caller) Do(a Ask) (Answer, error) {
+func (c *Caller) Do(a Request) (Answer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -111,7 +111,7 @@
 	return out, nil
 }
 
-func (c *Caller) prepare(req *fasthttp.Request, a *Ask) {
+func (c *Caller) prepare(req *fasthttp.Request, a *Request) {
 	path := a.Path
 	body := []byte(a.Body)
 	if path == "" {
@@ -133,12 +133,12 @@
 func (out *Answer) readHeader(resp *fasthttp.Response) {
 	h := &resp.Header
 	out.Status = resp.StatusCode()
-	out.Request = string(h.Peek("Traildrift-Request"))
+	out.RequestID = string(h.Peek("Traildrift-Request"))
 	out.Model = string(h.Peek("Traildrift-Model"))
 	out.Version = string(h.Peek("Traildrift-Version"))
 	out.Session = string(h.Peek("Traildrift-Session"))
-	out.Unkept = string(h.Peek("Traildrift-Session-Kept")) == "false"
-	out.RetryText = string(h.Peek(fasthttp.HeaderRetryAfter))
+	out.SessionNotKept = string(h.Peek("Traildrift-Session-Kept")) == "false"
+	out.RetryAfter = string(h.Peek(fasthttp.HeaderRetryAfter))
 }
 
 // readSize is the size of one read of an answer.
@@ -168,22 +168,22 @@
 }
 
 // check compares a chat answer with what the stand-in engine must answer.
-func (out *Answer) check(a *Ask) {
+func (out *Answer) check(a *Request) {
 	out.Err = findError(out.Body)
 	if out.Err != nil || a.Path != "" {
 		return
 	}
 	if out.Status != fasthttp.StatusOK {
-		out.Bad = "a status without an error"
+		out.InvalidReason = "a status without an error"
 		return
 	}
 	want := strings.Join(fakes.Words(a.Chat), "")
-	got, whole := Text(out.Body, a.Chat.Stream)
+	got, whole := ChatText(out.Body, a.Chat.Stream)
 	switch {
 	case !whole:
-		out.Bad = "no end marker"
+		out.InvalidReason = "no end marker"
 	case got != want:
-		out.Bad = "another text than was asked for"
+		out.InvalidReason = "another text than was asked for"
 	}
 }
 
@@ -199,8 +199,8 @@
 	return e.Error
 }
 
-// Text returns the text of a chat answer and whether it is whole.
-func Text(body []byte, streamed bool) (text string, whole bool) {
+// ChatText returns the text of a chat answer and whether it is whole.
+func ChatText(body []byte, streamed bool) (text string, whole bool) {
 	if !streamed {
 		var a struct {
 			Choices []struct {
--- a/internal/drive/demo.go
+++ b/internal/drive/demo.go
@@ -34,7 +34,7 @@
 func (d *Demo) Run() (string, error) {
 	deadline := time.Now().Add(within)
 	for _, c := range []*Caller{d.First, d.Second} {
-		if err := c.Ready(deadline); err != nil {
+		if err := c.WaitReady(deadline); err != nil {
 			return "", err
 		}
 	}
@@ -48,8 +48,8 @@
 	return d.explained, nil
 }
 
-func chat(model, text string, streamed bool, header ...string) Ask {
-	a := Ask{
+func chat(model, text string, streamed bool, header ...string) Request {
+	a := Request{
 		Chat:     fakes.ChatRequest{Model: model, Messages: []fakes.Message{{Role: "user", Content: text}}, MaxTokens: 12, Stream: streamed},
 		Header:   map[string]string{},
 		Deadline: time.Now().Add(within),
@@ -62,15 +62,15 @@
 
 // expect sends a request and prints what came back. want is the kind of error
 // that is right; empty for a whole answer.
-func (d *Demo) expect(title string, c *Caller, a Ask, want fault.Kind) Answer {
+func (d *Demo) expect(title string, c *Caller, a Request, want fault.Kind) Answer {
 	got, err := c.Do(a)
 	kind := fault.Kind("")
 	if got.Err != nil {
 		kind = got.Err.Kind
 	}
 	verdict := "ok"
-	if err != nil || got.Bad != "" || kind != want {
-		verdict = fmt.Sprintf("WRONG (%v %s %s)", err, got.Bad, kind)
+	if err != nil || got.InvalidReason != "" || kind != want {
+		verdict = fmt.Sprintf("WRONG (%v %s %s)", err, got.InvalidReason, kind)
 		d.wrong++
 	}
 	_, _ = fmt.Fprintf(d.Out, "%-46s %-5s status %d", title, verdict, got.Status)
@@ -87,7 +87,7 @@
 func (d *Demo) chats() {
 	d.expect("chat, whole, first entry", d.First, chat("boundary-history", "draft the history of lot 7", false), "")
 	a := d.expect("chat, streamed, second entry", d.Second, chat("boundary-history", "draft the history of lot 8", true), "")
-	d.explained = a.Request
+	d.explained = a.RequestID
 	d.expect("chat, parcel tags, cheap version is enough", d.First, chat("parcel-tags", "tag lot 9", false), "")
 }
 
@@ -101,7 +101,7 @@
 }
 
 func (d *Demo) services() {
-	lodge := Ask{Path: "/svc/title-notes/notes", Body: `{"title":"NA12/34","note":"mortgage discharged"}`, Deadline: time.Now().Add(within)}
+	lodge := Request{Path: "/svc/title-notes/notes", Body: `{"title":"NA12/34","note":"mortgage discharged"}`, Deadline: time.Now().Add(within)}
 	a := d.expect("note lodged once, not repeatable", d.First, lodge, "")
 	if !strings.Contains(string(a.Body), "mortgage") {
 		_, _ = fmt.Fprintln(d.Out, "WRONG: the note is not in the answer")
--- a/internal/drive/load.go
+++ b/internal/drive/load.go
@@ -16,36 +16,36 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Share is one kind of request in a mix.
-type Share struct {
+// MixEntry is one kind of request in a mix.
+type MixEntry struct {
 	Name string
 	// Weight is the share of the arrivals, relative to the others.
 	Weight float64
-	// Make returns the n-th request of the run.
-	Make func(n int) Ask
+	// NewRequest returns the n-th request of the run.
+	NewRequest func(n int) Request
 }
 
 // Load is an open-loop run: arrivals do not wait for answers.
 type Load struct {
 	Callers []*Caller
-	Mix     []Share
-	// PerSecond is the arrival rate; arrivals are a Poisson process.
-	PerSecond float64
+	Mix     []MixEntry
+	// ArrivalsPerSecond is the arrival rate; arrivals are a Poisson process.
+	ArrivalsPerSecond float64
 	// Until ends the arrivals.
 	Until time.Time
 	// Seed drives arrivals and the mix.
 	Seed uint64
-	// Most bounds the requests under way; beyond it arrivals are dropped and
+	// MaxInFlight bounds the requests under way; beyond it arrivals are dropped and
 	// counted, so that a stuck system cannot exhaust the machine.
-	Most int
+	MaxInFlight int
 	// OnAnswer hears of every answer; it may be nil.
 	OnAnswer func(share string, a Answer, err error)
 }
 
 // Result is what a run measured for one kind of request.
 type Result struct {
-	Name                      string
-	Sent, Whole, Bad, Dropped int64
+	Name                             string
+	Sent, Complete, Invalid, Dropped int64
 	// Errors counts failures by kind and run state; "noAnswer" for broken
 	// connections.
 	Errors map[string]int64
@@ -77,10 +77,10 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	under := make(chan struct{}, max(l.Most, 1))
+	under := make(chan struct{}, max(l.MaxInFlight, 1))
 	at := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
-		at = at.Add(time.Duration(rnd.ExpFloat64() / l.PerSecond * float64(time.Second)))
+		at = at.Add(time.Duration(rnd.ExpFloat64() / l.ArrivalsPerSecond * float64(time.Second)))
 		if at.After(l.Until) {
 			break
 		}
@@ -95,7 +95,7 @@
 			mu.Unlock()
 			continue
 		}
-		ask := l.Mix[i].Make(n)
+		ask := l.Mix[i].NewRequest(n)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -135,10 +135,10 @@
 		r.Errors[ErrorName(a.Err)]++
 	case err != nil:
 		r.Errors["noAnswer"]++
-	case a.Bad != "":
-		r.Bad++
+	case a.InvalidReason != "":
+		r.Invalid++
 	default:
-		r.Whole++
+		r.Complete++
 		_ = r.First.RecordValue(a.First.Sub(a.Sent).Microseconds())
 		_ = r.Total.RecordValue(a.Done.Sub(a.Sent).Microseconds())
 	}
@@ -151,5 +151,5 @@
 func (r *Result) Write(w io.Writer) {
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	_, _ = fmt.Fprintf(w, "%-18s sent %6d whole %6d bad %d dropped %d first p50 %.2f p95 %.2f p99 %.2f total p50 %.2f p95 %.2f p99 %.2f errors %v\n",
-		r.Name, r.Sent, r.Whole, r.Bad, r.Dropped, ms(r.First, 50), ms(r.First, 95), ms(r.First, 99), ms(r.Total, 50), ms(r.Total, 95), ms(r.Total, 99), r.Errors)
+		r.Name, r.Sent, r.Complete, r.Invalid, r.Dropped, ms(r.First, 50), ms(r.First, 95), ms(r.First, 99), ms(r.Total, 50), ms(r.Total, 95), ms(r.Total, 99), r.Errors)
 }
--- a/internal/emul/emul_test.go
+++ b/internal/emul/emul_test.go
@@ -20,9 +20,9 @@
 	if err := proc.Load("../../examples/experiments/cascade.yaml", &x); err != nil {
 		t.Fatal(err)
 	}
-	x.Seeds, x.For = []uint64{1}, config.Span(2*time.Second)
+	x.Seeds, x.Duration = []uint64{1}, config.Span(2*time.Second)
 	var got bytes.Buffer
-	if err := Table(&got, &x); err != nil {
+	if err := WriteTable(&got, &x); err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "table.golden", got.Bytes())
@@ -35,9 +35,9 @@
 	if err := proc.Load("../../examples/experiments/cascade.yaml", &x); err != nil {
 		t.Fatal(err)
 	}
-	x.For = config.Span(10 * time.Second)
+	x.Duration = config.Span(10 * time.Second)
 	for seed := range uint64(3) {
-		got := Play(&x, &Policy{Place: Prefix, Straight: 40, Step: 60}, seed)
+		got := Simulate(&x, &Policy{Placement: Prefix, Straight: 40, Step: 60}, seed)
 		if c := got.Correlation(); !(c > 0.8) {
 			t.Errorf("seed %d: correlation of foretold and actual heads: got %.2f of %d, want over 0.8", seed, c, len(got.actual))
 		}
@@ -45,7 +45,7 @@
 }
 
 func TestWrongExperiment(t *testing.T) {
-	x := Experiment{Models: []Model{{}}, Sorts: []Sort{{}}, Policies: []Policy{{Place: "nearest", Start: 1}}}
+	x := Experiment{Models: []Model{{}}, Classes: []Class{{}}, Policies: []Policy{{Placement: "nearest", FirstModel: 1}}}
 	var got []string
 	x.Check(func(key, _ string) { got = append(got, key) })
 	want := []string{
@@ -71,8 +71,8 @@
 
 func newEndpoint() *endpoint {
 	return &endpoint{
-		engine: &Engine{Slots: 2, Step: config.Span(4 * time.Millisecond), TokensPerMs: 100, Piece: 1000, Kept: 250},
-		models: []Model{{Pace: 0.5}, {Pace: 3}},
+		engine: &Engine{Slots: 2, Step: config.Span(4 * time.Millisecond), TokensPerMs: 100, ChunkTokens: 1000, CacheTokens: 250},
+		models: []Model{{ReadFactor: 0.5}, {ReadFactor: 3}},
 	}
 }
 
--- a/internal/emul/endpoint.go
+++ b/internal/emul/endpoint.go
@@ -56,7 +56,7 @@
 	}
 	p.kept = append(p.kept, part{key, tokens})
 	p.keptTokens += tokens
-	for p.keptTokens > p.engine.Kept {
+	for p.keptTokens > p.engine.CacheTokens {
 		p.keptTokens -= p.kept[0].tokens
 		p.kept = p.kept[1:]
 	}
@@ -84,8 +84,8 @@
 	d = time.Duration(p.engine.Step) + time.Duration(p.runs())*time.Duration(p.engine.StepPerRun)
 	if len(p.reading) > 0 {
 		j := p.reading[0]
-		read = min(j.unread, p.engine.Piece)
-		ms := float64(read) / p.engine.TokensPerMs * p.models[j.model].Pace
+		read = min(j.unread, p.engine.ChunkTokens)
+		ms := float64(read) / p.engine.TokensPerMs * p.models[j.model].ReadFactor
 		d += time.Duration(ms * float64(time.Millisecond))
 	}
 	return d, read, true
--- a/internal/emul/experiment.go
+++ b/internal/emul/experiment.go
@@ -13,17 +13,17 @@
 // Experiment is what an experiment's file describes.
 type Experiment struct {
 	Seeds []uint64 `yaml:"seeds"`
-	// For is how long requests arrive, in simulated time.
-	For config.Span `yaml:"for"`
-	// PerSecond is the rate of all requests together.
-	PerSecond float64 `yaml:"perSecond"`
+	// Duration is how long requests arrive, in simulated time.
+	Duration config.Span `yaml:"for"`
+	// RequestsPerSecond is the rate of all requests together.
+	RequestsPerSecond float64 `yaml:"perSecond"`
 	// Routers is how many processes place requests, each by what it sees itself.
 	Routers int `yaml:"routers"`
 	// Endpoints is how many endpoints there are.
 	Endpoints int      `yaml:"endpoints"`
 	Engine    Engine   `yaml:"engine"`
 	Models    []Model  `yaml:"models"`
-	Sorts     []Sort   `yaml:"sorts"`
+	Classes   []Class  `yaml:"sorts"`
 	Policies  []Policy `yaml:"policies"`
 }
 
@@ -37,56 +37,56 @@
 	// TokensPerMs is how many tokens of a prompt a model of pace 1 reads in a
 	// millisecond, Piece how many are read in one step at most.
 	TokensPerMs float64 `yaml:"tokensPerMs"`
-	Piece       int     `yaml:"piece"`
-	// Kept is how many tokens of shared parts an endpoint keeps.
-	Kept int `yaml:"kept"`
+	ChunkTokens int     `yaml:"piece"`
+	// CacheTokens is how many tokens of shared parts an endpoint keeps.
+	CacheTokens int `yaml:"kept"`
 }
 
 // Model is one of the models of a cascade, which are listed smallest first.
 type Model struct {
 	Name string `yaml:"name"`
-	// Pace is the time to read a prompt against a model of pace 1.
-	Pace float64 `yaml:"pace"`
+	// ReadFactor is the time to read a prompt against a model of pace 1.
+	ReadFactor float64 `yaml:"pace"`
 	// Quality is the share of requests that the model answers well, 0 to 1.
 	Quality float64 `yaml:"quality"`
 	// Cost is that of 1,000 tokens made; tokens read cost a quarter.
 	Cost float64 `yaml:"cost"`
 }
 
-// Sort is one sort of requests.
-type Sort struct {
+// Class is one sort of requests.
+type Class struct {
 	Name string `yaml:"name"`
-	// Share is the sort's part of the requests, against the other sorts'.
-	Share float64 `yaml:"share"`
-	// Shared is the mean size of the part of the prompt that requests share,
+	// Weight is the sort's part of the requests, against the other sorts'.
+	Weight float64 `yaml:"share"`
+	// SharedTokens is the mean size of the part of the prompt that requests share,
 	// Things how many such parts there are, Own the mean size of the rest.
-	Shared int `yaml:"shared"`
-	Things int `yaml:"things"`
-	Own    int `yaml:"own"`
-	// Out is the mean number of tokens made, Event how many an event holds.
-	Out   int `yaml:"out"`
-	Event int `yaml:"event"`
-	// Aim is the time to the first event, Pause the longest between two, that
+	SharedTokens int `yaml:"shared"`
+	SharedParts  int `yaml:"things"`
+	OwnTokens    int `yaml:"own"`
+	// OutputTokens is the mean number of tokens made, Event how many an event holds.
+	OutputTokens int `yaml:"out"`
+	EventTokens  int `yaml:"event"`
+	// TargetHead is the time to the first event, Pause the longest between two, that
 	// earns full credit.
-	Aim   config.Span `yaml:"aim"`
-	Pause config.Span `yaml:"pause"`
+	TargetHead  config.Span `yaml:"aim"`
+	TargetPause config.Span `yaml:"pause"`
 	// Value is what a good answer in time is worth, Late and Weak the parts of
 	// it that a late and a weak one are worth.
-	Value float64 `yaml:"value"`
-	Late  float64 `yaml:"late"`
-	Weak  float64 `yaml:"weak"`
+	Value      float64 `yaml:"value"`
+	LateFactor float64 `yaml:"late"`
+	WeakFactor float64 `yaml:"weak"`
 }
 
 // Policy is one way to place requests and to choose models.
 type Policy struct {
 	Name string `yaml:"name"`
-	// Place names one of Placements.
-	Place string `yaml:"place"`
-	// Start is the index of the first model, Straight and Step are those of
+	// Placement names one of Placements.
+	Placement string `yaml:"place"`
+	// FirstModel is the index of the first model, Straight and Step are those of
 	// sizes.Policy.
-	Start    int `yaml:"start"`
-	Straight int `yaml:"straight"`
-	Step     int `yaml:"step"`
+	FirstModel int `yaml:"start"`
+	Straight   int `yaml:"straight"`
+	Step       int `yaml:"step"`
 }
 
 // Check reports each key that is wrong, with what is allowed.
@@ -95,9 +95,9 @@
 		key string
 		ok  bool
 	}{
-		{"seeds", len(x.Seeds) > 0}, {"for", x.For > 0}, {"perSecond", x.PerSecond > 0}, {"routers", x.Routers > 0}, {"endpoints", x.Endpoints > 0},
+		{"seeds", len(x.Seeds) > 0}, {"for", x.Duration > 0}, {"perSecond", x.RequestsPerSecond > 0}, {"routers", x.Routers > 0}, {"endpoints", x.Endpoints > 0},
 		{"engine.slots", x.Engine.Slots > 0}, {"engine.step", x.Engine.Step > 0}, {"engine.tokensPerMs", x.Engine.TokensPerMs > 0},
-		{"engine.piece", x.Engine.Piece > 0}, {"models", len(x.Models) > 0}, {"sorts", len(x.Sorts) > 0}, {"policies", len(x.Policies) > 0},
+		{"engine.piece", x.Engine.ChunkTokens > 0}, {"models", len(x.Models) > 0}, {"sorts", len(x.Classes) > 0}, {"policies", len(x.Policies) > 0},
 	} {
 		if !c.ok {
 			report(c.key, "is required and positive")
@@ -108,28 +108,28 @@
 
 // checkLists checks sorts and policies.
 func (x *Experiment) checkLists(report func(key, message string)) {
-	for i := range x.Sorts {
-		x.Sorts[i].check(fmt.Sprintf("sorts[%d]", i), report)
+	for i := range x.Classes {
+		x.Classes[i].check(fmt.Sprintf("sorts[%d]", i), report)
 	}
 	for i := range x.Policies {
 		x.Policies[i].check(fmt.Sprintf("policies[%d]", i), len(x.Models), report)
 	}
 }
 
-func (s *Sort) check(key string, report func(key, message string)) {
-	if s.Share <= 0 || s.Own <= 0 || s.Out <= 0 || s.Event <= 0 || s.Value <= 0 {
+func (s *Class) check(key string, report func(key, message string)) {
+	if s.Weight <= 0 || s.OwnTokens <= 0 || s.OutputTokens <= 0 || s.EventTokens <= 0 || s.Value <= 0 {
 		report(key, "share, own, out, event and value are positive")
 	}
-	if s.Shared > 0 && s.Things <= 0 {
+	if s.SharedTokens > 0 && s.SharedParts <= 0 {
 		report(key+".things", "is positive where parts are shared")
 	}
 }
 
 func (p *Policy) check(key string, models int, report func(key, message string)) {
-	if !slices.Contains(Placements, p.Place) {
-		report(key+".place", fmt.Sprintf("%q is not allowed; allowed: %v", p.Place, Placements))
+	if !slices.Contains(Placements, p.Placement) {
+		report(key+".place", fmt.Sprintf("%q is not allowed; allowed: %v", p.Placement, Placements))
 	}
-	if p.Start < 0 || p.Start >= models || p.Straight > p.Step {
+	if p.FirstModel < 0 || p.FirstModel >= models || p.Straight > p.Step {
 		report(key, "start names a model by its index, straight is at most step")
 	}
 }
--- a/internal/emul/place.go
+++ b/internal/emul/place.go
@@ -28,7 +28,7 @@
 	n := p.x.Endpoints
 	view := p.views[r.router]
 	sent := func(i int) int { return view[i].Load.InFlight }
-	switch p.policy.Place {
+	switch p.policy.Placement {
 	case Random:
 		return p.choice.IntN(n)
 	case RoundRobin:
@@ -60,7 +60,7 @@
 		w.Affinity = pool.Hash(fmt.Sprint(model, "/", r.index, "/", r.thing))
 		w.FullRead, w.UnsharedRead = p.alone(model, r.shared+r.own), p.alone(model, r.own)
 		w.SharedFraction = float64(r.shared) / float64(r.shared+r.own)
-		w.TimeLeft = (time.Duration(r.sort.Aim) - p.now.Sub(r.arrived)).Seconds()
+		w.TimeLeft = (time.Duration(r.sort.TargetHead) - p.now.Sub(r.arrived)).Seconds()
 		w.SampleSize = p.x.Endpoints / p.x.Routers
 	}
 	picked, why := p.books[r.router].Pick(p.now, &w)
--- a/internal/emul/play.go
+++ b/internal/emul/play.go
@@ -17,7 +17,7 @@
 
 // request is one request while it is served.
 type request struct {
-	sort         *Sort
+	sort         *Class
 	index, thing int
 	shared, own  int
 	out          int
@@ -91,8 +91,8 @@
 // start is when simulated time begins.
 var start = time.Unix(0, 0).UTC()
 
-// Play plays a policy with a seed.
-func Play(x *Experiment, policy *Policy, seed uint64) Result {
+// Simulate plays a policy with a seed.
+func Simulate(x *Experiment, policy *Policy, seed uint64) Result {
 	p := &player{x: x, policy: policy, load: rand.New(rand.NewPCG(seed, 0)), choice: rand.New(rand.NewPCG(seed, 1)), now: start, turns: make([]int, x.Routers), index: make(map[string]int)}
 	for i := range x.Endpoints {
 		p.endpoints = append(p.endpoints, &endpoint{engine: &x.Engine, models: x.Models})
@@ -129,12 +129,12 @@
 
 // arrive makes the next request arrive, until the time is over.
 func (p *player) arrive() {
-	d := time.Duration(p.load.ExpFloat64() / p.x.PerSecond * float64(time.Second))
-	if p.now.Add(d).Sub(start) > time.Duration(p.x.For) {
+	d := time.Duration(p.load.ExpFloat64() / p.x.RequestsPerSecond * float64(time.Second))
+	if p.now.Add(d).Sub(start) > time.Duration(p.x.Duration) {
 		return
 	}
 	p.after(d, func() {
-		p.send(p.draw(), p.policy.Start)
+		p.send(p.draw(), p.policy.FirstModel)
 		p.arrive()
 	})
 }
@@ -142,19 +142,19 @@
 // draw draws a request.
 func (p *player) draw() *request {
 	sum := 0.0
-	for _, s := range p.x.Sorts {
-		sum += s.Share
+	for _, s := range p.x.Classes {
+		sum += s.Weight
 	}
 	at, i := p.load.Float64()*sum, 0
-	for ; i < len(p.x.Sorts)-1 && at >= p.x.Sorts[i].Share; i++ {
-		at -= p.x.Sorts[i].Share
+	for ; i < len(p.x.Classes)-1 && at >= p.x.Classes[i].Weight; i++ {
+		at -= p.x.Classes[i].Weight
 	}
-	s := &p.x.Sorts[i]
-	r := &request{sort: s, index: i, own: p.around(s.Own), out: p.around(s.Out), hard: p.load.Float64(), router: p.load.IntN(p.x.Routers), arrived: p.now}
-	if s.Shared > 0 {
-		r.thing = p.load.IntN(s.Things)
+	s := &p.x.Classes[i]
+	r := &request{sort: s, index: i, own: p.around(s.OwnTokens), out: p.around(s.OutputTokens), hard: p.load.Float64(), router: p.load.IntN(p.x.Routers), arrived: p.now}
+	if s.SharedTokens > 0 {
+		r.thing = p.load.IntN(s.SharedParts)
 		// The size of a part depends on the part alone.
-		r.shared = s.Shared/2 + int(pool.Hash(fmt.Sprint(i, "/", r.thing))%uint64(s.Shared))
+		r.shared = s.SharedTokens/2 + int(pool.Hash(fmt.Sprint(i, "/", r.thing))%uint64(s.SharedTokens))
 	}
 	for range p.x.Models {
 		r.noise = append(r.noise, opinionNoise*p.load.NormFloat64())
@@ -180,8 +180,8 @@
 		kept = e.tokensKept(partKey{r.index, r.thing, model}, r.shared)
 	}
 	j := &job{req: r, model: model, unread: max(r.shared+r.own-kept, 1), left: r.out}
-	p.result.Read += r.shared + r.own - kept
-	p.result.Kept += kept
+	p.result.TokensRead += r.shared + r.own - kept
+	p.result.TokensCached += kept
 	p.result.cost += p.x.Models[model].Cost * float64(r.shared+r.own) / 4 / 1000
 	load := &p.views[r.router][i].Load
 	load.InFlight++
@@ -200,7 +200,7 @@
 
 // alone returns how long a model takes to read so many tokens alone, in seconds.
 func (p *player) alone(model, tokens int) float64 {
-	return float64(tokens) / p.x.Engine.TokensPerMs * p.x.Models[model].Pace / 1000
+	return float64(tokens) / p.x.Engine.TokensPerMs * p.x.Models[model].ReadFactor / 1000
 }
 
 // stepOn begins the next step of an endpoint.
@@ -249,7 +249,7 @@
 	r := j.req
 	p.result.cost += p.x.Models[j.model].Cost / 1000
 	j.made++
-	if j.made >= r.sort.Event || j.left <= 0 {
+	if j.made >= r.sort.EventTokens || j.left <= 0 {
 		r.pause = max(r.pause, p.now.Sub(r.eventAt))
 		r.eventAt, j.made = p.now, 0
 	}
@@ -265,11 +265,11 @@
 	value := r.sort.Value
 	if r.hard > p.x.Models[j.model].Quality {
 		p.result.Weak++
-		value *= r.sort.Weak
+		value *= r.sort.WeakFactor
 	}
-	if head := r.headAt.Sub(r.arrived); head > time.Duration(r.sort.Aim) || r.pause > time.Duration(r.sort.Pause) {
+	if head := r.headAt.Sub(r.arrived); head > time.Duration(r.sort.TargetHead) || r.pause > time.Duration(r.sort.TargetPause) {
 		p.result.Late++
-		value *= r.sort.Late
+		value *= r.sort.LateFactor
 	}
 	p.result.earned += value
 	p.result.heads = append(p.result.heads, r.headAt.Sub(r.arrived))
--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -20,9 +20,9 @@
 	// Weak those whose model was not good enough, Dropped the answers given up
 	// for a larger model's.
 	Requests, Late, Weak, Dropped int
-	// Read and Kept count tokens of prompts that were read, and that were in
+	// TokensRead and TokensCached count tokens of prompts that were read, and that were in
 	// memory.
-	Read, Kept int
+	TokensRead, TokensCached int
 	// owed is the value of all requests, earned that of the answers, cost what
 	// the models cost.
 	owed, earned, cost float64
@@ -53,8 +53,8 @@
 	r.Late += o.Late
 	r.Weak += o.Weak
 	r.Dropped += o.Dropped
-	r.Read += o.Read
-	r.Kept += o.Kept
+	r.TokensRead += o.TokensRead
+	r.TokensCached += o.TokensCached
 	r.owed += o.owed
 	r.earned += o.earned
 	r.cost += o.cost
@@ -64,8 +64,8 @@
 	r.actual = append(r.actual, o.actual...)
 }
 
-// Table plays all policies with all seeds and writes a table of them.
-func Table(w io.Writer, x *Experiment) error {
+// WriteTable plays all policies with all seeds and writes a table of them.
+func WriteTable(w io.Writer, x *Experiment) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	head := "policy\tworth\trequests\tlate\tweak\tdropped\tread\tkept\thead p50\tp99\tstream p50\tp99\t\n"
 	if _, err := io.WriteString(t, head); err != nil {
@@ -74,10 +74,10 @@
 	for i := range x.Policies {
 		var sum Result
 		for _, seed := range x.Seeds {
-			sum.add(Play(x, &x.Policies[i], seed))
+			sum.add(Simulate(x, &x.Policies[i], seed))
 		}
 		if _, err := fmt.Fprintf(t, "%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t%v\t\n", x.Policies[i].Name, sum.Worth(), sum.Requests, sum.Late, sum.Weak, sum.Dropped,
-			sum.Read, sum.Kept, quantile(sum.heads, 50), quantile(sum.heads, 99), quantile(sum.streams, 50), quantile(sum.streams, 99)); err != nil {
+			sum.TokensRead, sum.TokensCached, quantile(sum.heads, 50), quantile(sum.heads, 99), quantile(sum.streams, 50), quantile(sum.streams, 99)); err != nil {
 			return errors.Wrap(err, "emul")
 		}
 	}
--- a/internal/fakes/engine.go
+++ b/internal/fakes/engine.go
@@ -39,8 +39,8 @@
 	// Versions lists what is loaded at the start, as model@version; nil for an
 	// engine that does not say what it has.
 	Versions []string
-	// Weights fetches a version's weights before it is loaded; nil needs none.
-	Weights func(version string) bool
+	// FetchWeights fetches a version's weights before it is loaded; nil needs none.
+	FetchWeights func(version string) bool
 	// Unfenced says that the engine does not check who gives it orders.
 	Unfenced bool
 	// CrashOn is a text on which the engine crashes once it runs a request that holds it;
@@ -234,10 +234,10 @@
 		if end != nil {
 			return
 		}
-		if f.EndEarly > 0 && chunks >= f.EndEarly {
+		if f.TruncateAfter > 0 && chunks >= f.TruncateAfter {
 			return
 		}
-		if f.CutAfter > 0 && chunks >= f.CutAfter {
+		if f.DisconnectAfter > 0 && chunks >= f.DisconnectAfter {
 			_ = conn.Close()
 			return
 		}
@@ -259,8 +259,8 @@
 		<-e.batch
 		e.count(-1, 0)
 	}()
-	slow := max(f.Slow, 1)
-	if e.draw(f.Fail) || !e.step(ctx, e.opts.FirstToken, slow) {
+	slow := max(f.Slowdown, 1)
+	if e.draw(f.FailureRate) || !e.step(ctx, e.opts.FirstToken, slow) {
 		a.buf.Finish(0, fault.New(fault.EndpointFailed, fault.Ran, "The run failed."))
 		return
 	}
--- a/internal/fakes/faults.go
+++ b/internal/fakes/faults.go
@@ -22,19 +22,19 @@
 	Delay config.Span `json:"delay"`
 	// SilentWatch ends every watch without a change, whatever happened.
 	SilentWatch bool `json:"silentWatch"`
-	// OldWatch answers every watch at once with an object's first value.
-	OldWatch bool `json:"oldWatch"`
-	// LoseAnswers is the share of writes whose answer is lost after they
+	// StaleWatch answers every watch at once with an object's first value.
+	StaleWatch bool `json:"oldWatch"`
+	// ResponseLossRate is the share of writes whose answer is lost after they
 	// took effect.
-	LoseAnswers float64 `json:"loseAnswers"`
-	// Fail is the share of runs that end in an error.
-	Fail float64 `json:"fail"`
-	// CutAfter cuts an answer after so many chunks; 0 cuts none.
-	CutAfter int `json:"cutAfter"`
-	// EndEarly ends an answer after so many chunks as if it were whole.
-	EndEarly int `json:"endEarly"`
-	// Slow multiplies the time of every step; 0 counts as 1.
-	Slow float64 `json:"slow"`
+	ResponseLossRate float64 `json:"loseAnswers"`
+	// FailureRate is the share of runs that end in an error.
+	FailureRate float64 `json:"fail"`
+	// DisconnectAfter cuts an answer after so many chunks; 0 cuts none.
+	DisconnectAfter int `json:"cutAfter"`
+	// TruncateAfter ends an answer after so many chunks as if it were whole.
+	TruncateAfter int `json:"endEarly"`
+	// Slowdown multiplies the time of every step; 0 counts as 1.
+	Slowdown float64 `json:"slow"`
 }
 
 // faultBox holds the faults in force and a seeded source.
--- a/internal/fakes/objects.go
+++ b/internal/fakes/objects.go
@@ -173,7 +173,7 @@
 	close(o.changed)
 	o.changed = make(chan struct{})
 	o.mu.Unlock()
-	if o.draw(f.LoseAnswers) {
+	if o.draw(f.ResponseLossRate) {
 		ctx.Error("the answer was lost", fasthttp.StatusGatewayTimeout)
 		return
 	}
@@ -194,7 +194,7 @@
 	for {
 		o.mu.Lock()
 		obj, ok := o.objects[key]
-		if f.OldWatch {
+		if f.StaleWatch {
 			obj, ok = o.first[key]
 			since = -1
 		}
--- a/internal/fakes/orders.go
+++ b/internal/fakes/orders.go
@@ -50,7 +50,7 @@
 		ctx.Error("an older order", fasthttp.StatusConflict)
 		return
 	}
-	if !known && e.opts.Weights != nil && !e.opts.Weights(o.Model) {
+	if !known && e.opts.FetchWeights != nil && !e.opts.FetchWeights(o.Model) {
 		ctx.Error("no weights", fasthttp.StatusServiceUnavailable)
 		return
 	}
--- a/internal/fakes/plain.go
+++ b/internal/fakes/plain.go
@@ -76,7 +76,7 @@
 	s.mu.Unlock()
 	pause(s.work)
 	pause(f.Delay)
-	if s.draw(f.Fail) {
+	if s.draw(f.FailureRate) {
 		_ = ctx.Conn().Close()
 		return
 	}
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -13,15 +13,15 @@
 	"github.com/traildrift/traildrift/internal/logs"
 )
 
-// Served is a stand-in that listens.
-type Served struct {
+// Server is a stand-in that listens.
+type Server struct {
 	http *fasthttp.Server
 	done chan error
 }
 
 // Serve answers on ln with handle until Close.
-func Serve(ln net.Listener, handle fasthttp.RequestHandler) *Served {
-	s := &Served{
+func Serve(ln net.Listener, handle fasthttp.RequestHandler) *Server {
+	s := &Server{
 		http: &fasthttp.Server{Handler: handle, CloseOnShutdown: true, MaxRequestBodySize: 32 << 20, Logger: logs.LibraryLogger{}},
 		done: make(chan error, 1),
 	}
@@ -30,7 +30,7 @@
 }
 
 // Close ends the stand-in and returns what its listener ended with.
-func (s *Served) Close() error {
+func (s *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
 	defer cancel()
 	_ = s.http.ShutdownWithContext(ctx)
--- a/internal/fakes/weights.go
+++ b/internal/fakes/weights.go
@@ -9,9 +9,9 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Weights is a stand-in for the weight store, which serves few at a time and
+// WeightStore is a stand-in for the weight store, which serves few at a time and
 // refuses the rest.
-type Weights struct {
+type WeightStore struct {
 	// atOnce is how many fetches are served at a time, takes how long each is.
 	atOnce int
 	takes  config.Span
@@ -21,13 +21,13 @@
 	most, refused int
 }
 
-// NewWeights returns an idle weight store.
-func NewWeights(atOnce int, takes config.Span) *Weights {
-	return &Weights{atOnce: atOnce, takes: takes}
+// NewWeightStore returns an idle weight store.
+func NewWeightStore(atOnce int, takes config.Span) *WeightStore {
+	return &WeightStore{atOnce: atOnce, takes: takes}
 }
 
 // Fetch fetches the weights of a version and reports false if it was refused.
-func (w *Weights) Fetch(string) bool {
+func (w *WeightStore) Fetch(string) bool {
 	w.mu.Lock()
 	if w.under >= w.atOnce {
 		w.refused++
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Seen returns the greatest number of fetches under way, and the refusals.
-func (w *Weights) Seen() (most, refused int) {
+// Stats returns the greatest number of fetches under way, and the refusals.
+func (w *WeightStore) Stats() (most, refused int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.most, w.refused
--- a/internal/gauge/capacity.go
+++ b/internal/gauge/capacity.go
@@ -213,9 +213,9 @@
 	}
 	start := time.Now()
 	l := drive.Load{
-		Callers:   []*drive.Caller{f.Caller(0, gaugeKey)},
-		Mix:       []drive.Share{{Name: fmt.Sprintf("%d tokens", words), Weight: 1, Make: func(n int) drive.Ask { return ask(n, words, true, "chat") }}},
-		PerSecond: perSecond, Until: start.Add(measureFor), Seed: 1, Most: 2000,
+		Callers:           []*drive.Caller{f.Caller(0, gaugeKey)},
+		Mix:               []drive.MixEntry{{Name: fmt.Sprintf("%d tokens", words), Weight: 1, NewRequest: func(n int) drive.Request { return ask(n, words, true, "chat") }}},
+		ArrivalsPerSecond: perSecond, Until: start.Add(measureFor), Seed: 1, MaxInFlight: 2000,
 	}
 	results := l.Run(ctx)
 	seconds := time.Since(start).Seconds()
--- a/internal/gauge/claims.go
+++ b/internal/gauge/claims.go
@@ -60,9 +60,9 @@
 	before, bytesBefore := f.Objects.Calls()
 	start := time.Now()
 	l := drive.Load{
-		Callers: callers, PerSecond: perSecond, Until: until, Seed: uint64(perSecond), Most: 2000,
-		Mix: []drive.Share{{Name: fmt.Sprintf("%s, %g/s", kind, perSecond), Weight: 1, Make: func(n int) drive.Ask {
-			a := drive.Ask{Path: "/svc/once/lodge", Body: fmt.Sprintf("%s %g %d", kind, perSecond, n), Header: map[string]string{}, Deadline: time.Now().Add(20 * time.Second)}
+		Callers: callers, ArrivalsPerSecond: perSecond, Until: until, Seed: uint64(perSecond), MaxInFlight: 2000,
+		Mix: []drive.MixEntry{{Name: fmt.Sprintf("%s, %g/s", kind, perSecond), Weight: 1, NewRequest: func(n int) drive.Request {
+			a := drive.Request{Path: "/svc/once/lodge", Body: fmt.Sprintf("%s %g %d", kind, perSecond, n), Header: map[string]string{}, Deadline: time.Now().Add(20 * time.Second)}
 			if kind != "no key" {
 				a.Header["Idempotency-Key"] = keys(n)
 			}
@@ -91,7 +91,7 @@
 	}
 	tickets := make([]string, most)
 	for i := range tickets {
-		a, err := callers[i%len(callers)].Do(drive.Ask{Path: "/v1/tickets", Deadline: time.Now().Add(10 * time.Second)})
+		a, err := callers[i%len(callers)].Do(drive.Request{Path: "/v1/tickets", Deadline: time.Now().Add(10 * time.Second)})
 		var t struct {
 			Ticket string `json:"ticket"`
 		}
--- a/internal/gauge/path.go
+++ b/internal/gauge/path.go
@@ -38,8 +38,8 @@
       once: {serves: s, values: {repeatable: false}}
 `
 
-func ask(n, words int, streamed bool, model string) drive.Ask {
-	return drive.Ask{
+func ask(n, words int, streamed bool, model string) drive.Request {
+	return drive.Request{
 		Chat: fakes.ChatRequest{
 			Model:     model,
 			Messages:  []fakes.Message{{Role: "user", Content: fmt.Sprintf("measure %d", n)}},
@@ -98,7 +98,7 @@
 			for i, c := range []*drive.Caller{direct, through} {
 				model := [2]string{"m@1", "chat"}[i]
 				a, err := c.Do(ask(n, 1, streamed, model))
-				if err == nil && a.Bad == "" && a.Err == nil {
+				if err == nil && a.InvalidReason == "" && a.Err == nil {
 					_ = hs[i].RecordValue(a.Done.Sub(a.Sent).Microseconds())
 				}
 			}
@@ -113,7 +113,7 @@
 
 // workers send one request after the other until the deadline, and return how
 // many were answered right.
-func workers(c *drive.Caller, n int, until time.Time, next func(i int) drive.Ask) int {
+func workers(c *drive.Caller, n int, until time.Time, next func(i int) drive.Request) int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	right := 0
@@ -123,7 +123,7 @@
 			defer wg.Done()
 			mine := 0
 			for i := w; time.Now().Before(until); i += n {
-				if a, err := c.Do(next(i)); err == nil && a.Bad == "" && a.Err == nil {
+				if a, err := c.Do(next(i)); err == nil && a.InvalidReason == "" && a.Err == nil {
 					mine++
 				}
 			}
@@ -150,7 +150,7 @@
 			return err
 		}
 		start := time.Now()
-		n := workers(f.Caller(0, gaugeKey), shape.workers, start.Add(rateFor), func(i int) drive.Ask {
+		n := workers(f.Caller(0, gaugeKey), shape.workers, start.Add(rateFor), func(i int) drive.Request {
 			return ask(i, shape.words, true, "chat")
 		})
 		seconds := time.Since(start).Seconds()
--- a/internal/gauge/recovery.go
+++ b/internal/gauge/recovery.go
@@ -43,8 +43,8 @@
 		f.count[drive.ErrorName(a.Err)]++
 	case err != nil:
 		f.count["noAnswer"]++
-	case a.Bad != "":
-		f.count[a.Bad]++
+	case a.InvalidReason != "":
+		f.count[a.InvalidReason]++
 	default:
 		f.whole++
 		took := a.Done.Sub(a.Sent)
@@ -85,12 +85,12 @@
 	seen := &failures{count: make(map[string]int)}
 	n := 0
 	l := drive.Load{
-		Callers: []*drive.Caller{f.Caller(1, gaugeKey), f.Caller(2, gaugeKey)}, PerSecond: recoveryRate, Seed: 1, Most: 2000, OnAnswer: seen.add,
-		Mix: []drive.Share{
-			{Name: "chat", Weight: 1, Make: func(int) drive.Ask { n++; return ask(n, 5, true, "chat") }},
-			{Name: "note", Weight: 1, Make: func(int) drive.Ask {
+		Callers: []*drive.Caller{f.Caller(1, gaugeKey), f.Caller(2, gaugeKey)}, ArrivalsPerSecond: recoveryRate, Seed: 1, MaxInFlight: 2000, OnAnswer: seen.add,
+		Mix: []drive.MixEntry{
+			{Name: "chat", Weight: 1, NewRequest: func(int) drive.Request { n++; return ask(n, 5, true, "chat") }},
+			{Name: "note", Weight: 1, NewRequest: func(int) drive.Request {
 				n++
-				return drive.Ask{Path: "/svc/once/lodge", Body: fmt.Sprint("note ", n), Deadline: time.Now().Add(30 * time.Second)}
+				return drive.Request{Path: "/svc/once/lodge", Body: fmt.Sprint("note ", n), Deadline: time.Now().Add(30 * time.Second)}
 			}},
 		},
 	}
--- a/internal/rig/answer_test.go
+++ b/internal/rig/answer_test.go
@@ -24,10 +24,10 @@
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1)})
 	engine := f.Engines["deedwriter-1"]
 	for _, streamed := range []bool{true, false} {
-		engine.Set(fakes.Faults{CutAfter: 3})
+		engine.Set(fakes.Faults{DisconnectAfter: 3})
 		expect(t, fmt.Sprint("cut, streamed ", streamed), <-send(f, 0, chat("history", "lot", streamed)), "whole")
 	}
-	engine.Set(fakes.Faults{EndEarly: 3})
+	engine.Set(fakes.Faults{TruncateAfter: 3})
 	expect(t, "ended early without its marker", <-send(f, 0, chat("history", "lot", true)), "notWhole/ran")
 	for id, n := range f.EngineRuns() {
 		if n != 1 {
@@ -115,11 +115,11 @@
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1), Guard: "billAfter: 500ms\n"})
 	f.Objects.Set(fakes.Faults{Down: true})
 	want := map[string]bool{}
-	ask := func(entry int, a drive.Ask) {
+	ask := func(entry int, a drive.Request) {
 		a.Header["Traildrift-Deadline"] = time.Now().Add(3 * time.Second).Format(time.RFC3339Nano)
 		got := <-send(f, entry, a)
 		expect(t, "chat", got, "whole")
-		want[got.answer.Request] = true
+		want[got.answer.RequestID] = true
 	}
 	for i := range 6 {
 		ask(i%2, chat("history", fmt.Sprint(i), i%3 == 0))
@@ -127,7 +127,7 @@
 	refused := <-send(f, 0, note("refused", "refused"))
 	expect(t, "own key while the platform is down", refused, "platformDown/notRun")
 	f.Entries[0].Kill()
-	f.Objects.Set(fakes.Faults{LoseAnswers: 0.5})
+	f.Objects.Set(fakes.Faults{ResponseLossRate: 0.5})
 	ask(1, chat("history", "last", true))
 	waitFor(t, "every bill", func() bool {
 		lines, err := desk.Bills(t.Context(), f.Store, "")
@@ -156,7 +156,7 @@
 	pools := testPools(4)
 	f := startFleet(t, Options{Entries: 1, Pools: pools[:1]})
 	for _, e := range f.Engines {
-		e.Set(fakes.Faults{Fail: 1})
+		e.Set(fakes.Faults{FailureRate: 1})
 	}
 	const requests = 200
 	for range requests {
@@ -247,7 +247,7 @@
 	for _, c := range all {
 		got := <-c
 		counts[got.result]++
-		if got.result != "whole" && got.answer.RetryText == "" {
+		if got.result != "whole" && got.answer.RetryAfter == "" {
 			t.Errorf("got %s without a time to come back", got.result)
 		}
 	}
@@ -272,7 +272,7 @@
 		a.Header["Traildrift-Deadline"] = time.Now().Add(2 * time.Second).Format(time.RFC3339Nano)
 		got := <-send(f, 0, a)
 		expect(t, "a workload that serves on", got, "whole")
-		want[got.answer.Request] = true
+		want[got.answer.RequestID] = true
 	}
 	got := <-send(f, 0, chat("history", "lot", false))
 	expect(t, "a workload that refuses", got, "platformDown/notRun")
--- a/internal/rig/door_test.go
+++ b/internal/rig/door_test.go
@@ -45,7 +45,7 @@
 // slow or broken.
 func TestDoor(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Entry: "maxBody: 1000\nmaxHeader: 2000\nreadWithin: 300ms\n"})
-	ask := func(key string, a drive.Ask) string {
+	ask := func(key string, a drive.Request) string {
 		a.Deadline = soon()
 		got, err := f.Caller(0, key).Do(a)
 		return result(got, err)
@@ -61,9 +61,9 @@
 		{"another workspace's service", ask("lima-key", note("", "x")), "notFound/notRun"},
 		{"large body", ask(testKey, large), "tooLarge/notRun"},
 		{"large header", ask(testKey, header), "tooLarge/notRun"},
-		{"broken JSON", ask(testKey, drive.Ask{Path: "/v1/chat/completions", Body: `{"model":`}), "badRequest/notRun"},
-		{"no messages", ask(testKey, drive.Ask{Path: "/v1/chat/completions", Body: `{"model":"history"}`}), "badRequest/notRun"},
-		{"unknown path", ask(testKey, drive.Ask{Path: "/v2/x"}), "notFound/notRun"},
+		{"broken JSON", ask(testKey, drive.Request{Path: "/v1/chat/completions", Body: `{"model":`}), "badRequest/notRun"},
+		{"no messages", ask(testKey, drive.Request{Path: "/v1/chat/completions", Body: `{"model":"history"}`}), "badRequest/notRun"},
+		{"unknown path", ask(testKey, drive.Request{Path: "/v2/x"}), "notFound/notRun"},
 	}
 	for _, tt := range tests {
 		if tt.got != tt.want {
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -75,7 +75,7 @@
 	block    netip.Addr
 	next     byte
 	keyFile  string
-	served   []*fakes.Served
+	served   []*fakes.Server
 	vms      []store.VM
 }
 
@@ -291,7 +291,7 @@
 		if !n.Running() {
 			continue
 		}
-		if err := f.caller(n, "", f.opts.Secured).Ready(deadline); err != nil {
+		if err := f.caller(n, "", f.opts.Secured).WaitReady(deadline); err != nil {
 			return errors.Wrap(err, n.Log())
 		}
 		for n.usable() < want && !f.opts.Unlinked {
@@ -321,7 +321,7 @@
 func (f *Fleet) caller(n *Node, key string, secured bool) *drive.Caller {
 	c := drive.NewCaller(n.Callers, key)
 	if secured {
-		c.Secure()
+		c.UseTLS()
 	}
 	return c
 }
--- a/internal/rig/names_test.go
+++ b/internal/rig/names_test.go
@@ -40,11 +40,11 @@
 		}
 	}
 	f.Objects.Set(fakes.Faults{Down: true})
-	if got := named(0, "name0"); !seen["name0"][got.Model] || got.Unkept {
-		t.Errorf("a known name while the platform is down: got %s %v, want %v kept", got.Model, got.Unkept, seen["name0"])
+	if got := named(0, "name0"); !seen["name0"][got.Model] || got.SessionNotKept {
+		t.Errorf("a known name while the platform is down: got %s %v, want %v kept", got.Model, got.SessionNotKept, seen["name0"])
 	}
-	if got := named(0, "unheard of"); !got.Unkept || got.Session == "" {
-		t.Errorf("a new name while the platform is down: got kept %v and token %q, want a token alone", !got.Unkept, got.Session)
+	if got := named(0, "unheard of"); !got.SessionNotKept || got.Session == "" {
+		t.Errorf("a new name while the platform is down: got kept %v and token %q, want a token alone", !got.SessionNotKept, got.Session)
 	}
 }
 
--- a/internal/rig/once_test.go
+++ b/internal/rig/once_test.go
@@ -29,8 +29,8 @@
 		return drive.ErrorName(a.Err)
 	case err != nil:
 		return "noAnswer"
-	case a.Bad != "":
-		return a.Bad
+	case a.InvalidReason != "":
+		return a.InvalidReason
 	default:
 		return "whole"
 	}
@@ -44,7 +44,7 @@
 }
 
 // send sends a request in the background.
-func send(f *Fleet, entry int, a drive.Ask) <-chan sent {
+func send(f *Fleet, entry int, a drive.Request) <-chan sent {
 	out := make(chan sent, 1)
 	go func() {
 		start := time.Now()
@@ -93,7 +93,7 @@
 	if kind == "own" {
 		return fmt.Sprintf("%s-%d", t.Name(), time.Now().UnixNano())
 	}
-	a, err := f.Caller(entry, testKey).Do(drive.Ask{Path: "/v1/tickets", Deadline: soon()})
+	a, err := f.Caller(entry, testKey).Do(drive.Request{Path: "/v1/tickets", Deadline: soon()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,8 +156,8 @@
 		lost = lost[1:]
 		got := <-send(f, 1, note(keys[kind], kind))
 		expect(t, kind, got, "keyUnsettled/mayHaveRun")
-		if got.took > promptly || got.answer.RetryText == "" {
-			t.Errorf("%s: got an answer after %v with retry %q, want one at once with a time", kind, got.took, got.answer.RetryText)
+		if got.took > promptly || got.answer.RetryAfter == "" {
+			t.Errorf("%s: got an answer after %v with retry %q, want one at once with a time", kind, got.took, got.answer.RetryAfter)
 		}
 	}
 	if err := f.Entries[0].Start(); err != nil {
@@ -302,15 +302,15 @@
 	f.Objects.Set(fakes.Faults{Down: true})
 	got := <-send(f, 0, note("down", "down"))
 	expect(t, "own key", got, "platformDown/notRun")
-	if got.took > promptly || got.answer.RetryText == "" {
-		t.Errorf("own key: got an answer after %v with retry %q, want one at once with a time", got.took, got.answer.RetryText)
+	if got.took > promptly || got.answer.RetryAfter == "" {
+		t.Errorf("own key: got an answer after %v with retry %q, want one at once with a time", got.took, got.answer.RetryAfter)
 	}
 	expect(t, "ticket", <-send(f, 1, note(ticket, "ticket")), "whole")
 	expect(t, "fresh ticket", <-send(f, 1, note(keyOf(t, f, "ticket", 1), "fresh")), "whole")
 	expect(t, "no key", <-send(f, 0, note("", "no key")), "whole")
 	expect(t, "chat", <-send(f, 0, chat("history", "lot", true)), "whole")
 	expectLodged(t, f, "down", 0)
-	f.Objects.Set(fakes.Faults{LoseAnswers: 1})
+	f.Objects.Set(fakes.Faults{ResponseLossRate: 1})
 	expect(t, "own key, the write's answer lost", <-send(f, 0, note("lost", "lost")), "whole")
 	expect(t, "repeated elsewhere", <-send(f, 1, note("lost", "lost")), "whole")
 	expectLodged(t, f, "lost", 1)
@@ -331,7 +331,7 @@
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1)})
 	key := keyOf(t, f, "ticket", 0)
 	expect(t, "forged", <-send(f, 0, note(strings.Replace(key, ".t1.", ".t2.", 1), "forged")), "keyInvalid/notRun")
-	foreign, err := f.Caller(0, "lima-key").Do(drive.Ask{Path: "/v1/tickets", Deadline: soon()})
+	foreign, err := f.Caller(0, "lima-key").Do(drive.Request{Path: "/v1/tickets", Deadline: soon()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -101,8 +101,8 @@
 }
 
 // chat is a request of the given workload.
-func chat(workload, text string, streamed bool) drive.Ask {
-	return drive.Ask{
+func chat(workload, text string, streamed bool) drive.Request {
+	return drive.Request{
 		Chat:     fakes.ChatRequest{Model: workload, Messages: []fakes.Message{{Role: "user", Content: text}}, MaxTokens: 8, Stream: streamed},
 		Header:   map[string]string{},
 		Deadline: soon(),
@@ -110,8 +110,8 @@
 }
 
 // note is a request that may not be repeated.
-func note(key, text string) drive.Ask {
-	a := drive.Ask{Path: "/svc/notes/lodge", Body: text, Header: map[string]string{}, Deadline: soon()}
+func note(key, text string) drive.Request {
+	a := drive.Request{Path: "/svc/notes/lodge", Body: text, Header: map[string]string{}, Deadline: soon()}
 	if key != "" {
 		a.Header["Idempotency-Key"] = key
 	}
--- a/internal/rig/rollout_test.go
+++ b/internal/rig/rollout_test.go
@@ -23,12 +23,12 @@
 
 // startRolling starts a fleet whose mapcore engines have version 1 and fetch
 // the weights of others from a store that bears two at a time.
-func startRolling(t *testing.T) (*Fleet, *fakes.Weights) {
+func startRolling(t *testing.T) (*Fleet, *fakes.WeightStore) {
 	t.Helper()
-	w := fakes.NewWeights(2, span("300ms"))
+	w := fakes.NewWeightStore(2, span("300ms"))
 	pools := testPools(4)[1:2]
 	pools[0].Engine.Versions = []string{"mapcore@1"}
-	pools[0].Engine.Weights = w.Fetch
+	pools[0].Engine.FetchWeights = w.Fetch
 	pools[0].Engine.Unfenced = true
 	f := startFleet(t, Options{Entries: 2, Pools: pools, Settings: rolling, Zones: []string{"a"}})
 	return f, w
@@ -65,7 +65,7 @@
 		t.Errorf("runs of a version with share 0: got %d, want 0", got)
 	}
 	startRollout(t, f, 0.5, 1)
-	f.Objects.Set(fakes.Faults{LoseAnswers: 0.2})
+	f.Objects.Set(fakes.Faults{ResponseLossRate: 0.2})
 	for i := 0; rollout(f, t).State != roll.Done; i++ {
 		n := f.Entries[i%2]
 		time.Sleep(700 * time.Millisecond)
@@ -82,7 +82,7 @@
 		}
 	}
 	f.Objects.Set(fakes.Faults{})
-	if most, refused := w.Seen(); most > 2 || refused != 0 {
+	if most, refused := w.Stats(); most > 2 || refused != 0 {
 		t.Errorf("weight store: got %d at a time and %d refusals, want at most 2 and none", most, refused)
 	}
 	for vm, e := range f.Engines {
--- a/internal/rig/session_test.go
+++ b/internal/rig/session_test.go
@@ -36,10 +36,10 @@
 func TestSession(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	var out bytes.Buffer
-	say := func(title string, entry int, key string, a drive.Ask) drive.Answer {
+	say := func(title string, entry int, key string, a drive.Request) drive.Answer {
 		got, err := f.Caller(entry, key).Do(a)
 		fmt.Fprintf(&out, "== %s\nstatus %d model %q version %q session %q retry %q bad %q err %v\n%s\n", title,
-			got.Status, got.Model, got.Version, got.Session, got.RetryText, got.Bad, err, got.Body)
+			got.Status, got.Model, got.Version, got.Session, got.RetryAfter, got.InvalidReason, err, got.Body)
 		return got
 	}
 	say("chat, whole", 0, testKey, chat("history", "lot 7", false))
@@ -59,10 +59,10 @@
 	late := chat("history", "lot 12", false)
 	late.Header["Traildrift-Deadline"] = "2020-01-01T00:00:00Z"
 	say("deadline passed", 0, testKey, late)
-	say("no JSON", 0, testKey, drive.Ask{Path: "/v1/chat/completions", Body: "{", Deadline: soon()})
-	rec, err := desk.FindTrail(t.Context(), f.Store, streamed.Request)
+	say("no JSON", 0, testKey, drive.Request{Path: "/v1/chat/completions", Body: "{", Deadline: soon()})
+	rec, err := desk.FindTrail(t.Context(), f.Store, streamed.RequestID)
 	for err != nil && t.Context().Err() == nil {
-		rec, err = desk.FindTrail(t.Context(), f.Store, streamed.Request)
+		rec, err = desk.FindTrail(t.Context(), f.Store, streamed.RequestID)
 	}
 	fmt.Fprintln(&out, "== explain the streamed chat")
 	if err := desk.Explain(&out, rec); err != nil {
--- a/internal/rig/spread_test.go
+++ b/internal/rig/spread_test.go
@@ -24,9 +24,9 @@
 	}{
 		{"none", fakes.Faults{}, nil},
 		{"watches end silently", fakes.Faults{SilentWatch: true}, nil},
-		{"watches go back in time", fakes.Faults{OldWatch: true}, nil},
+		{"watches go back in time", fakes.Faults{StaleWatch: true}, nil},
 		{"platform slow", fakes.Faults{Delay: span("400ms")}, nil},
-		{"answers lost", fakes.Faults{LoseAnswers: 0.4}, nil},
+		{"answers lost", fakes.Faults{ResponseLossRate: 0.4}, nil},
 		{"links broken", fakes.Faults{}, func() {
 			for _, r := range f.Relays {
 				r.Break()
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -63,15 +63,15 @@
 	case err != nil:
 		a.errors["noAnswer"]++
 		t.noAnswer++
-	case got.Bad != "":
-		a.wrong = append(a.wrong, fmt.Sprintf("%s: %s", work, got.Bad))
+	case got.InvalidReason != "":
+		a.wrong = append(a.wrong, fmt.Sprintf("%s: %s", work, got.InvalidReason))
 	case got.Status != fasthttp.StatusOK:
 		// The service's own answer, passed on; what it did is its own affair.
 		a.errors[fmt.Sprint("status ", got.Status)]++
 		t.unsure++
 	default:
 		t.whole++
-		t.request = got.Request
+		t.request = got.RequestID
 		t.at = got.Done
 	}
 }
@@ -106,7 +106,7 @@
 }
 
 func (c *caller) chat(work string) {
-	ask := drive.Ask{
+	ask := drive.Request{
 		Chat:     fakes.ChatRequest{Model: "tags", Messages: []fakes.Message{{Role: "user", Content: work}}, MaxTokens: 1 + c.rnd.IntN(30), Stream: c.rnd.IntN(2) == 0},
 		Deadline: time.Now().Add(2 * requestWithin),
 	}
@@ -123,7 +123,7 @@
 	}
 	var wg sync.WaitGroup
 	for range times {
-		ask := drive.Ask{Path: "/svc/notes/lodge", Body: work, Header: map[string]string{}, Deadline: time.Now().Add(2 * requestWithin)}
+		ask := drive.Request{Path: "/svc/notes/lodge", Body: work, Header: map[string]string{}, Deadline: time.Now().Add(2 * requestWithin)}
 		if key != "" {
 			ask.Header["Idempotency-Key"] = key
 		}
@@ -143,7 +143,7 @@
 
 // ticket asks for a ticket; without one the work goes without a key.
 func (c *caller) ticket() string {
-	got, err := c.any().Do(drive.Ask{Path: "/v1/tickets", Deadline: time.Now().Add(requestWithin)})
+	got, err := c.any().Do(drive.Request{Path: "/v1/tickets", Deadline: time.Now().Add(requestWithin)})
 	if err != nil {
 		return ""
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -48,11 +48,11 @@
 	{"platformSlow", func(in *injector) func() {
 		return in.platform(fakes.Faults{Delay: config.Span(time.Duration(in.rnd.IntN(2500)) * time.Millisecond)})
 	}},
-	{"platformLosesAnswers", func(in *injector) func() { return in.platform(fakes.Faults{LoseAnswers: in.rnd.Float64()}) }},
-	{"engineCutsAnswers", func(in *injector) func() { return in.engine(fakes.Faults{CutAfter: 1 + in.rnd.IntN(4)}) }},
-	{"engineFails", func(in *injector) func() { return in.engine(fakes.Faults{Fail: in.rnd.Float64()}) }},
+	{"platformLosesAnswers", func(in *injector) func() { return in.platform(fakes.Faults{ResponseLossRate: in.rnd.Float64()}) }},
+	{"engineCutsAnswers", func(in *injector) func() { return in.engine(fakes.Faults{DisconnectAfter: 1 + in.rnd.IntN(4)}) }},
+	{"engineFails", func(in *injector) func() { return in.engine(fakes.Faults{FailureRate: in.rnd.Float64()}) }},
 	{"engineDown", func(in *injector) func() { return in.engine(fakes.Faults{Down: true}) }},
-	{"engineSlow", func(in *injector) func() { return in.engine(fakes.Faults{Slow: 10}) }},
+	{"engineSlow", func(in *injector) func() { return in.engine(fakes.Faults{Slowdown: 10}) }},
 	{"withdrawal", (*injector).withdraw},
 	{"plannedStop", func(in *injector) func() { return in.stop(in.f.Guards[in.rnd.IntN(len(in.f.Guards))]) }},
 }
