--- a/cmd/tdfake/main.go
+++ b/cmd/tdfake/main.go
@@ -120,8 +120,8 @@
 	return s.Close()
 }
 
-// vmsEvery is how often the file of the VM list is read.
-const vmsEvery = 200 * time.Millisecond
+// vmListInterval is how often the file of the VM list is read.
+const vmListInterval = 200 * time.Millisecond
 
 func (a *objectsArgs) run() error {
 	o := fakes.NewObjects(a.Seed)
@@ -130,7 +130,7 @@
 			return err
 		}
 		go func() {
-			for range time.Tick(vmsEvery) {
+			for range time.Tick(vmListInterval) {
 				if err := readVMs(o, a.VMs); err != nil {
 					fmt.Fprintln(os.Stderr, err)
 				}
@@ -164,8 +164,8 @@
 	What string `arg:"positional,required" help:"path, claims, recovery or capacity"`
 }
 
-// measureMost bounds a whole measurement.
-const measureMost = 15 * time.Minute
+// measureTimeout bounds a whole measurement.
+const measureTimeout = 15 * time.Minute
 
 func (a *measureArgs) run() error {
 	dir, err := os.MkdirTemp("", "tdfake")
@@ -173,7 +173,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	ctx, cancel := context.WithTimeout(context.Background(), measureMost)
+	ctx, cancel := context.WithTimeout(context.Background(), measureTimeout)
 	defer cancel()
 	switch a.What {
 	case "path":
@@ -199,11 +199,11 @@
 	Seed      uint64           `arg:"--seed" default:"1" help:"seed of the arrivals"`
 }
 
-// loadUnder bounds the requests under way.
-const loadUnder = 2000
+// loadMaxInFlight bounds the requests under way.
+const loadMaxInFlight = 2000
 
 func (a *loadArgs) run() error {
-	l := drive.Load{ArrivalsPerSecond: a.PerSecond, Until: a.For.After(time.Now()), Seed: a.Seed, MaxInFlight: loadUnder}
+	l := drive.Load{ArrivalsPerSecond: a.PerSecond, Until: a.For.After(time.Now()), Seed: a.Seed, MaxInFlight: loadMaxInFlight}
 	for _, addr := range a.Entries {
 		if !addr.Addr().IsLoopback() {
 			return errors.Newf("%s is not on loopback", addr)
--- a/internal/drive/caller.go
+++ b/internal/drive/caller.go
@@ -46,8 +46,8 @@
 	c.http.TLSConfig = &tls.Config{InsecureSkipVerify: true}
 }
 
-// readyPoll is how often readiness is asked for.
-const readyPoll = 50 * time.Millisecond
+// readyInterval is how often readiness is asked for.
+const readyInterval = 50 * time.Millisecond
 
 // WaitReady waits until the entry is ready.
 func (c *Caller) WaitReady(deadline time.Time) error {
@@ -56,7 +56,7 @@
 		if err == nil && a.Status == fasthttp.StatusOK {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyInterval)
 	}
 	return errors.Newf("%s is not ready", c.Addr)
 }
@@ -141,15 +141,15 @@
 	out.RetryAfter = string(h.Peek(fasthttp.HeaderRetryAfter))
 }
 
-// readSize is the size of one read of an answer.
-const readSize = 32 << 10
+// readBytes is the size of one read of an answer.
+const readBytes = 32 << 10
 
 func (out *Answer) readBody(resp *fasthttp.Response) error {
 	r := resp.BodyStream()
 	if r == nil {
 		r = bytes.NewReader(resp.Body())
 	}
-	p := make([]byte, readSize)
+	p := make([]byte, readBytes)
 	for {
 		n, err := r.Read(p)
 		if n > 0 && out.First.IsZero() {
--- a/internal/drive/demo.go
+++ b/internal/drive/demo.go
@@ -26,13 +26,13 @@
 	explained string
 }
 
-// within bounds each request of the demo.
-const within = 20 * time.Second
+// demoTimeout bounds each request of the demo.
+const demoTimeout = 20 * time.Second
 
 // Run sends everything and returns the ID of a request to explain. The error
 // says that answers were wrong.
 func (d *Demo) Run() (string, error) {
-	deadline := time.Now().Add(within)
+	deadline := time.Now().Add(demoTimeout)
 	for _, c := range []*Caller{d.First, d.Second} {
 		if err := c.WaitReady(deadline); err != nil {
 			return "", err
@@ -52,7 +52,7 @@
 	a := Request{
 		Chat:     fakes.ChatRequest{Model: model, Messages: []fakes.Message{{Role: "user", Content: text}}, MaxTokens: 12, Stream: streamed},
 		Header:   map[string]string{},
-		Deadline: time.Now().Add(within),
+		Deadline: time.Now().Add(demoTimeout),
 	}
 	for i := 0; i+1 < len(header); i += 2 {
 		a.Header[header[i]] = header[i+1]
@@ -101,7 +101,7 @@
 }
 
 func (d *Demo) services() {
-	lodge := Request{Path: "/svc/title-notes/notes", Body: `{"title":"NA12/34","note":"mortgage discharged"}`, Deadline: time.Now().Add(within)}
+	lodge := Request{Path: "/svc/title-notes/notes", Body: `{"title":"NA12/34","note":"mortgage discharged"}`, Deadline: time.Now().Add(demoTimeout)}
 	a := d.expect("note lodged once, not repeatable", d.First, lodge, "")
 	if !strings.Contains(string(a.Body), "mortgage") {
 		_, _ = fmt.Fprintln(d.Out, "WRONG: the note is not in the answer")
--- a/internal/drive/load.go
+++ b/internal/drive/load.go
@@ -54,17 +54,17 @@
 }
 
 const (
-	minMicros = 1
-	maxMicros = 600_000_000
-	digits    = 3
+	minMicros         = 1
+	maxMicros         = 600_000_000
+	significantDigits = 3
 )
 
 func newResult(name string) *Result {
 	return &Result{
 		Name:   name,
 		Errors: make(map[string]int64),
-		First:  hdrhistogram.New(minMicros, maxMicros, digits),
-		Total:  hdrhistogram.New(minMicros, maxMicros, digits),
+		First:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		Total:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
 	}
 }
 
--- a/internal/emul/emul_test.go
+++ b/internal/emul/emul_test.go
@@ -30,7 +30,7 @@
 
 // What is believed of endpoints foretells the time to the head: six routers place prompts
 // at a third of what twelve endpoints can do, half of them long, and tell one another.
-func TestHeadsAreForetold(t *testing.T) {
+func TestExpectedHeadsCorrelateWithActual(t *testing.T) {
 	var x Experiment
 	if err := proc.Load("../../examples/experiments/cascade.yaml", &x); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	for seed := range uint64(3) {
 		got := Simulate(&x, &Policy{Placement: Prefix, Straight: 40, Step: 60}, seed)
 		if c := got.Correlation(); !(c > 0.8) {
-			t.Errorf("seed %d: correlation of foretold and actual heads: got %.2f of %d, want over 0.8", seed, c, len(got.actual))
+			t.Errorf("seed %d: correlation of foretold and actual heads: got %.2f of %d, want over 0.8", seed, c, len(got.actualSeconds))
 		}
 	}
 }
@@ -57,15 +57,15 @@
 	}
 }
 
-// steps runs an endpoint until it has nothing to do and returns how long it took.
-func steps(p *endpoint) (took time.Duration) {
+// runToIdle runs an endpoint until it has nothing to do and returns how long it took.
+func runToIdle(p *endpoint) (took time.Duration) {
 	for {
 		d, read, ok := p.step()
 		if !ok {
 			return took
 		}
 		took += d
-		p.end(read)
+		p.endStep(read)
 	}
 }
 
@@ -77,22 +77,22 @@
 }
 
 func newJob(model, unread, left int) *job {
-	return &job{model: model, unread: unread, left: left, head: func() {}, token: func() {}}
+	return &job{model: model, promptLeft: unread, outputLeft: left, onHead: func() {}, onToken: func() {}}
 }
 
-func TestLongPromptHoldsUpRunsBeside(t *testing.T) {
+func TestLongPromptDelaysConcurrentRuns(t *testing.T) {
 	alone := newEndpoint()
 	alone.waiting = append(alone.waiting, newJob(0, 100, 10))
 	// One step reads 100 tokens in 0.5 ms and makes the first token, nine more
 	// make the others.
-	if got, want := steps(alone), 40500*time.Microsecond; got != want {
+	if got, want := runToIdle(alone), 40500*time.Microsecond; got != want {
 		t.Errorf("alone: got %v, want %v", got, want)
 	}
 	p := newEndpoint()
 	var ended, now time.Duration
 	short := newJob(0, 100, 10)
-	short.token = func() {
-		if short.left == 0 {
+	short.onToken = func() {
+		if short.outputLeft == 0 {
 			ended = now
 		}
 	}
@@ -103,7 +103,7 @@
 			break
 		}
 		now += d
-		p.end(read)
+		p.endStep(read)
 	}
 	// Four of its steps read 1,000 tokens of the long prompt in 30 ms each.
 	if want := 40500*time.Microsecond + 4*30*time.Millisecond; ended != want {
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestSlotsAndDrops(t *testing.T) {
+func TestSlotsAndDroppedRuns(t *testing.T) {
 	p := newEndpoint()
 	for range 3 {
 		p.waiting = append(p.waiting, newJob(0, 10, 5))
@@ -121,23 +121,23 @@
 		t.Errorf("runs: got %d with %d waiting, want 2 and 1", got, len(p.waiting))
 	}
 	dropped := newJob(0, 10, 5)
-	dropped.head = func() { dropped.dropped = true }
+	dropped.onHead = func() { dropped.dropped = true }
 	q := newEndpoint()
 	q.waiting = append(q.waiting, dropped)
-	if got, want := steps(q), 4050*time.Microsecond; got != want {
+	if got, want := runToIdle(q), 4050*time.Microsecond; got != want {
 		t.Errorf("dropped at its head: got %v, want %v", got, want)
 	}
 }
 
-func TestPartsAreKeptByUse(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	p := newEndpoint()
-	a, b, c := partKey{thing: 1}, partKey{thing: 2}, partKey{thing: 3}
+	a, b, c := partKey{part: 1}, partKey{part: 2}, partKey{part: 3}
 	for _, k := range []struct {
 		key  partKey
 		want int
 	}{{a, 0}, {b, 0}, {a, 100}, {c, 0}, {b, 0}, {a, 0}} {
-		if got := p.tokensKept(k.key, 100); got != k.want {
-			t.Errorf("part %d: got %d tokens, want %d", k.key.thing, got, k.want)
+		if got := p.lookup(k.key, 100); got != k.want {
+			t.Errorf("part %d: got %d tokens, want %d", k.key.part, got, k.want)
 		}
 	}
 }
--- a/internal/emul/endpoint.go
+++ b/internal/emul/endpoint.go
@@ -12,15 +12,15 @@
 type job struct {
 	req   *request
 	model int
-	// unread is what is left of the prompt, left what is left of the answer, in
+	// promptLeft is what is outputLeft of the prompt, outputLeft what is outputLeft of the answer, in
 	// tokens.
-	unread, left int
-	// made counts tokens since the last event.
-	made int
+	promptLeft, outputLeft int
+	// sinceEvent counts tokens since the last event.
+	sinceEvent int
 	// dropped says that the answer is not wanted any more.
 	dropped bool
-	// head and token are called as the first and each later token is made.
-	head, token func()
+	// onHead and onToken are called as the first and each later onToken is made.
+	onHead, onToken func()
 }
 
 // endpoint is one emulated endpoint.
@@ -30,35 +30,35 @@
 	// waiting holds the runs that have no slot yet, reading those whose prompt
 	// is not read, decoding the others; each in order.
 	waiting, reading, decoding []*job
-	// kept holds the shared parts in memory by key, oldest use first, and
+	// cache holds the shared parts in memory by key, oldest use first, and
 	// keptTokens their sum, at most engine.Kept.
-	kept       []part
-	keptTokens int
-	// busy says that a step is under way.
-	busy bool
+	cache        []cachedPart
+	cachedTokens int
+	// stepping says that a step is under way.
+	stepping bool
 }
 
-// part is a shared part of prompts in memory.
-type part struct {
+// cachedPart is a shared cachedPart of prompts in memory.
+type cachedPart struct {
 	key    partKey
 	tokens int
 }
 
 // partKey names a shared part for a model.
-type partKey struct{ sort, thing, model int }
+type partKey struct{ class, part, model int }
 
-// tokensKept returns how many tokens of a part are in memory and notes its use.
-func (p *endpoint) tokensKept(key partKey, tokens int) int {
-	if i := slices.IndexFunc(p.kept, func(q part) bool { return q.key == key }); i >= 0 {
-		used := p.kept[i]
-		p.kept = append(slices.Delete(p.kept, i, i+1), used)
+// lookup returns how many tokens of a part are in memory and notes its use.
+func (p *endpoint) lookup(key partKey, tokens int) int {
+	if i := slices.IndexFunc(p.cache, func(q cachedPart) bool { return q.key == key }); i >= 0 {
+		used := p.cache[i]
+		p.cache = append(slices.Delete(p.cache, i, i+1), used)
 		return used.tokens
 	}
-	p.kept = append(p.kept, part{key, tokens})
-	p.keptTokens += tokens
-	for p.keptTokens > p.engine.CacheTokens {
-		p.keptTokens -= p.kept[0].tokens
-		p.kept = p.kept[1:]
+	p.cache = append(p.cache, cachedPart{key, tokens})
+	p.cachedTokens += tokens
+	for p.cachedTokens > p.engine.CacheTokens {
+		p.cachedTokens -= p.cache[0].tokens
+		p.cache = p.cache[1:]
 	}
 	return 0
 }
@@ -84,32 +84,32 @@
 	d = time.Duration(p.engine.Step) + time.Duration(p.runs())*time.Duration(p.engine.StepPerRun)
 	if len(p.reading) > 0 {
 		j := p.reading[0]
-		read = min(j.unread, p.engine.ChunkTokens)
+		read = min(j.promptLeft, p.engine.ChunkTokens)
 		ms := float64(read) / p.engine.TokensPerMs * p.models[j.model].ReadFactor
 		d += time.Duration(ms * float64(time.Millisecond))
 	}
 	return d, read, true
 }
 
-// end ends a step that read so much of the first prompt.
-func (p *endpoint) end(read int) {
+// endStep ends a step that read so much of the first prompt.
+func (p *endpoint) endStep(read int) {
 	for _, j := range p.decoding {
-		j.left--
-		j.token()
+		j.outputLeft--
+		j.onToken()
 	}
-	p.decoding = slices.DeleteFunc(p.decoding, func(j *job) bool { return j.dropped || j.left <= 0 })
+	p.decoding = slices.DeleteFunc(p.decoding, func(j *job) bool { return j.dropped || j.outputLeft <= 0 })
 	if len(p.reading) == 0 {
 		return
 	}
 	j := p.reading[0]
-	j.unread -= read
-	if j.unread > 0 {
+	j.promptLeft -= read
+	if j.promptLeft > 0 {
 		return
 	}
 	p.reading = p.reading[1:]
-	j.left--
-	j.head()
-	if !j.dropped && j.left > 0 {
+	j.outputLeft--
+	j.onHead()
+	if !j.dropped && j.outputLeft > 0 {
 		p.decoding = append(p.decoding, j)
 	}
 }
--- a/internal/emul/place.go
+++ b/internal/emul/place.go
@@ -24,18 +24,18 @@
 var Placements = []string{Random, RoundRobin, LeastLoad, TwoChoices, Prefix}
 
 // place returns the index of the endpoint for a request.
-func (p *player) place(r *request, model int) int {
+func (p *simulation) place(r *request, model int) int {
 	n := p.x.Endpoints
 	view := p.views[r.router]
 	sent := func(i int) int { return view[i].Load.InFlight }
 	switch p.policy.Placement {
 	case Random:
-		return p.choice.IntN(n)
+		return p.policyRand.IntN(n)
 	case RoundRobin:
-		p.turns[r.router]++
-		return p.turns[r.router] % n
+		p.lastTurn[r.router]++
+		return p.lastTurn[r.router] % n
 	case LeastLoad:
-		best := p.choice.IntN(n)
+		best := p.policyRand.IntN(n)
 		for i := range n {
 			if sent(i) < sent(best) {
 				best = i
@@ -43,7 +43,7 @@
 		}
 		return best
 	case TwoChoices:
-		a, b := p.choice.IntN(n), p.choice.IntN(n)
+		a, b := p.policyRand.IntN(n), p.policyRand.IntN(n)
 		if sent(b) < sent(a) {
 			return b
 		}
@@ -54,13 +54,13 @@
 }
 
 // byPrefix returns what the router's own choice gives, and tells all routers of it.
-func (p *player) byPrefix(r *request, model int) int {
-	w := pool.Want{Service: service, Zone: service, Draw: p.choice.Uint64()}
-	if r.shared > 0 {
-		w.Affinity = pool.Hash(fmt.Sprint(model, "/", r.index, "/", r.thing))
-		w.FullRead, w.UnsharedRead = p.alone(model, r.shared+r.own), p.alone(model, r.own)
-		w.SharedFraction = float64(r.shared) / float64(r.shared+r.own)
-		w.TimeLeft = (time.Duration(r.sort.TargetHead) - p.now.Sub(r.arrived)).Seconds()
+func (p *simulation) byPrefix(r *request, model int) int {
+	w := pool.Want{Service: service, Zone: service, Draw: p.policyRand.Uint64()}
+	if r.sharedTokens > 0 {
+		w.Affinity = pool.Hash(fmt.Sprint(model, "/", r.classIndex, "/", r.part))
+		w.FullRead, w.UnsharedRead = p.readSeconds(model, r.sharedTokens+r.ownTokens), p.readSeconds(model, r.ownTokens)
+		w.SharedFraction = float64(r.sharedTokens) / float64(r.sharedTokens+r.ownTokens)
+		w.TimeLeft = (time.Duration(r.class.TargetHead) - p.now.Sub(r.arrived)).Seconds()
 		w.SampleSize = p.x.Endpoints / p.x.Routers
 	}
 	picked, why := p.books[r.router].Pick(p.now, &w)
@@ -68,13 +68,13 @@
 	if why == pool.ByAffinity {
 		read = w.UnsharedRead
 	}
-	i := p.index[picked.ID]
+	i := p.indexByID[picked.ID]
 	for k, b := range p.books {
 		done := p.views[k][i].Load.AddPrompt(p.now, time.Duration(read*float64(time.Second)))
 		if k == r.router {
-			p.foretold = done
+			p.expectedRead = done
 		}
-		if r.shared > 0 {
+		if r.sharedTokens > 0 {
 			b.RecordHolder(w.Affinity, picked.Hash(), p.now)
 		}
 	}
--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -23,30 +23,32 @@
 	// TokensRead and TokensCached count tokens of prompts that were read, and that were in
 	// memory.
 	TokensRead, TokensCached int
-	// owed is the value of all requests, earned that of the answers, cost what
+	// offered is the value of all requests, earned that of the answers, cost what
 	// the models cost.
-	owed, earned, cost float64
-	heads, streams     []time.Duration
-	// foretold and actual are the times to the head of all runs, in seconds, as far as
-	// they were foretold.
-	foretold, actual []float64
+	offered, earned, cost float64
+	headTimes, totalTimes []time.Duration
+	// expectedSeconds and actualSeconds are the times to the head of all runs, in seconds, as far as
+	// they were expectedSeconds.
+	expectedSeconds, actualSeconds []float64
 }
 
-// heard notes how long the head of a run took, and how long it was expected to; 0 or less
+// recordHead notes how long the head of a run took, and how long it was expected to; 0 or less
 // for no expectation.
-func (r *Result) heard(foretold, actual time.Duration) {
-	if foretold > 0 {
-		r.foretold = append(r.foretold, foretold.Seconds())
-		r.actual = append(r.actual, actual.Seconds())
+func (r *Result) recordHead(expected, actual time.Duration) {
+	if expected > 0 {
+		r.expectedSeconds = append(r.expectedSeconds, expected.Seconds())
+		r.actualSeconds = append(r.actualSeconds, actual.Seconds())
 	}
 }
 
 // Correlation returns that of foretold and actual times to the head; not a number where
 // none was foretold.
-func (r *Result) Correlation() float64 { return stat.Correlation(r.foretold, r.actual, nil) }
+func (r *Result) Correlation() float64 {
+	return stat.Correlation(r.expectedSeconds, r.actualSeconds, nil)
+}
 
 // Worth returns the earned part of the value, less the models' cost.
-func (r *Result) Worth() float64 { return (r.earned - r.cost) / max(r.owed, 1) }
+func (r *Result) Worth() float64 { return (r.earned - r.cost) / max(r.offered, 1) }
 
 func (r *Result) add(o Result) {
 	r.Requests += o.Requests
@@ -55,13 +57,13 @@
 	r.Dropped += o.Dropped
 	r.TokensRead += o.TokensRead
 	r.TokensCached += o.TokensCached
-	r.owed += o.owed
+	r.offered += o.offered
 	r.earned += o.earned
 	r.cost += o.cost
-	r.heads = append(r.heads, o.heads...)
-	r.streams = append(r.streams, o.streams...)
-	r.foretold = append(r.foretold, o.foretold...)
-	r.actual = append(r.actual, o.actual...)
+	r.headTimes = append(r.headTimes, o.headTimes...)
+	r.totalTimes = append(r.totalTimes, o.totalTimes...)
+	r.expectedSeconds = append(r.expectedSeconds, o.expectedSeconds...)
+	r.actualSeconds = append(r.actualSeconds, o.actualSeconds...)
 }
 
 // WriteTable plays all policies with all seeds and writes a table of them.
@@ -77,7 +79,7 @@
 			sum.add(Simulate(x, &x.Policies[i], seed))
 		}
 		if _, err := fmt.Fprintf(t, "%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t%v\t\n", x.Policies[i].Name, sum.Worth(), sum.Requests, sum.Late, sum.Weak, sum.Dropped,
-			sum.TokensRead, sum.TokensCached, quantile(sum.heads, 50), quantile(sum.heads, 99), quantile(sum.streams, 50), quantile(sum.streams, 99)); err != nil {
+			sum.TokensRead, sum.TokensCached, quantile(sum.headTimes, 50), quantile(sum.headTimes, 99), quantile(sum.totalTimes, 50), quantile(sum.totalTimes, 99)); err != nil {
 			return errors.Wrap(err, "emul")
 		}
 	}
@@ -85,10 +87,10 @@
 }
 
 // quantile returns the value under which so many hundredths of a list lie.
-func quantile(list []time.Duration, hundredths int) time.Duration {
+func quantile(list []time.Duration, percent int) time.Duration {
 	if len(list) == 0 {
 		return 0
 	}
 	slices.Sort(list)
-	return list[min(len(list)*hundredths/100, len(list)-1)].Round(time.Millisecond)
+	return list[min(len(list)*percent/100, len(list)-1)].Round(time.Millisecond)
 }
--- a/internal/fakes/engine.go
+++ b/internal/fakes/engine.go
@@ -51,7 +51,7 @@
 // Engine is a stand-in for a model engine: chat completions, streamed or
 // whole, resumed and cancelled by run ID, with a load report.
 type Engine struct {
-	*faultBox
+	*faultInjector
 	// Crash ends the engine as a crash does; set it before the first call.
 	Crash func()
 	opts  EngineOptions
@@ -81,19 +81,19 @@
 	json   bool
 }
 
-// answerLimit bounds one answer, in bytes.
-const answerLimit = 8 << 20
+// maxAnswerBytes bounds one answer, in bytes.
+const maxAnswerBytes = 8 << 20
 
 // NewEngine returns an idle engine.
 func NewEngine(o EngineOptions) *Engine {
 	return &Engine{
-		faultBox: newFaultBox(o.Seed),
-		opts:     o,
-		batch:    make(chan struct{}, max(o.Slots, 1)),
-		runs:     make(map[string]int),
-		models:   make(map[string]int),
-		answers:  make(map[string]*answer),
-		loaded:   o.Versions,
+		faultInjector: newFaultInjector(o.Seed),
+		opts:          o,
+		batch:         make(chan struct{}, max(o.Slots, 1)),
+		runs:          make(map[string]int),
+		models:        make(map[string]int),
+		answers:       make(map[string]*answer),
+		loaded:        o.Versions,
 	}
 }
 
@@ -131,11 +131,11 @@
 
 // Handle serves one HTTP call.
 func (e *Engine) Handle(ctx *fasthttp.RequestCtx) {
-	if e.serve(ctx) {
+	if e.handleFaults(ctx) {
 		return
 	}
 	path := string(ctx.Path())
-	f := e.get()
+	f := e.current()
 	if f.Down {
 		ctx.Error("down", fasthttp.StatusServiceUnavailable)
 		return
@@ -151,7 +151,7 @@
 	case path == "/v1/chat/completions":
 		e.chat(ctx, f)
 	case strings.HasPrefix(path, "/v1/runs/"):
-		e.known(ctx, strings.TrimPrefix(path, "/v1/runs/"), f)
+		e.serveRun(ctx, strings.TrimPrefix(path, "/v1/runs/"), f)
 	default:
 		ctx.Error("no such path", fasthttp.StatusNotFound)
 	}
@@ -165,7 +165,7 @@
 	}
 	id := string(ctx.Request.Header.Peek(RunHeader))
 	run, cancel := context.WithCancel(context.Background())
-	a := &answer{buf: stream.New(answerLimit), cancel: cancel, json: !req.Stream}
+	a := &answer{buf: stream.New(maxAnswerBytes), cancel: cancel, json: !req.Stream}
 	e.mu.Lock()
 	e.runs[id]++
 	e.models[req.Model]++
@@ -183,11 +183,11 @@
 		return
 	}
 	go e.generate(run, a, req, f)
-	e.follow(ctx, a, 0, f)
+	e.sendFrom(ctx, a, 0, f)
 }
 
-// known resumes or cancels a run.
-func (e *Engine) known(ctx *fasthttp.RequestCtx, rest string, f Faults) {
+// serveRun resumes or cancels a run.
+func (e *Engine) serveRun(ctx *fasthttp.RequestCtx, rest string, f Faults) {
 	id, verb, _ := strings.Cut(rest, "/")
 	e.mu.Lock()
 	a, ok := e.answers[id]
@@ -201,11 +201,11 @@
 		return
 	}
 	offset, _ := strconv.Atoi(string(ctx.QueryArgs().Peek("offset")))
-	e.follow(ctx, a, offset, f)
+	e.sendFrom(ctx, a, offset, f)
 }
 
-// follow sends the answer from an offset on.
-func (e *Engine) follow(ctx *fasthttp.RequestCtx, a *answer, offset int, f Faults) {
+// sendFrom sends the answer from an offset on.
+func (e *Engine) sendFrom(ctx *fasthttp.RequestCtx, a *answer, offset int, f Faults) {
 	if a.json {
 		ctx.SetContentType("application/json")
 	} else {
@@ -246,53 +246,53 @@
 
 // generate runs one request through the batch.
 func (e *Engine) generate(ctx context.Context, a *answer, req ChatRequest, f Faults) {
-	e.count(0, 1)
+	e.addLoad(0, 1)
 	select {
 	case e.batch <- struct{}{}:
 	case <-ctx.Done():
-		e.count(0, -1)
+		e.addLoad(0, -1)
 		a.buf.Finish(0, fault.New(fault.CallerGone, fault.NotRun, "Cancelled."))
 		return
 	}
-	e.count(1, -1)
+	e.addLoad(1, -1)
 	defer func() {
 		<-e.batch
-		e.count(-1, 0)
+		e.addLoad(-1, 0)
 	}()
 	slow := max(f.Slowdown, 1)
-	if e.draw(f.FailureRate) || !e.step(ctx, e.opts.FirstToken, slow) {
+	if e.draw(f.FailureRate) || !e.waitStep(ctx, e.opts.FirstToken, slow) {
 		a.buf.Finish(0, fault.New(fault.EndpointFailed, fault.Ran, "The run failed."))
 		return
 	}
 	words := Words(req)
 	for i, word := range words {
-		if i > 0 && !e.step(ctx, e.opts.PerToken, slow) {
+		if i > 0 && !e.waitStep(ctx, e.opts.PerToken, slow) {
 			a.buf.Finish(0, fault.New(fault.CallerGone, fault.Ran, "Cancelled."))
 			return
 		}
 		if req.Stream {
-			e.put(a, sseChunk(req.Model, word))
+			e.appendBytes(a, sseChunk(req.Model, word))
 		}
 	}
 	if req.Stream {
-		e.put(a, sseUsage(req, len(words)))
-		e.put(a, []byte("data: [DONE]\n\n"))
+		e.appendBytes(a, sseUsage(req, len(words)))
+		e.appendBytes(a, []byte("data: [DONE]\n\n"))
 	} else {
-		e.put(a, wholeAnswer(req, words))
+		e.appendBytes(a, wholeAnswer(req, words))
 	}
 	a.buf.Finish(a.buf.Len(), nil)
 }
 
-func (e *Engine) put(a *answer, p []byte) { _ = a.buf.Append(0, a.buf.Len(), p) }
+func (e *Engine) appendBytes(a *answer, p []byte) { _ = a.buf.Append(0, a.buf.Len(), p) }
 
-func (e *Engine) count(running, waiting int) {
+func (e *Engine) addLoad(running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running += running
 	e.waiting += waiting
 }
 
-func (e *Engine) step(ctx context.Context, s config.Span, slow float64) bool {
+func (e *Engine) waitStep(ctx context.Context, s config.Span, slow float64) bool {
 	t := time.NewTimer(time.Duration(float64(s) * slow))
 	defer t.Stop()
 	select {
--- a/internal/fakes/faults.go
+++ b/internal/fakes/faults.go
@@ -37,32 +37,32 @@
 	Slowdown float64 `json:"slow"`
 }
 
-// faultBox holds the faults in force and a seeded source.
-type faultBox struct {
+// faultInjector holds the faults in force and a seeded source.
+type faultInjector struct {
 	mu     sync.Mutex
 	faults Faults
 	rnd    *rand.Rand
 }
 
-func newFaultBox(seed uint64) *faultBox {
-	return &faultBox{rnd: rand.New(rand.NewPCG(seed, seed))}
+func newFaultInjector(seed uint64) *faultInjector {
+	return &faultInjector{rnd: rand.New(rand.NewPCG(seed, seed))}
 }
 
 // Set puts faults in force.
-func (b *faultBox) Set(f Faults) {
+func (b *faultInjector) Set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
 }
 
-func (b *faultBox) get() Faults {
+func (b *faultInjector) current() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
 // draw reports true with probability p.
-func (b *faultBox) draw(p float64) bool {
+func (b *faultInjector) draw(p float64) bool {
 	if p <= 0 {
 		return false
 	}
@@ -71,8 +71,8 @@
 	return b.rnd.Float64() < p
 }
 
-// serve answers POST /faults and reports whether the request was that.
-func (b *faultBox) serve(ctx *fasthttp.RequestCtx) bool {
+// handleFaults answers POST /faults and reports whether the request was that.
+func (b *faultInjector) handleFaults(ctx *fasthttp.RequestCtx) bool {
 	if string(ctx.Path()) != "/faults" {
 		return false
 	}
@@ -85,8 +85,8 @@
 	return true
 }
 
-// pause waits for the given length of time, or for the length of faults.
-func pause(s config.Span) {
+// sleep waits for the given length of time, or for the length of faults.
+func sleep(s config.Span) {
 	if s > 0 {
 		time.Sleep(time.Duration(s))
 	}
--- a/internal/fakes/objects.go
+++ b/internal/fakes/objects.go
@@ -18,28 +18,28 @@
 
 // Objects is a stand-in for the platform's object API and VM list.
 type Objects struct {
-	*faultBox
+	*faultInjector
 	mu sync.Mutex
 	// objects is keyed by kind/name.
 	objects map[string]store.Object
-	// first holds the first value of each object, for watches that go back.
-	first map[string]store.Object
-	// version is that of the last write; it only grows.
-	version int64
-	changed chan struct{}
-	vms     []store.VM
-	calls   map[string]int64
-	bytes   int64
+	// firstValues holds the firstValues value of each object, for watches that go back.
+	firstValues map[string]store.Object
+	// lastVersion is that of the last write; it only grows.
+	lastVersion int64
+	changed     chan struct{}
+	vms         []store.VM
+	calls       map[string]int64
+	bytes       int64
 }
 
 // NewObjects returns an empty store whose faults are drawn from seed.
 func NewObjects(seed uint64) *Objects {
 	return &Objects{
-		faultBox: newFaultBox(seed),
-		objects:  make(map[string]store.Object),
-		first:    make(map[string]store.Object),
-		changed:  make(chan struct{}),
-		calls:    make(map[string]int64),
+		faultInjector: newFaultInjector(seed),
+		objects:       make(map[string]store.Object),
+		firstValues:   make(map[string]store.Object),
+		changed:       make(chan struct{}),
+		calls:         make(map[string]int64),
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // Handle serves one HTTP call.
 func (o *Objects) Handle(ctx *fasthttp.RequestCtx) {
-	if o.serve(ctx) {
+	if o.handleFaults(ctx) {
 		return
 	}
 	path := string(ctx.URI().PathOriginal())
@@ -73,8 +73,8 @@
 		writeJSON(ctx, map[string]any{"calls": calls, "bytes": n})
 		return
 	}
-	f := o.get()
-	pause(f.Delay)
+	f := o.current()
+	sleep(f.Delay)
 	if f.Down {
 		ctx.Error("down", fasthttp.StatusServiceUnavailable)
 		return
@@ -163,12 +163,12 @@
 		ctx.Error("another version", fasthttp.StatusPreconditionFailed)
 		return
 	}
-	o.version++
+	o.lastVersion++
 	_, name, _ := strings.Cut(key, "/")
-	o.objects[key] = store.Object{Name: name, Version: o.version, Value: value}
-	version := o.version
-	if _, ok := o.first[key]; !ok {
-		o.first[key] = o.objects[key]
+	o.objects[key] = store.Object{Name: name, Version: o.lastVersion, Value: value}
+	version := o.lastVersion
+	if _, ok := o.firstValues[key]; !ok {
+		o.firstValues[key] = o.objects[key]
 	}
 	close(o.changed)
 	o.changed = make(chan struct{})
@@ -195,7 +195,7 @@
 		o.mu.Lock()
 		obj, ok := o.objects[key]
 		if f.StaleWatch {
-			obj, ok = o.first[key]
+			obj, ok = o.firstValues[key]
 			since = -1
 		}
 		changed := o.changed
--- a/internal/fakes/plain.go
+++ b/internal/fakes/plain.go
@@ -14,7 +14,7 @@
 // Plain is a stand-in for a plain service, such as a title register. It
 // answers what it was asked and counts what it did.
 type Plain struct {
-	*faultBox
+	*faultInjector
 	// Work is how long a call takes.
 	work config.Span
 	mu   sync.Mutex
@@ -33,16 +33,16 @@
 
 // NewPlain returns a service whose calls take the given length of time.
 func NewPlain(seed uint64, work config.Span) *Plain {
-	return &Plain{faultBox: newFaultBox(seed), work: work, runs: make(map[string]int), bodies: make(map[string]int)}
+	return &Plain{faultInjector: newFaultInjector(seed), work: work, runs: make(map[string]int), bodies: make(map[string]int)}
 }
 
 // Runs returns how often each run ID was really run.
-func (s *Plain) Runs() map[string]int { return s.copyOf(s.runs) }
+func (s *Plain) Runs() map[string]int { return s.copyCounts(s.runs) }
 
 // Bodies returns how often each body was lodged.
-func (s *Plain) Bodies() map[string]int { return s.copyOf(s.bodies) }
+func (s *Plain) Bodies() map[string]int { return s.copyCounts(s.bodies) }
 
-func (s *Plain) copyOf(m map[string]int) map[string]int {
+func (s *Plain) copyCounts(m map[string]int) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]int, len(m))
@@ -54,10 +54,10 @@
 
 // Handle serves one HTTP call.
 func (s *Plain) Handle(ctx *fasthttp.RequestCtx) {
-	if s.serve(ctx) {
+	if s.handleFaults(ctx) {
 		return
 	}
-	f := s.get()
+	f := s.current()
 	if f.Down {
 		ctx.Error("down", fasthttp.StatusServiceUnavailable)
 		return
@@ -74,8 +74,8 @@
 	s.runs[string(ctx.Request.Header.Peek(RunHeader))]++
 	s.bodies[string(ctx.PostBody())]++
 	s.mu.Unlock()
-	pause(s.work)
-	pause(f.Delay)
+	sleep(s.work)
+	sleep(f.Delay)
 	if s.draw(f.FailureRate) {
 		_ = ctx.Conn().Close()
 		return
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -31,11 +31,11 @@
 
 // Close ends the stand-in and returns what its listener ended with.
 func (s *Server) Close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = s.http.ShutdownWithContext(ctx)
 	return <-s.done
 }
 
-// closeWithin bounds the wait for calls under way, such as waiting watches.
-const closeWithin = 200 * time.Millisecond
+// closeTimeout bounds the wait for calls under way, such as waiting watches.
+const closeTimeout = 200 * time.Millisecond
