--- a/cmd/tdfake/experiment.go
+++ b/cmd/tdfake/experiment.go
@@ -14,7 +14,7 @@
 	File string `arg:"positional,required" help:"YAML file of the experiment; see examples/experiments"`
 }
 
-// run plays an experiment and prints its table.
+// run simulates the experiment and prints its table.
 func (a *experimentArgs) run() error {
 	var x emul.Experiment
 	if err := proc.Load(a.File, &x); err != nil {
--- a/cmd/tdfake/main.go
+++ b/cmd/tdfake/main.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Command tdfake holds small stand-ins for the systems that traildrift meets,
-// and the measuring caller. It serves tests, the demo and measurements only.
+// Command tdfake serves small fakes of the systems that traildrift connects to, sends load to
+// entries, and runs measurements, soak runs and simulated experiments. It is for tests, the demo
+// and measurements only.
 package main
 
 import (
@@ -107,7 +108,7 @@
 	}
 }
 
-// serve answers until a signal.
+// serve serves handle on addr until SIGTERM or SIGINT.
 func serve(addr netip.AddrPort, handle fasthttp.RequestHandler) error {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -120,7 +121,7 @@
 	return s.Close()
 }
 
-// vmListInterval is how often the file of the VM list is read.
+// vmListInterval is the interval at which the file of the VM list is read again.
 const vmListInterval = 200 * time.Millisecond
 
 func (a *objectsArgs) run() error {
@@ -164,7 +165,7 @@
 	What string `arg:"positional,required" help:"path, claims, recovery or capacity"`
 }
 
-// measureTimeout bounds a whole measurement.
+// measureTimeout is the timeout of a whole measurement.
 const measureTimeout = 15 * time.Minute
 
 func (a *measureArgs) run() error {
@@ -199,7 +200,7 @@
 	Seed      uint64           `arg:"--seed" default:"1" help:"seed of the arrivals"`
 }
 
-// loadMaxInFlight bounds the requests under way.
+// loadMaxInFlight is the maximum number of requests in flight.
 const loadMaxInFlight = 2000
 
 func (a *loadArgs) run() error {
--- a/internal/drive/caller.go
+++ b/internal/drive/caller.go
@@ -1,8 +1,12 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package drive is the caller's side of tests, the demo and measurements: it
-// sends requests, checks every answer against what was asked, and measures.
+// Package drive is the load-generating client of tests, the demo and measurements. A Caller sends
+// single requests and checks every answer, a Load sends requests at a rate and measures latencies,
+// and Demo sends the requests of the demo.
+//
+// Requests go to entries, or directly to engines. Chat answers are compared with those that a
+// fakes.Engine must give.
 package drive
 
 import (
@@ -21,17 +25,18 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Caller sends requests with one API key.
+// Caller sends requests to one address with one API key. It is safe for concurrent use.
 type Caller struct {
-	// Addr is an entry, or an engine for a direct call.
+	// Addr is the address of an entry, or of an engine for direct calls.
 	Addr netip.AddrPort
-	// Key is the API key.
-	Key    string
+	// Key is the API key; empty to send none.
+	Key string
+	// scheme is the prefix of URLs, "http://" or "https://".
 	scheme string
 	http   *fasthttp.Client
 }
 
-// NewCaller returns a caller of addr.
+// NewCaller returns a caller of addr over plain HTTP that never retries a request.
 func NewCaller(addr netip.AddrPort, key string) *Caller {
 	return &Caller{Addr: addr, Key: key, scheme: "http://", http: &fasthttp.Client{
 		StreamResponseBody: true,
@@ -40,16 +45,18 @@
 	}}
 }
 
-// UseTLS makes the caller use TLS and take any certificate.
+// UseTLS makes the caller use TLS without verifying the server's certificate. It is called before
+// the first request.
 func (c *Caller) UseTLS() {
 	c.scheme = "https://"
 	c.http.TLSConfig = &tls.Config{InsecureSkipVerify: true}
 }
 
-// readyInterval is how often readiness is asked for.
+// readyInterval is the interval between readiness probes.
 const readyInterval = 50 * time.Millisecond
 
-// WaitReady waits until the entry is ready.
+// WaitReady probes the entry until it is ready. It returns an error if the entry is not ready by
+// the deadline.
 func (c *Caller) WaitReady(deadline time.Time) error {
 	for time.Now().Before(deadline) {
 		a, err := c.Do(Request{Path: "/readyz", Deadline: time.Now().Add(time.Second)})
@@ -58,41 +65,51 @@
 		}
 		time.Sleep(readyInterval)
 	}
-	return errors.Newf("%s is not ready", c.Addr)
+	return errors.Newf("drive: entry %s was not ready by the deadline", c.Addr)
 }
 
-// Request is one request.
+// Request is a POST request to send.
 type Request struct {
-	// Path is empty for a chat request.
+	// Path is the path of the URL; empty for a chat request.
 	Path string
-	// Chat is the body of a chat request, Body that of another.
-	Chat   fakes.ChatRequest
-	Body   string
+	// Chat is the body of a chat request, Body that of any other.
+	Chat fakes.ChatRequest
+	Body string
+	// Header holds additional headers by name.
 	Header map[string]string
-	// Deadline bounds the caller's own wait.
+	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 }
 
-// Answer is what came back.
+// Answer is the received answer to a request.
 type Answer struct {
-	Status                                         int
+	// Status is the HTTP status; 0 if no header was received.
+	Status int
+	// RequestID, Model, Version, Session and RetryAfter are the values of the response headers
+	// Traildrift-Request, Traildrift-Model, Traildrift-Version, Traildrift-Session and
+	// Retry-After; empty if missing.
 	RequestID, Model, Version, Session, RetryAfter string
-	// SessionNotKept says that the session's name could not be kept.
+	// SessionNotKept says that the session's name could not be stored (header
+	// Traildrift-Session-Kept: false).
 	SessionNotKept bool
-	Body           []byte
-	// Err is the failure that the answer names, if it does.
+	// Body is the part of the body that was received.
+	Body []byte
+	// Err is the error object in the body; nil if there is none.
 	Err *fault.Error
-	// Sent, First and Done are when the request was sent, the first byte of
-	// the body was read and the last one.
+	// Sent is when the request was sent, First when the first byte of the body was read and
+	// Done when its end was read; zero for what did not happen.
 	Sent, First, Done time.Time
-	// InvalidReason says why the answer is not a right one; empty for a right one.
+	// InvalidReason says why the answer to a chat request is wrong; empty for a correct answer,
+	// for one with Err set and for one to another request.
 	InvalidReason string
 }
 
-// ErrNoAnswer says that the connection broke before an answer was whole.
-var ErrNoAnswer = errors.New("drive: no whole answer")
+// ErrNoAnswer marks the error of a request without a complete answer: the connection could not be
+// opened or broke, or the deadline passed.
+var ErrNoAnswer = errors.New("drive: the request got no complete answer")
 
-// Do sends a request and checks the answer. The error is ErrNoAnswer.
+// Do sends a request and checks the answer. An error is marked as ErrNoAnswer; the answer then
+// holds what was received before it.
 func (c *Caller) Do(a Request) (Answer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -141,9 +158,11 @@
 	out.RetryAfter = string(h.Peek(fasthttp.HeaderRetryAfter))
 }
 
-// readBytes is the size of one read of an answer.
+// readBytes is the size of the buffer for reading bodies.
 const readBytes = 32 << 10
 
+// readBody reads the body to its end and sets First and Done. If the connection breaks, it sets Err
+// from the part that was received.
 func (out *Answer) readBody(resp *fasthttp.Response) error {
 	r := resp.BodyStream()
 	if r == nil {
@@ -167,7 +186,8 @@
 	}
 }
 
-// check compares a chat answer with what the stand-in engine must answer.
+// check sets Err from the body, and InvalidReason if the answer to a chat request differs from that
+// of the fake engine.
 func (out *Answer) check(a *Request) {
 	out.Err = findError(out.Body)
 	if out.Err != nil || a.Path != "" {
@@ -187,6 +207,8 @@
 	}
 }
 
+// findError returns the last error object in a body, which ends a failed stream; nil if there is
+// none.
 func findError(body []byte) *fault.Error {
 	i := bytes.LastIndex(body, []byte(`{"error":{`))
 	if i < 0 {
@@ -199,7 +221,8 @@
 	return e.Error
 }
 
-// ChatText returns the text of a chat answer and whether it is whole.
+// ChatText returns the text in the body of a chat answer, streamed or not, and whether the answer is
+// complete. A stream is complete if it has its end marker.
 func ChatText(body []byte, streamed bool) (text string, whole bool) {
 	if !streamed {
 		var a struct {
--- a/internal/drive/demo.go
+++ b/internal/drive/demo.go
@@ -15,22 +15,24 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Demo sends the demo's requests to two entries and prints the answers.
+// Demo sends the requests of the demo to two entries and prints a line for each answer.
 type Demo struct {
+	// Out receives the printed lines.
 	Out io.Writer
-	// First and Second are entries.
+	// First and Second call the two entries.
 	First, Second *Caller
-	// wrong counts answers that are not right.
+	// wrong counts the answers that differ from the expected ones.
 	wrong int
-	// explained is the request whose explanation is shown.
+	// explained is the ID of the request whose explanation the demo shows.
 	explained string
 }
 
-// demoTimeout bounds each request of the demo.
+// demoTimeout is the timeout of each request of the demo, and of the wait for both entries to
+// become ready.
 const demoTimeout = 20 * time.Second
 
-// Run sends everything and returns the ID of a request to explain. The error
-// says that answers were wrong.
+// Run sends all requests and returns the ID of a request to explain. It returns an error if an
+// entry does not become ready or if an answer differs from the expected one.
 func (d *Demo) Run() (string, error) {
 	deadline := time.Now().Add(demoTimeout)
 	for _, c := range []*Caller{d.First, d.Second} {
@@ -48,6 +50,7 @@
 	return d.explained, nil
 }
 
+// chat returns a chat request with a prompt of one message; header lists names and values in turn.
 func chat(model, text string, streamed bool, header ...string) Request {
 	a := Request{
 		Chat:     fakes.ChatRequest{Model: model, Messages: []fakes.Message{{Role: "user", Content: text}}, MaxTokens: 12, Stream: streamed},
@@ -60,8 +63,8 @@
 	return a
 }
 
-// expect sends a request and prints what came back. want is the kind of error
-// that is right; empty for a whole answer.
+// expect sends a request and prints the answer. want is the expected kind of error; empty if a
+// complete answer is expected.
 func (d *Demo) expect(title string, c *Caller, a Request, want fault.Kind) Answer {
 	got, err := c.Do(a)
 	kind := fault.Kind("")
@@ -112,6 +115,6 @@
 func (d *Demo) refusals() {
 	d.expect("refused: a model that is not allowed", d.First, chat("score-app", "hello", false), fault.NotAllowed)
 	d.expect("refused: a district not cut over yet", d.Second, chat("boundary-history", "hello", false, "Traildrift-District", "southland"), fault.NotCutOver)
-	stranger := NewCaller(d.First.Addr, "wrong key")
-	d.expect("refused: a wrong API key", stranger, chat("boundary-history", "hello", false), fault.Unauthorized)
+	wrongKeyCaller := NewCaller(d.First.Addr, "wrong key")
+	d.expect("refused: a wrong API key", wrongKeyCaller, chat("boundary-history", "hello", false), fault.Unauthorized)
 }
--- a/internal/drive/load.go
+++ b/internal/drive/load.go
@@ -16,43 +16,53 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// MixEntry is one kind of request in a mix.
+// MixEntry is one kind of request in the mix of a load.
 type MixEntry struct {
+	// Name is the name of the entry's Result.
 	Name string
-	// Weight is the share of the arrivals, relative to the others.
+	// Weight is the entry's share of the arrivals, relative to the other entries.
 	Weight float64
-	// NewRequest returns the n-th request of the run.
+	// NewRequest returns the request of the n-th arrival of the load, counted from 0 over all
+	// entries.
 	NewRequest func(n int) Request
 }
 
-// Load is an open-loop run: arrivals do not wait for answers.
+// Load is an open-loop load: arrivals do not wait for answers.
 type Load struct {
+	// Callers send the requests, each drawn at random.
 	Callers []*Caller
-	Mix     []MixEntry
-	// ArrivalsPerSecond is the arrival rate; arrivals are a Poisson process.
+	// Mix lists the kinds of requests.
+	Mix []MixEntry
+	// ArrivalsPerSecond is the mean rate of arrivals, which are a Poisson process.
 	ArrivalsPerSecond float64
-	// Until ends the arrivals.
+	// Until is when arrivals end.
 	Until time.Time
-	// Seed drives arrivals and the mix.
+	// Seed seeds the arrival times and the choices of mix entry and caller.
 	Seed uint64
-	// MaxInFlight bounds the requests under way; beyond it arrivals are dropped and
-	// counted, so that a stuck system cannot exhaust the machine.
+	// MaxInFlight is the maximum number of requests in flight. Arrivals beyond it are dropped
+	// and counted, so that a blocked system cannot exhaust the machine.
 	MaxInFlight int
-	// OnAnswer hears of every answer; it may be nil.
-	OnAnswer func(share string, a Answer, err error)
+	// OnAnswer is called with the name of the mix entry and the result of Caller.Do for each
+	// request sent, one call at a time; nil for none.
+	OnAnswer func(name string, a Answer, err error)
 }
 
-// Result is what a run measured for one kind of request.
+// Result holds the measurements of a load for one entry of the mix.
 type Result struct {
-	Name                             string
+	Name string
+	// Sent is the number of requests sent. Of these, Complete is the number of correct answers,
+	// Invalid that of answers with an InvalidReason; the rest is in Errors. Dropped is the
+	// number of arrivals dropped at MaxInFlight, which are not in Sent.
 	Sent, Complete, Invalid, Dropped int64
-	// Errors counts failures by kind and run state; "noAnswer" for broken
-	// connections.
+	// Errors counts failed requests by ErrorName; "noAnswer" stands for requests with neither a
+	// complete answer nor an error object, such as on a broken connection.
 	Errors map[string]int64
-	// First and Total are in microseconds.
+	// First and Total are the times from sending to the first and to the last byte of the body
+	// of complete answers, in microseconds.
 	First, Total *hdrhistogram.Histogram
 }
 
+// Range in microseconds, and significant digits, of the histograms; the range ends at 10 minutes.
 const (
 	minMicros         = 1
 	maxMicros         = 600_000_000
@@ -68,7 +78,8 @@
 	}
 }
 
-// Run sends the load and returns a result for each share of the mix.
+// Run sends requests until Until or until ctx is done, waits for all answers and returns a result
+// for each entry of the mix, in its order.
 func (l *Load) Run(ctx context.Context) []*Result {
 	rnd := rand.New(rand.NewPCG(l.Seed, l.Seed))
 	results := make([]*Result, len(l.Mix))
@@ -77,7 +88,7 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	under := make(chan struct{}, max(l.MaxInFlight, 1))
+	inFlight := make(chan struct{}, max(l.MaxInFlight, 1))
 	at := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
 		at = at.Add(time.Duration(rnd.ExpFloat64() / l.ArrivalsPerSecond * float64(time.Second)))
@@ -88,7 +99,7 @@
 		i := l.draw(rnd)
 		caller := l.Callers[rnd.IntN(len(l.Callers))]
 		select {
-		case under <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
 			mu.Lock()
 			results[i].Dropped++
@@ -100,7 +111,7 @@
 		go func() {
 			defer wg.Done()
 			a, err := caller.Do(ask)
-			<-under
+			<-inFlight
 			mu.Lock()
 			defer mu.Unlock()
 			results[i].add(a, err)
@@ -113,6 +124,7 @@
 	return results
 }
 
+// draw returns the index of a random entry of the mix, by weight.
 func (l *Load) draw(rnd *rand.Rand) int {
 	sum := 0.0
 	for _, s := range l.Mix {
@@ -144,10 +156,10 @@
 	}
 }
 
-// ErrorName names a failure by kind and run state.
+// ErrorName returns the key of an error in Result.Errors, "kind/run state".
 func ErrorName(e *fault.Error) string { return string(e.Kind) + "/" + string(e.Run) }
 
-// Write prints a result in one line, times in milliseconds.
+// Write writes the result as one line, with percentiles in milliseconds.
 func (r *Result) Write(w io.Writer) {
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	_, _ = fmt.Fprintf(w, "%-18s sent %6d whole %6d bad %d dropped %d first p50 %.2f p95 %.2f p99 %.2f total p50 %.2f p95 %.2f p99 %.2f errors %v\n",
--- a/internal/emul/emul_test.go
+++ b/internal/emul/emul_test.go
@@ -14,7 +14,7 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// TestTable plays the example for two simulated seconds with one seed.
+// TestTable simulates the example for two seconds with one seed.
 func TestTable(t *testing.T) {
 	var x Experiment
 	if err := proc.Load("../../examples/experiments/cascade.yaml", &x); err != nil {
@@ -28,8 +28,9 @@
 	golden.Check(t, "table.golden", got.Bytes())
 }
 
-// What is believed of endpoints foretells the time to the head: six routers place prompts
-// at a third of what twelve endpoints can do, half of them long, and tell one another.
+// The load estimates of endpoints predict the time to the first token: six routers place prompts
+// at a third of the capacity of twelve endpoints, half of the prompts long, and exchange their
+// placements.
 func TestExpectedHeadsCorrelateWithActual(t *testing.T) {
 	var x Experiment
 	if err := proc.Load("../../examples/experiments/cascade.yaml", &x); err != nil {
@@ -39,7 +40,7 @@
 	for seed := range uint64(3) {
 		got := Simulate(&x, &Policy{Placement: Prefix, Straight: 40, Step: 60}, seed)
 		if c := got.Correlation(); !(c > 0.8) {
-			t.Errorf("seed %d: correlation of foretold and actual heads: got %.2f of %d, want over 0.8", seed, c, len(got.actualSeconds))
+			t.Errorf("seed %d: correlation of expected and actual times to the first token: got %.2f of %d runs, want over 0.8", seed, c, len(got.actualSeconds))
 		}
 	}
 }
@@ -57,7 +58,7 @@
 	}
 }
 
-// runToIdle runs an endpoint until it has nothing to do and returns how long it took.
+// runToIdle runs an endpoint until it is idle and returns the time that its steps took.
 func runToIdle(p *endpoint) (took time.Duration) {
 	for {
 		d, read, ok := p.step()
@@ -83,8 +84,8 @@
 func TestLongPromptDelaysConcurrentRuns(t *testing.T) {
 	alone := newEndpoint()
 	alone.waiting = append(alone.waiting, newJob(0, 100, 10))
-	// One step reads 100 tokens in 0.5 ms and makes the first token, nine more
-	// make the others.
+	// One step reads 100 tokens in 0.5 ms and generates the first token, nine more steps
+	// generate the others.
 	if got, want := runToIdle(alone), 40500*time.Microsecond; got != want {
 		t.Errorf("alone: got %v, want %v", got, want)
 	}
@@ -105,9 +106,9 @@
 		now += d
 		p.endStep(read)
 	}
-	// Four of its steps read 1,000 tokens of the long prompt in 30 ms each.
+	// Four of the endpoint's steps read 1,000 tokens of the long prompt each, in 30 ms.
 	if want := 40500*time.Microsecond + 4*30*time.Millisecond; ended != want {
-		t.Errorf("beside a long prompt: got %v, want %v", ended, want)
+		t.Errorf("concurrent with a long prompt: got %v, want %v", ended, want)
 	}
 }
 
@@ -125,7 +126,7 @@
 	q := newEndpoint()
 	q.waiting = append(q.waiting, dropped)
 	if got, want := runToIdle(q), 4050*time.Microsecond; got != want {
-		t.Errorf("dropped at its head: got %v, want %v", got, want)
+		t.Errorf("dropped at its first token: got %v, want %v", got, want)
 	}
 }
 
@@ -137,7 +138,7 @@
 		want int
 	}{{a, 0}, {b, 0}, {a, 100}, {c, 0}, {b, 0}, {a, 0}} {
 		if got := p.lookup(k.key, 100); got != k.want {
-			t.Errorf("part %d: got %d tokens, want %d", k.key.part, got, k.want)
+			t.Errorf("part %d: got %d cached tokens, want %d", k.key.part, got, k.want)
 		}
 	}
 }
--- a/internal/emul/endpoint.go
+++ b/internal/emul/endpoint.go
@@ -10,44 +10,47 @@
 
 // job is one run of a request at an endpoint.
 type job struct {
-	req   *request
+	req *request
+	// model is the model's index in Experiment.Models.
 	model int
-	// promptLeft is what is outputLeft of the prompt, outputLeft what is outputLeft of the answer, in
-	// tokens.
+	// promptLeft is the number of prompt tokens still to be read, outputLeft that of tokens
+	// still to be generated.
 	promptLeft, outputLeft int
-	// sinceEvent counts tokens since the last event.
+	// sinceEvent is the number of tokens generated since the last event.
 	sinceEvent int
-	// dropped says that the answer is not wanted any more.
+	// dropped says that the answer was given up for a larger model's.
 	dropped bool
-	// onHead and onToken are called as the first and each later onToken is made.
+	// onHead is called when the first token is generated, onToken for each later one.
 	onHead, onToken func()
 }
 
-// endpoint is one emulated endpoint.
+// endpoint is one simulated endpoint.
 type endpoint struct {
 	engine *Engine
 	models []Model
-	// waiting holds the runs that have no slot yet, reading those whose prompt
-	// is not read, decoding the others; each in order.
+	// waiting holds the runs without a slot, reading those with a slot whose prompt has not
+	// been read whole, decoding the others with a slot; each in order of arrival there.
 	waiting, reading, decoding []*job
-	// cache holds the shared parts in memory by key, oldest use first, and
-	// keptTokens their sum, at most engine.Kept.
+	// cache holds the cached parts, least recently used first. cachedTokens is the sum of
+	// their sizes, at most engine.CacheTokens.
 	cache        []cachedPart
 	cachedTokens int
-	// stepping says that a step is under way.
+	// stepping says that a step is in progress.
 	stepping bool
 }
 
-// cachedPart is a shared cachedPart of prompts in memory.
+// cachedPart is a shared part of prompts that an endpoint holds in its cache.
 type cachedPart struct {
 	key    partKey
 	tokens int
 }
 
-// partKey names a shared part for a model.
+// partKey identifies a shared part for a model, by the indices of class, part and model.
 type partKey struct{ class, part, model int }
 
-// lookup returns how many tokens of a part are in memory and notes its use.
+// lookup returns how many tokens of a part are in the cache and marks the part as the most
+// recently used. A part that is missing is added with the given size; the least recently used
+// parts are evicted to make room.
 func (p *endpoint) lookup(key partKey, tokens int) int {
 	if i := slices.IndexFunc(p.cache, func(q cachedPart) bool { return q.key == key }); i >= 0 {
 		used := p.cache[i]
@@ -63,10 +66,10 @@
 	return 0
 }
 
-// runs returns how many runs have a slot.
+// runs returns the number of runs with a slot.
 func (p *endpoint) runs() int { return len(p.reading) + len(p.decoding) }
 
-// admit moves waiting runs to free slots.
+// admit moves waiting runs to free slots, first come first served.
 func (p *endpoint) admit() {
 	for len(p.waiting) > 0 && p.runs() < p.engine.Slots {
 		p.reading = append(p.reading, p.waiting[0])
@@ -74,8 +77,8 @@
 	}
 }
 
-// step returns how long the next step takes, and what it reads of the first prompt;
-// ok is false if there is nothing to do.
+// step begins a step. It returns the step's duration and how many tokens of the first prompt it
+// reads; ok is false if the endpoint is idle.
 func (p *endpoint) step() (d time.Duration, read int, ok bool) {
 	p.admit()
 	if p.runs() == 0 {
@@ -91,7 +94,8 @@
 	return d, read, true
 }
 
-// endStep ends a step that read so much of the first prompt.
+// endStep ends a step that read the given number of tokens of the first prompt: it generates the
+// step's tokens, and the first token of a run whose prompt is now read whole.
 func (p *endpoint) endStep(read int) {
 	for _, j := range p.decoding {
 		j.outputLeft--
--- a/internal/emul/experiment.go
+++ b/internal/emul/experiment.go
@@ -10,68 +10,76 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Experiment is what an experiment's file describes.
+// Experiment is the content of an experiment file.
 type Experiment struct {
+	// Seeds lists the seeds; every policy is simulated once with each.
 	Seeds []uint64 `yaml:"seeds"`
-	// Duration is how long requests arrive, in simulated time.
+	// Duration is the simulated time during which requests arrive.
 	Duration config.Span `yaml:"for"`
-	// RequestsPerSecond is the rate of all requests together.
+	// RequestsPerSecond is the mean arrival rate of all classes together.
 	RequestsPerSecond float64 `yaml:"perSecond"`
-	// Routers is how many processes place requests, each by what it sees itself.
+	// Routers is the number of processes that place requests, each with its own view of the
+	// load.
 	Routers int `yaml:"routers"`
-	// Endpoints is how many endpoints there are.
-	Endpoints int      `yaml:"endpoints"`
-	Engine    Engine   `yaml:"engine"`
-	Models    []Model  `yaml:"models"`
-	Classes   []Class  `yaml:"sorts"`
-	Policies  []Policy `yaml:"policies"`
+	// Endpoints is the number of endpoints.
+	Endpoints int `yaml:"endpoints"`
+	// Engine holds the parameters that all endpoints share.
+	Engine Engine `yaml:"engine"`
+	// Models lists the models of the cascade, smallest first.
+	Models []Model `yaml:"models"`
+	// Classes lists the classes of requests that the load is drawn from.
+	Classes []Class `yaml:"sorts"`
+	// Policies lists the policies to compare, in the order of the table.
+	Policies []Policy `yaml:"policies"`
 }
 
-// Engine is what all endpoints have in common.
+// Engine holds the parameters that all endpoints share.
 type Engine struct {
-	// Slots is how many requests an endpoint works on at once.
+	// Slots is the maximum number of requests in an endpoint's batch.
 	Slots int `yaml:"slots"`
-	// Step is the time of a step, StepPerRun what each run beside adds.
+	// Step is the duration of a step, to which StepPerRun is added for each run in the batch.
 	Step       config.Span `yaml:"step"`
 	StepPerRun config.Span `yaml:"stepPerRun"`
-	// TokensPerMs is how many tokens of a prompt a model of pace 1 reads in a
-	// millisecond, Piece how many are read in one step at most.
+	// TokensPerMs is the number of prompt tokens that a model of ReadFactor 1 reads in a
+	// millisecond, ChunkTokens the maximum number that it reads in one step.
 	TokensPerMs float64 `yaml:"tokensPerMs"`
 	ChunkTokens int     `yaml:"piece"`
-	// CacheTokens is how many tokens of shared parts an endpoint keeps.
+	// CacheTokens is the capacity of an endpoint's cache of shared prompt parts, in tokens.
 	CacheTokens int `yaml:"kept"`
 }
 
-// Model is one of the models of a cascade, which are listed smallest first.
+// Model is one model of the cascade.
 type Model struct {
 	Name string `yaml:"name"`
-	// ReadFactor is the time to read a prompt against a model of pace 1.
+	// ReadFactor is the time to read a prompt, relative to a model of ReadFactor 1.
 	ReadFactor float64 `yaml:"pace"`
 	// Quality is the share of requests that the model answers well, 0 to 1.
 	Quality float64 `yaml:"quality"`
-	// Cost is that of 1,000 tokens made; tokens read cost a quarter.
+	// Cost is the cost of 1,000 generated tokens, in the unit of Class.Value; a prompt token
+	// costs a quarter of a generated one.
 	Cost float64 `yaml:"cost"`
 }
 
-// Class is one sort of requests.
+// Class is a class of requests with the same distribution of sizes and the same targets.
 type Class struct {
 	Name string `yaml:"name"`
-	// Weight is the sort's part of the requests, against the other sorts'.
+	// Weight is the class's share of the requests, relative to the other classes.
 	Weight float64 `yaml:"share"`
-	// SharedTokens is the mean size of the part of the prompt that requests share,
-	// Things how many such parts there are, Own the mean size of the rest.
+	// SharedTokens is the mean size of the shared part of a prompt, SharedParts the number
+	// of different shared parts and OwnTokens the mean size of the rest of the prompt.
 	SharedTokens int `yaml:"shared"`
 	SharedParts  int `yaml:"things"`
 	OwnTokens    int `yaml:"own"`
-	// OutputTokens is the mean number of tokens made, Event how many an event holds.
+	// OutputTokens is the mean size of an answer, EventTokens the number of tokens in an
+	// event of its stream.
 	OutputTokens int `yaml:"out"`
 	EventTokens  int `yaml:"event"`
-	// TargetHead is the time to the first event, Pause the longest between two, that
-	// earns full credit.
+	// TargetHead is the target for the time from arrival to the first token, TargetPause the
+	// target for the longest time between two events; an answer that exceeds either is late.
 	TargetHead  config.Span `yaml:"aim"`
 	TargetPause config.Span `yaml:"pause"`
-	// Value is what a good answer in time is worth, Late and Weak the parts of
-	// it that a late and a weak one are worth.
+	// Value is the value of a good answer in time. LateFactor and WeakFactor, 0 to 1,
+	// multiply it for a late and for a weak answer.
 	Value      float64 `yaml:"value"`
 	LateFactor float64 `yaml:"late"`
 	WeakFactor float64 `yaml:"weak"`
@@ -79,17 +87,18 @@
 
 // Policy is one way to place requests and to choose models.
 type Policy struct {
+	// Name is the policy's name in the table.
 	Name string `yaml:"name"`
-	// Placement names one of Placements.
+	// Placement is one of Placements.
 	Placement string `yaml:"place"`
-	// FirstModel is the index of the first model, Straight and Step are those of
-	// sizes.Policy.
+	// FirstModel is the index in Models of the model that a request is sent to first.
+	// Straight and Step are the thresholds of sizes.Policy.
 	FirstModel int `yaml:"start"`
 	Straight   int `yaml:"straight"`
 	Step       int `yaml:"step"`
 }
 
-// Check reports each key that is wrong, with what is allowed.
+// Check calls report for each invalid key, with a message that says what is allowed.
 func (x *Experiment) Check(report func(key, message string)) {
 	for _, c := range []struct {
 		key string
@@ -106,7 +115,7 @@
 	x.checkLists(report)
 }
 
-// checkLists checks sorts and policies.
+// checkLists checks Classes and Policies.
 func (x *Experiment) checkLists(report func(key, message string)) {
 	for i := range x.Classes {
 		x.Classes[i].check(fmt.Sprintf("sorts[%d]", i), report)
--- a/internal/emul/place.go
+++ b/internal/emul/place.go
@@ -10,7 +10,9 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// The placements.
+// Values of Policy.Placement: a random endpoint, the next one in turn, the one with the fewest
+// requests in flight, the better of two random ones, and the router's own choice by cached
+// prompt prefix and load.
 const (
 	Random     = "random"
 	RoundRobin = "roundRobin"
@@ -19,11 +21,11 @@
 	Prefix     = "prefix"
 )
 
-// Placements are the ways to place requests: the router's own is Prefix, the others
+// Placements lists the allowed placements. Prefix is the algorithm of the router, the others
 // are baselines.
 var Placements = []string{Random, RoundRobin, LeastLoad, TwoChoices, Prefix}
 
-// place returns the index of the endpoint for a request.
+// place returns the index of the endpoint for a request to the model of the given index.
 func (p *simulation) place(r *request, model int) int {
 	n := p.x.Endpoints
 	view := p.views[r.router]
@@ -53,7 +55,9 @@
 	}
 }
 
-// byPrefix returns what the router's own choice gives, and tells all routers of it.
+// byPrefix returns the index of the endpoint that the router's algorithm picks. It records the
+// prompt's expected load and its holder in the views of all routers, as if they exchanged
+// reports without delay.
 func (p *simulation) byPrefix(r *request, model int) int {
 	w := pool.Want{Service: service, Zone: service, Draw: p.policyRand.Uint64()}
 	if r.sharedTokens > 0 {
--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -14,26 +14,28 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Result is what came of a policy. Results of several seeds are added.
+// Result is the outcome of a policy, summed over seeds.
 type Result struct {
-	// Requests counts those that arrived, Late those whose answer came late,
-	// Weak those whose model was not good enough, Dropped the answers given up
-	// for a larger model's.
+	// Requests is the number of arrivals, Late that of answers that missed a target, Weak that
+	// of answers from a model whose quality is below the request's difficulty, and Dropped
+	// that of answers given up for a larger model's.
 	Requests, Late, Weak, Dropped int
-	// TokensRead and TokensCached count tokens of prompts that were read, and that were in
-	// memory.
+	// TokensRead is the number of prompt tokens that were read, TokensCached that of prompt
+	// tokens found in an endpoint's cache.
 	TokensRead, TokensCached int
-	// offered is the value of all requests, earned that of the answers, cost what
-	// the models cost.
+	// offered is the value of all requests, earned that of the delivered answers and cost the
+	// cost of all runs, in the unit of Class.Value.
 	offered, earned, cost float64
+	// headTimes and totalTimes are the times from arrival to the first and to the last token
+	// of each delivered answer.
 	headTimes, totalTimes []time.Duration
-	// expectedSeconds and actualSeconds are the times to the head of all runs, in seconds, as far as
-	// they were expectedSeconds.
+	// expectedSeconds and actualSeconds are the expected and actual times to the first token
+	// of the runs that had an expected time, in seconds from the run's start.
 	expectedSeconds, actualSeconds []float64
 }
 
-// recordHead notes how long the head of a run took, and how long it was expected to; 0 or less
-// for no expectation.
+// recordHead records the expected and the actual time to the first token of a run. An expected
+// time of 0 or less means that there was none; the run is then left out.
 func (r *Result) recordHead(expected, actual time.Duration) {
 	if expected > 0 {
 		r.expectedSeconds = append(r.expectedSeconds, expected.Seconds())
@@ -41,13 +43,13 @@
 	}
 }
 
-// Correlation returns that of foretold and actual times to the head; not a number where
-// none was foretold.
+// Correlation returns the correlation of the expected and the actual times to the first token;
+// NaN if no time was expected.
 func (r *Result) Correlation() float64 {
 	return stat.Correlation(r.expectedSeconds, r.actualSeconds, nil)
 }
 
-// Worth returns the earned part of the value, less the models' cost.
+// Worth returns the value earned less the models' cost, as a part of the value of all requests.
 func (r *Result) Worth() float64 { return (r.earned - r.cost) / max(r.offered, 1) }
 
 func (r *Result) add(o Result) {
@@ -66,7 +68,7 @@
 	r.actualSeconds = append(r.actualSeconds, o.actualSeconds...)
 }
 
-// WriteTable plays all policies with all seeds and writes a table of them.
+// WriteTable simulates all policies with all seeds and writes a table with a row for each policy.
 func WriteTable(w io.Writer, x *Experiment) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	head := "policy\tworth\trequests\tlate\tweak\tdropped\tread\tkept\thead p50\tp99\tstream p50\tp99\t\n"
@@ -86,7 +88,8 @@
 	return errors.Wrap(t.Flush(), "emul")
 }
 
-// quantile returns the value under which so many hundredths of a list lie.
+// quantile returns the value below which the given percentage of the list lies, rounded to
+// milliseconds; 0 for an empty list. It sorts the list.
 func quantile(list []time.Duration, percent int) time.Duration {
 	if len(list) == 0 {
 		return 0
--- a/internal/emul/simulate.go
+++ b/internal/emul/simulate.go
@@ -15,39 +15,41 @@
 	"github.com/traildrift/traildrift/pkg/sizes"
 )
 
-// request is one request while it is served.
+// request is a request from its arrival to the end of its answer. Sizes are in tokens.
 type request struct {
 	class                   *Class
 	classIndex, part        int
 	sharedTokens, ownTokens int
 	outputTokens            int
-	// difficulty is how difficulty the request is, 0 to 1: a model answers it well if its
-	// quality is no less.
+	// difficulty is uniform between 0 and 1: a model whose quality is at least the
+	// difficulty answers the request well.
 	difficulty float64
-	// confidenceNoise is by how much each model's opinion of its answer is off.
+	// confidenceNoise is the error of each model's confidence in its answer, by model index.
 	confidenceNoise []float64
-	router          int
-	arrived         time.Time
-	// headAt is when the delivered answer began, eventAt when its last event
-	// came; pause is the longest time between two.
+	// router is the index of the router that places the request.
+	router  int
+	arrived time.Time
+	// headAt is the time of the delivered answer's first token, eventAt that of its last
+	// event; maxPause is the longest time between two events.
 	headAt, eventAt time.Time
 	maxPause        time.Duration
 }
 
-// event is something that happens at a time.
+// event is an action scheduled for a simulated time.
 type event struct {
 	at time.Time
-	// seq orders events at the same time by their making.
+	// seq is the number of the event by creation; it orders events of the same time.
 	seq int
 	do  func()
 }
 
+// events is a heap of events for container/heap.
 type events []event
 
-// Len, Less, Swap, Push and Pop make a heap of events.
+// Len returns the number of events.
 func (h events) Len() int { return len(h) }
 
-// Less orders events by time, then by their making.
+// Less orders events by time, then by creation.
 func (h events) Less(i, j int) bool {
 	return h[i].at.Before(h[j].at) || h[i].at.Equal(h[j].at) && h[i].seq < h[j].seq
 }
@@ -55,10 +57,10 @@
 // Swap exchanges two events.
 func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds an event.
+// Push appends an event; it is called by package heap only.
 func (h *events) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop takes the last event.
+// Pop removes and returns the last event; it is called by package heap only.
 func (h *events) Pop() any {
 	old := *h
 	e := old[len(old)-1]
@@ -66,32 +68,37 @@
 	return e
 }
 
-// simulation plays one policy with one seed.
+// simulation is the state of a run of one policy with one seed.
 type simulation struct {
 	x      *Experiment
 	policy *Policy
-	// loadRand draws the requests, the same for every policy, policyRand what the
-	// policy draws.
+	// loadRand draws the requests, which are the same for every policy; policyRand serves the
+	// policy's own random choices.
 	loadRand, policyRand *rand.Rand
-	now                  time.Time
-	queue                events
-	lastSeq              int
-	endpoints            []*endpoint
-	books                []*pool.Book
-	// views holds, for each router, what its book knows of each endpoint, and
-	// index where an endpoint stands by its ID.
+	// now is the simulated time, queue the pending events and lastSeq the number of the event
+	// scheduled last.
+	now     time.Time
+	queue   events
+	lastSeq int
+	// endpoints and books hold the simulated endpoints and each router's book.
+	endpoints []*endpoint
+	books     []*pool.Book
+	// views holds the endpoints of each router's book by router and endpoint index;
+	// indexByID maps an endpoint's ID to its index.
 	views     [][]*pool.Endpoint
 	indexByID map[string]int
-	lastTurn  []int
-	// expectedRead is when the last prompt that was placed by prefix is expected to be read.
+	// lastTurn is the number of round-robin placements of each router so far.
+	lastTurn []int
+	// expectedRead is when the prompt last placed by Prefix is expected to be read; it stays
+	// zero under the other placements.
 	expectedRead time.Time
 	result       Result
 }
 
-// start is when simulated time begins.
+// start is the beginning of simulated time.
 var start = time.Unix(0, 0).UTC()
 
-// Simulate plays a policy with a seed.
+// Simulate runs a policy of the experiment with a seed until the last answer has ended.
 func Simulate(x *Experiment, policy *Policy, seed uint64) Result {
 	p := &simulation{x: x, policy: policy, loadRand: rand.New(rand.NewPCG(seed, 0)), policyRand: rand.New(rand.NewPCG(seed, 1)), now: start, lastTurn: make([]int, x.Routers), indexByID: make(map[string]int)}
 	for i := range x.Endpoints {
@@ -116,18 +123,19 @@
 	return p.result
 }
 
-// service names what all endpoints serve.
+// service is the service, zone and version of all endpoints.
 const service = "s"
 
 func endpointID(i int) string { return fmt.Sprint("e", i) }
 
-// schedule makes something happen schedule a while.
+// schedule adds an event that calls do after the delay d.
 func (p *simulation) schedule(d time.Duration, do func()) {
 	p.lastSeq++
 	heap.Push(&p.queue, event{p.now.Add(d), p.lastSeq, do})
 }
 
-// scheduleArrival makes the next request scheduleArrival, until the time is over.
+// scheduleArrival schedules the arrival of the next request of a Poisson process, unless it lies
+// past the experiment's duration.
 func (p *simulation) scheduleArrival() {
 	d := time.Duration(p.loadRand.ExpFloat64() / p.x.RequestsPerSecond * float64(time.Second))
 	if p.now.Add(d).Sub(start) > time.Duration(p.x.Duration) {
@@ -139,7 +147,7 @@
 	})
 }
 
-// drawRequest draws a request.
+// drawRequest draws a request of a random class and counts it and its value in the result.
 func (p *simulation) drawRequest() *request {
 	sum := 0.0
 	for _, s := range p.x.Classes {
@@ -153,7 +161,7 @@
 	r := &request{class: s, classIndex: i, ownTokens: p.drawSize(s.OwnTokens), outputTokens: p.drawSize(s.OutputTokens), difficulty: p.loadRand.Float64(), router: p.loadRand.IntN(p.x.Routers), arrived: p.now}
 	if s.SharedTokens > 0 {
 		r.part = p.loadRand.IntN(s.SharedParts)
-		// The size of a part depends on the part alone.
+		// All requests with the same part must see the same size.
 		r.sharedTokens = s.SharedTokens/2 + int(pool.Hash(fmt.Sprint(i, "/", r.part))%uint64(s.SharedTokens))
 	}
 	for range p.x.Models {
@@ -164,30 +172,31 @@
 	return r
 }
 
-// drawSize draws a size drawSize a mean: half of it to nearly twice as much for two
-// thirds of the draws, longer ones now and then.
+// drawSize draws a size in tokens from a log-normal distribution of the given mean: two thirds
+// of the sizes lie between half of the mean and nearly twice the mean, with a tail of longer ones.
 func (p *simulation) drawSize(mean int) int {
 	const spread = 0.6
 	return max(int(float64(mean)*math.Exp(spread*p.loadRand.NormFloat64()-spread*spread/2)), 1)
 }
 
-// send sends a request to an endpoint, with the model of an index.
+// send places a request and queues a run of it, with the model of the given index, at the
+// endpoint.
 func (p *simulation) send(r *request, model int) {
 	i := p.place(r, model)
 	e := p.endpoints[i]
-	kept := 0
+	cached := 0
 	if r.sharedTokens > 0 {
-		kept = e.lookup(partKey{r.classIndex, r.part, model}, r.sharedTokens)
+		cached = e.lookup(partKey{r.classIndex, r.part, model}, r.sharedTokens)
 	}
-	j := &job{req: r, model: model, promptLeft: max(r.sharedTokens+r.ownTokens-kept, 1), outputLeft: r.outputTokens}
-	p.result.TokensRead += r.sharedTokens + r.ownTokens - kept
-	p.result.TokensCached += kept
+	j := &job{req: r, model: model, promptLeft: max(r.sharedTokens+r.ownTokens-cached, 1), outputLeft: r.outputTokens}
+	p.result.TokensRead += r.sharedTokens + r.ownTokens - cached
+	p.result.TokensCached += cached
 	p.result.cost += p.x.Models[model].Cost * float64(r.sharedTokens+r.ownTokens) / 4 / 1000
 	load := &p.views[r.router][i].Load
 	load.InFlight++
-	foretold, sent := p.expectedRead, p.now
+	expected, sent := p.expectedRead, p.now
 	j.onHead = func() {
-		p.result.recordHead(foretold.Sub(sent), p.now.Sub(sent))
+		p.result.recordHead(expected.Sub(sent), p.now.Sub(sent))
 		p.handleHead(load, j)
 	}
 	j.onToken = func() { p.handleToken(load, j) }
@@ -198,12 +207,13 @@
 	}
 }
 
-// readSeconds returns how long a model takes to read so many tokens readSeconds, in seconds.
+// readSeconds returns the time in seconds that a model takes to read a prompt of the given number
+// of tokens if no other run delays it.
 func (p *simulation) readSeconds(model, tokens int) float64 {
 	return float64(tokens) / p.x.Engine.TokensPerMs * p.x.Models[model].ReadFactor / 1000
 }
 
-// startStep begins the next step of an endpoint.
+// startStep begins the next step of an endpoint, which schedules the one after it.
 func (p *simulation) startStep(e *endpoint) {
 	d, read, ok := e.step()
 	if !ok {
@@ -216,8 +226,8 @@
 	})
 }
 
-// handleHead deals with the first token of a run: the answer is kept, or given up for one
-// of a larger model.
+// handleHead handles the first token of a run: the answer is delivered, or dropped for one of a
+// larger model.
 func (p *simulation) handleHead(load *pool.Load, j *job) {
 	p.result.cost += p.x.Models[j.model].Cost / 1000
 	r := j.req
@@ -235,16 +245,16 @@
 	}
 }
 
-// confidence returns a model's opinion of its answer, 0 to 100: 50 where the request
-// is just as hard as the model is good, with noise.
+// confidence returns a model's confidence in its answer, 0 to 100: 50 where the request's
+// difficulty equals the model's quality, with noise.
 func (p *simulation) confidence(r *request, model int) int {
 	return int(min(max(50+100*(p.x.Models[model].Quality-r.difficulty)+r.confidenceNoise[model], 0), 100))
 }
 
-// confidenceStdDev is the standard deviation of a model's opinion of its answer.
+// confidenceStdDev is the standard deviation of a model's confidence, in points of 0 to 100.
 const confidenceStdDev = 15
 
-// handleToken deals with each later handleToken.
+// handleToken handles each token of a run after the first.
 func (p *simulation) handleToken(load *pool.Load, j *job) {
 	r := j.req
 	p.result.cost += p.x.Models[j.model].Cost / 1000
@@ -258,7 +268,7 @@
 	}
 }
 
-// complete counts an answer that was delivered.
+// complete adds a delivered answer to the result.
 func (p *simulation) complete(load *pool.Load, j *job) {
 	load.InFlight--
 	r := j.req
--- a/internal/fakes/chat.go
+++ b/internal/fakes/chat.go
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// ChatRequest is the body of a chat completion.
+// ChatRequest is the body of a chat completion request. MaxTokens is the number of words in the
+// answer; 0 or less for 16.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -24,11 +25,12 @@
 	Content string `json:"content"`
 }
 
-// defaultWords is how many words an answer has without max_tokens.
+// defaultWords is the number of words in an answer to a request without max_tokens.
 const defaultWords = 16
 
-// Words returns the answer to a request, word by word: a function of its model
-// and last message, so that a caller can check that the answer is its own.
+// Words returns the words of the engine's answer to a request. They depend only on the last
+// message and MaxTokens, so that a caller can check that it received the answer to its own
+// request.
 func Words(req ChatRequest) []string {
 	n := req.MaxTokens
 	if n <= 0 {
@@ -45,7 +47,7 @@
 	return words
 }
 
-// promptTokens counts the words of a prompt.
+// promptTokens returns the number of words in a prompt; a word counts as one token.
 func promptTokens(req ChatRequest) int {
 	n := 0
 	for _, m := range req.Messages {
--- a/internal/fakes/engine.go
+++ b/internal/fakes/engine.go
@@ -21,67 +21,73 @@
 	"github.com/traildrift/traildrift/pkg/stream"
 )
 
-// Headers between guards and engines or services.
+// Headers that guards send to engines and services: the ID of the run and its priority.
 const (
 	RunHeader      = "X-Run-Id"
 	PriorityHeader = "X-Priority"
 )
 
-// EngineOptions shape a stand-in engine.
+// EngineOptions configures a fake engine.
 type EngineOptions struct {
-	// Slots is the batch size; a run waits for a place in the batch.
+	// Slots is the batch size; runs beyond it wait. Less than 1 counts as 1.
 	Slots int
-	// FirstToken is the time to the first token, PerToken to each other.
+	// FirstToken is the time to the first token, PerToken the time to each later one.
 	FirstToken config.Span
 	PerToken   config.Span
-	// Seed drives the faults.
+	// Seed seeds the injected faults.
 	Seed uint64
-	// Versions lists what is loaded at the start, as model@version; nil for an
-	// engine that does not say what it has.
+	// Versions lists the versions loaded at the start, as model@version; nil for an engine
+	// that does not report its versions.
 	Versions []string
-	// FetchWeights fetches a version's weights before it is loaded; nil needs none.
+	// FetchWeights fetches a version's weights before it is loaded and reports success; nil if
+	// none need to be fetched.
 	FetchWeights func(version string) bool
-	// Unfenced says that the engine does not check who gives it orders.
+	// Unfenced makes the engine accept orders with an outdated fencing token.
 	Unfenced bool
-	// CrashOn is a text on which the engine crashes once it runs a request that holds it;
-	// empty for none.
+	// CrashOn is a text; the engine crashes when it receives a chat request whose body
+	// contains it. Empty for none.
 	CrashOn string
 }
 
-// Engine is a stand-in for a model engine: chat completions, streamed or
-// whole, resumed and cancelled by run ID, with a load report.
+// Engine is a fake model engine: it answers chat completions, streamed or whole, resumes and
+// cancels them by run ID, takes orders to load versions and reports its load.
 type Engine struct {
 	*faultInjector
-	// Crash ends the engine as a crash does; set it before the first call.
+	// Crash is called to end the engine's process or listener on a crash. The owner sets it
+	// before the first call if EngineOptions.CrashOn is set.
 	Crash func()
 	opts  EngineOptions
+	// batch holds one element for each run in the batch.
 	batch chan struct{}
-	mu    sync.Mutex
-	// runs counts how often each run ID was really run.
+	// mu guards the fields below.
+	mu sync.Mutex
+	// runs counts the executions of each run ID.
 	runs map[string]int
 	// answers holds the answer of each run ID, for resumption.
 	answers map[string]*answer
 	// models counts the runs of each model@version.
-	models  map[string]int
+	models map[string]int
+	// running is the number of runs in the batch, waiting that of runs waiting for a slot.
 	running int
 	waiting int
-	// loaded lists the versions; fence is the highest of the orders taken.
+	// loaded lists the loaded versions; fence is the highest fencing token received, which
+	// only grows.
 	loaded []string
 	fence  int64
-	// orders counts the orders taken.
+	// orders counts the accepted orders.
 	orders int
 	// crashed says that the engine crashed on a request.
 	crashed bool
 }
 
-// answer is one run of the engine.
+// answer is the answer of one run; json says that it is sent whole, not as a stream of events.
 type answer struct {
 	buf    *stream.Buffer
 	cancel context.CancelFunc
 	json   bool
 }
 
-// maxAnswerBytes bounds one answer, in bytes.
+// maxAnswerBytes is the maximum size of an answer.
 const maxAnswerBytes = 8 << 20
 
 // NewEngine returns an idle engine.
@@ -104,7 +110,7 @@
 	return e.crashed
 }
 
-// Runs returns how often each run ID was really run.
+// Runs returns the number of executions of each run ID.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,14 +121,14 @@
 	return out
 }
 
-// ModelRuns returns how many runs of a model@version were begun.
+// ModelRuns returns the number of runs started for a model@version.
 func (e *Engine) ModelRuns(model string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.models[model]
 }
 
-// Load returns how many runs are under way and how many wait.
+// Load returns the number of runs in the batch and that of runs waiting for a slot.
 func (e *Engine) Load() (running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -137,7 +143,7 @@
 	path := string(ctx.Path())
 	f := e.current()
 	if f.Down {
-		ctx.Error("down", fasthttp.StatusServiceUnavailable)
+		ctx.Error("fake engine: unavailable by an injected fault", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	switch {
@@ -157,6 +163,7 @@
 	}
 }
 
+// chat starts the run of a chat request and sends its answer.
 func (e *Engine) chat(ctx *fasthttp.RequestCtx, f Faults) {
 	var req ChatRequest
 	if err := json.Unmarshal(ctx.PostBody(), &req); err != nil {
@@ -177,7 +184,7 @@
 		e.crashed = true
 		e.mu.Unlock()
 		e.Crash()
-		// The connection ends without an answer.
+		// The connection is closed without a response.
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 		return
@@ -186,7 +193,8 @@
 	e.sendFrom(ctx, a, 0, f)
 }
 
-// serveRun resumes or cancels a run.
+// serveRun resumes the answer of a run from an offset in bytes, or cancels the run. rest is the
+// run ID, followed by "/cancel" for a cancellation.
 func (e *Engine) serveRun(ctx *fasthttp.RequestCtx, rest string, f Faults) {
 	id, verb, _ := strings.Cut(rest, "/")
 	e.mu.Lock()
@@ -204,7 +212,7 @@
 	e.sendFrom(ctx, a, offset, f)
 }
 
-// sendFrom sends the answer from an offset on.
+// sendFrom sends the answer from an offset in bytes on, as it is generated.
 func (e *Engine) sendFrom(ctx *fasthttp.RequestCtx, a *answer, offset int, f Faults) {
 	if a.json {
 		ctx.SetContentType("application/json")
@@ -217,6 +225,8 @@
 	})
 }
 
+// sendAnswer writes the answer in b to w until it ends or a fault in f cuts it. A failed run, like
+// DisconnectAfter, closes the connection in the middle of the response.
 func sendAnswer(w *bufio.Writer, conn net.Conn, b *stream.Buffer, offset int, f Faults) {
 	for chunks := 1; ; chunks++ {
 		_, p, end, _ := b.Next(context.Background(), offset)
@@ -244,7 +254,7 @@
 	}
 }
 
-// generate runs one request through the batch.
+// generate waits for a slot in the batch, then generates the answer word by word into a.
 func (e *Engine) generate(ctx context.Context, a *answer, req ChatRequest, f Faults) {
 	e.addLoad(0, 1)
 	select {
@@ -285,6 +295,7 @@
 
 func (e *Engine) appendBytes(a *answer, p []byte) { _ = a.buf.Append(0, a.buf.Len(), p) }
 
+// addLoad adds to the counts of running and waiting runs.
 func (e *Engine) addLoad(running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -292,6 +303,7 @@
 	e.waiting += waiting
 }
 
+// waitStep waits for s times slow and reports whether it did so without being cancelled.
 func (e *Engine) waitStep(ctx context.Context, s config.Span, slow float64) bool {
 	t := time.NewTimer(time.Duration(float64(s) * slow))
 	defer t.Stop()
--- a/internal/fakes/faults.go
+++ b/internal/fakes/faults.go
@@ -14,30 +14,32 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Faults are what a stand-in does wrong on request.
+// Faults are the faults that a fake injects. The zero value injects none.
 type Faults struct {
-	// Down refuses every call before it has any effect.
+	// Down makes the fake refuse every call with status 503 before the call has any effect.
 	Down bool `json:"down"`
-	// Delay is added to every call.
+	// Delay is added to the duration of every call of Objects and Plain.
 	Delay config.Span `json:"delay"`
-	// SilentWatch ends every watch without a change, whatever happened.
+	// SilentWatch makes Objects end every watch without a change, whatever was written.
 	SilentWatch bool `json:"silentWatch"`
-	// StaleWatch answers every watch at once with an object's first value.
+	// StaleWatch makes Objects answer every watch at once with the first value of the object.
 	StaleWatch bool `json:"oldWatch"`
-	// ResponseLossRate is the share of writes whose answer is lost after they
-	// took effect.
+	// ResponseLossRate is the share, 0 to 1, of writes to Objects whose response is lost
+	// after the write took effect.
 	ResponseLossRate float64 `json:"loseAnswers"`
-	// FailureRate is the share of runs that end in an error.
+	// FailureRate is the share, 0 to 1, of runs of Engine and Plain that fail.
 	FailureRate float64 `json:"fail"`
-	// DisconnectAfter cuts an answer after so many chunks; 0 cuts none.
+	// DisconnectAfter makes Engine close the connection after this many chunks of an answer;
+	// 0 for never.
 	DisconnectAfter int `json:"cutAfter"`
-	// TruncateAfter ends an answer after so many chunks as if it were whole.
+	// TruncateAfter makes Engine end an answer after this many chunks as if it were complete;
+	// 0 for never.
 	TruncateAfter int `json:"endEarly"`
-	// Slowdown multiplies the time of every step; 0 counts as 1.
+	// Slowdown multiplies the time of every step of Engine; values below 1, such as 0, count as 1.
 	Slowdown float64 `json:"slow"`
 }
 
-// faultInjector holds the faults in force and a seeded source.
+// faultInjector holds the faults in force and the random source that decides which calls fail.
 type faultInjector struct {
 	mu     sync.Mutex
 	faults Faults
@@ -48,7 +50,7 @@
 	return &faultInjector{rnd: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Set puts faults in force.
+// Set replaces the faults in force. Runs and watches that have started keep the earlier ones.
 func (b *faultInjector) Set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,7 +63,7 @@
 	return b.faults
 }
 
-// draw reports true with probability p.
+// draw returns true with probability p.
 func (b *faultInjector) draw(p float64) bool {
 	if p <= 0 {
 		return false
@@ -71,7 +73,8 @@
 	return b.rnd.Float64() < p
 }
 
-// handleFaults answers POST /faults and reports whether the request was that.
+// handleFaults serves /faults, which sets the faults in force, and reports whether the request was
+// for that path.
 func (b *faultInjector) handleFaults(ctx *fasthttp.RequestCtx) bool {
 	if string(ctx.Path()) != "/faults" {
 		return false
@@ -85,7 +88,7 @@
 	return true
 }
 
-// sleep waits for the given length of time, or for the length of faults.
+// sleep waits for s; it returns at once if s is not positive.
 func sleep(s config.Span) {
 	if s > 0 {
 		time.Sleep(time.Duration(s))
--- a/internal/fakes/objects.go
+++ b/internal/fakes/objects.go
@@ -16,20 +16,23 @@
 	"github.com/traildrift/traildrift/internal/store"
 )
 
-// Objects is a stand-in for the platform's object API and VM list.
+// Objects is a fake of the platform's object API and VM list.
 type Objects struct {
 	*faultInjector
+	// mu guards the fields below.
 	mu sync.Mutex
-	// objects is keyed by kind/name.
+	// objects holds the objects by kind/name.
 	objects map[string]store.Object
-	// firstValues holds the firstValues value of each object, for watches that go back.
+	// firstValues holds the first value of each object, by kind/name, for Faults.StaleWatch.
 	firstValues map[string]store.Object
-	// lastVersion is that of the last write; it only grows.
+	// lastVersion is the version of the last write; it only grows.
 	lastVersion int64
-	changed     chan struct{}
-	vms         []store.VM
-	calls       map[string]int64
-	bytes       int64
+	// changed is closed and replaced at each write, which wakes the waiting watches.
+	changed chan struct{}
+	vms     []store.VM
+	// calls counts the calls by kind, bytes the bytes of values written and read by get.
+	calls map[string]int64
+	bytes int64
 }
 
 // NewObjects returns an empty store whose faults are drawn from seed.
@@ -43,15 +46,15 @@
 	}
 }
 
-// SetVMs replaces the VM list.
+// SetVMs replaces the VM list by a copy of vms.
 func (o *Objects) SetVMs(vms []store.VM) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.vms = append([]store.VM(nil), vms...)
 }
 
-// Calls returns how many calls of each kind (get, put, list, watch, vms) were
-// counted, and the bytes of values written and read.
+// Calls returns the number of calls of each kind (get, put, list, watch, vms), and the bytes of
+// values written by put and read by get.
 func (o *Objects) Calls() (calls map[string]int64, bytes int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -76,7 +79,7 @@
 	f := o.current()
 	sleep(f.Delay)
 	if f.Down {
-		ctx.Error("down", fasthttp.StatusServiceUnavailable)
+		ctx.Error("fake object API: unavailable by an injected fault", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	switch {
@@ -91,6 +94,7 @@
 	}
 }
 
+// key returns the key kind/name of the object in a path behind prefix, unescaped.
 func key(path, prefix string) string {
 	kind, name, _ := strings.Cut(strings.TrimPrefix(path, prefix), "/")
 	k, _ := url.PathUnescape(kind)
@@ -98,6 +102,7 @@
 	return k + "/" + n
 }
 
+// count counts a call and the bytes of the value that it wrote or read. The caller holds o.mu.
 func (o *Objects) count(call string, n int) {
 	o.calls[call]++
 	o.bytes += int64(n)
@@ -134,6 +139,7 @@
 	ctx.SetBody(obj.Value)
 }
 
+// list answers with all objects whose key begins with prefix, ordered by name.
 func (o *Objects) list(ctx *fasthttp.RequestCtx, prefix string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -148,10 +154,11 @@
 	writeJSON(ctx, l)
 }
 
+// put writes an object if the If-Match header holds its version; 0 or no header for a new object.
 func (o *Objects) put(ctx *fasthttp.RequestCtx, key string, f Faults) {
 	value := append([]byte(nil), ctx.PostBody()...)
 	if len(value) > store.MaxValueBytes {
-		ctx.Error("too large", fasthttp.StatusRequestEntityTooLarge)
+		ctx.Error("the value is larger than the maximum size", fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
 	o.mu.Lock()
@@ -160,7 +167,7 @@
 	want, _ := strconv.ParseInt(string(ctx.Request.Header.Peek(fasthttp.HeaderIfMatch)), 10, 64)
 	if old.Version != want {
 		o.mu.Unlock()
-		ctx.Error("another version", fasthttp.StatusPreconditionFailed)
+		ctx.Error("the object has another version", fasthttp.StatusPreconditionFailed)
 		return
 	}
 	o.lastVersion++
@@ -174,12 +181,14 @@
 	o.changed = make(chan struct{})
 	o.mu.Unlock()
 	if o.draw(f.ResponseLossRate) {
-		ctx.Error("the answer was lost", fasthttp.StatusGatewayTimeout)
+		ctx.Error("fake object API: response lost by an injected fault", fasthttp.StatusGatewayTimeout)
 		return
 	}
 	ctx.Response.Header.Set(store.VersionHeader, strconv.FormatInt(version, 10))
 }
 
+// serveWatch answers with the object as soon as its version differs from the parameter since, or
+// with status 304 at the time until. A missing or invalid until stands for 10 s from now.
 func (o *Objects) serveWatch(ctx *fasthttp.RequestCtx, key string, f Faults) {
 	since, _ := strconv.ParseInt(string(ctx.QueryArgs().Peek("since")), 10, 64)
 	until, err := time.Parse(time.RFC3339Nano, string(ctx.QueryArgs().Peek("until")))
--- a/internal/fakes/orders.go
+++ b/internal/fakes/orders.go
@@ -10,28 +10,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// loadReport is what an engine says of itself.
+// loadReport is the body of an engine's load report.
 type loadReport struct {
 	Running  int      `json:"running"`
 	Waiting  int      `json:"waiting"`
 	Versions []string `json:"versions,omitempty"`
 }
 
-// Loaded lists the versions that are loaded.
+// Loaded returns the loaded versions, as model@version.
 func (e *Engine) Loaded() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.loaded...)
 }
 
-// Orders returns how many orders were taken.
+// Orders returns the number of accepted orders.
 func (e *Engine) Orders() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.orders
 }
 
-// order loads a version; an order with an older fence is refused.
+// order serves an order to load a version. It refuses an order whose fencing token is lower than
+// the highest one received, unless the engine is unfenced.
 func (e *Engine) order(ctx *fasthttp.RequestCtx) {
 	var o struct {
 		Fence int64  `json:"fence"`
@@ -42,16 +43,16 @@
 		return
 	}
 	e.mu.Lock()
-	old := o.Fence < e.fence && !e.opts.Unfenced
+	outdated := o.Fence < e.fence && !e.opts.Unfenced
 	e.fence = max(e.fence, o.Fence)
 	known := slices.Contains(e.loaded, o.Model)
 	e.mu.Unlock()
-	if old {
-		ctx.Error("an older order", fasthttp.StatusConflict)
+	if outdated {
+		ctx.Error("the order has an outdated fencing token", fasthttp.StatusConflict)
 		return
 	}
 	if !known && e.opts.FetchWeights != nil && !e.opts.FetchWeights(o.Model) {
-		ctx.Error("no weights", fasthttp.StatusServiceUnavailable)
+		ctx.Error("the weights of the version could not be fetched", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	e.mu.Lock()
--- a/internal/fakes/plain.go
+++ b/internal/fakes/plain.go
@@ -11,35 +11,35 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Plain is a stand-in for a plain service, such as a title register. It
-// answers what it was asked and counts what it did.
+// Plain is a fake of a plain service, such as a title register. It echoes each request and counts
+// run IDs and bodies.
 type Plain struct {
 	*faultInjector
-	// Work is how long a call takes.
+	// work is the duration of a call.
 	work config.Span
 	mu   sync.Mutex
-	// runs counts how often each run ID was really run.
+	// runs counts the executions of each run ID.
 	runs map[string]int
-	// bodies counts how often each body was lodged.
+	// bodies counts the calls received with each body.
 	bodies map[string]int
 }
 
-// PlainAnswer is what the service answers.
+// PlainAnswer is the body of the service's answer: the request that it received.
 type PlainAnswer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 }
 
-// NewPlain returns a service whose calls take the given length of time.
+// NewPlain returns a service whose calls take the time work and whose faults are drawn from seed.
 func NewPlain(seed uint64, work config.Span) *Plain {
 	return &Plain{faultInjector: newFaultInjector(seed), work: work, runs: make(map[string]int), bodies: make(map[string]int)}
 }
 
-// Runs returns how often each run ID was really run.
+// Runs returns the number of executions of each run ID.
 func (s *Plain) Runs() map[string]int { return s.copyCounts(s.runs) }
 
-// Bodies returns how often each body was lodged.
+// Bodies returns the number of calls received with each body.
 func (s *Plain) Bodies() map[string]int { return s.copyCounts(s.bodies) }
 
 func (s *Plain) copyCounts(m map[string]int) map[string]int {
@@ -59,7 +59,7 @@
 	}
 	f := s.current()
 	if f.Down {
-		ctx.Error("down", fasthttp.StatusServiceUnavailable)
+		ctx.Error("fake service: unavailable by an injected fault", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	switch string(ctx.Path()) {
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -13,13 +13,13 @@
 	"github.com/traildrift/traildrift/internal/logs"
 )
 
-// Server is a stand-in that listens.
+// Server is the HTTP server of a fake.
 type Server struct {
 	http *fasthttp.Server
 	done chan error
 }
 
-// Serve answers on ln with handle until Close.
+// Serve starts a server that answers calls on ln with handle until Close.
 func Serve(ln net.Listener, handle fasthttp.RequestHandler) *Server {
 	s := &Server{
 		http: &fasthttp.Server{Handler: handle, CloseOnShutdown: true, MaxRequestBodySize: 32 << 20, Logger: logs.LibraryLogger{}},
@@ -29,7 +29,8 @@
 	return s
 }
 
-// Close ends the stand-in and returns what its listener ended with.
+// Close stops the server and returns the error that its accept loop ended with. It waits up to
+// 200 ms for calls in progress.
 func (s *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -37,5 +38,5 @@
 	return <-s.done
 }
 
-// closeTimeout bounds the wait for calls under way, such as waiting watches.
+// closeTimeout bounds the wait for calls in progress, such as watches without a change.
 const closeTimeout = 200 * time.Millisecond
--- a/internal/fakes/weights.go
+++ b/internal/fakes/weights.go
@@ -9,24 +9,27 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// WeightStore is a stand-in for the weight store, which serves few at a time and
-// refuses the rest.
+// WeightStore is a fake of the store that engines fetch weights from. It serves a limited number
+// of fetches at a time and refuses the rest.
 type WeightStore struct {
-	// capacity is how many fetches are served at a time, takes how long each is.
+	// capacity is the maximum number of concurrent fetches, fetchTime the duration of each.
 	capacity  int
 	fetchTime config.Span
 	mu        sync.Mutex
 	inFlight  int
-	// maxInFlight is the greatest number under way so far; refused counts refusals.
+	// maxInFlight is the highest number of concurrent fetches so far, refused the number of
+	// refused ones.
 	maxInFlight, refused int
 }
 
-// NewWeightStore returns an idle weight store.
-func NewWeightStore(atOnce int, takes config.Span) *WeightStore {
-	return &WeightStore{capacity: atOnce, fetchTime: takes}
+// NewWeightStore returns an idle weight store that serves up to capacity concurrent fetches, each
+// of which takes fetchTime.
+func NewWeightStore(capacity int, fetchTime config.Span) *WeightStore {
+	return &WeightStore{capacity: capacity, fetchTime: fetchTime}
 }
 
-// Fetch fetches the weights of a version and reports false if it was refused.
+// Fetch emulates fetching the weights of a version: it blocks for the duration of a fetch and
+// returns true, or returns false at once if the store is at capacity.
 func (w *WeightStore) Fetch(string) bool {
 	w.mu.Lock()
 	if w.inFlight >= w.capacity {
@@ -44,7 +47,7 @@
 	return true
 }
 
-// Stats returns the greatest number of fetches under way, and the refusals.
+// Stats returns the highest number of concurrent fetches so far and the number of refused ones.
 func (w *WeightStore) Stats() (maxInFlight, refused int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
