--- a/internal/emul/emul_test.go
+++ b/internal/emul/emul_test.go
@@ -14,38 +14,39 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// TestTable plays the example for two simulated seconds with one seed.
+// TestTable simulates the example for two seconds with one seed.
 func TestTable(t *testing.T) {
 	var x Experiment
 	if err := proc.Load("../../examples/experiments/cascade.yaml", &x); err != nil {
 		t.Fatal(err)
 	}
-	x.Seeds, x.For = []uint64{1}, config.Span(2*time.Second)
+	x.Seeds, x.Duration = []uint64{1}, config.Span(2*time.Second)
 	var got bytes.Buffer
-	if err := Table(&got, &x); err != nil {
+	if err := WriteTable(&got, &x); err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "table.golden", got.Bytes())
 }
 
-// What is believed of endpoints foretells the time to the head: six routers place prompts
-// at a third of what twelve endpoints can do, half of them long, and tell one another.
-func TestHeadsAreForetold(t *testing.T) {
+// The load estimates of endpoints predict the time to the first token: six routers place prompts
+// at a third of the capacity of twelve endpoints, half of the prompts long, and exchange their
+// placements.
+func TestExpectedHeadsCorrelateWithActual(t *testing.T) {
 	var x Experiment
 	if err := proc.Load("../../examples/experiments/cascade.yaml", &x); err != nil {
 		t.Fatal(err)
 	}
-	x.For = config.Span(10 * time.Second)
+	x.Duration = config.Span(10 * time.Second)
 	for seed := range uint64(3) {
-		got := Play(&x, &Policy{Place: Prefix, Straight: 40, Step: 60}, seed)
+		got := Simulate(&x, &Policy{Placement: Prefix, Straight: 40, Step: 60}, seed)
 		if c := got.Correlation(); !(c > 0.8) {
-			t.Errorf("seed %d: correlation of foretold and actual heads: got %.2f of %d, want over 0.8", seed, c, len(got.actual))
+			t.Errorf("seed %d: correlation of expected and actual times to the first token: got %.2f of %d runs, want over 0.8", seed, c, len(got.actualSeconds))
 		}
 	}
 }
 
 func TestWrongExperiment(t *testing.T) {
-	x := Experiment{Models: []Model{{}}, Sorts: []Sort{{}}, Policies: []Policy{{Place: "nearest", Start: 1}}}
+	x := Experiment{Models: []Model{{}}, Classes: []Class{{}}, Policies: []Policy{{Placement: "nearest", FirstModel: 1}}}
 	var got []string
 	x.Check(func(key, _ string) { got = append(got, key) })
 	want := []string{
@@ -57,42 +58,42 @@
 	}
 }
 
-// steps runs an endpoint until it has nothing to do and returns how long it took.
-func steps(p *endpoint) (took time.Duration) {
+// runToIdle runs an endpoint until it is idle and returns the time that its steps took.
+func runToIdle(p *endpoint) (took time.Duration) {
 	for {
 		d, read, ok := p.step()
 		if !ok {
 			return took
 		}
 		took += d
-		p.end(read)
+		p.endStep(read)
 	}
 }
 
 func newEndpoint() *endpoint {
 	return &endpoint{
-		engine: &Engine{Slots: 2, Step: config.Span(4 * time.Millisecond), TokensPerMs: 100, Piece: 1000, Kept: 250},
-		models: []Model{{Pace: 0.5}, {Pace: 3}},
+		engine: &Engine{Slots: 2, Step: config.Span(4 * time.Millisecond), TokensPerMs: 100, ChunkTokens: 1000, CacheTokens: 250},
+		models: []Model{{ReadFactor: 0.5}, {ReadFactor: 3}},
 	}
 }
 
 func newJob(model, unread, left int) *job {
-	return &job{model: model, unread: unread, left: left, head: func() {}, token: func() {}}
+	return &job{model: model, promptLeft: unread, outputLeft: left, onHead: func() {}, onToken: func() {}}
 }
 
-func TestLongPromptHoldsUpRunsBeside(t *testing.T) {
+func TestLongPromptDelaysConcurrentRuns(t *testing.T) {
 	alone := newEndpoint()
 	alone.waiting = append(alone.waiting, newJob(0, 100, 10))
-	// One step reads 100 tokens in 0.5 ms and makes the first token, nine more
-	// make the others.
-	if got, want := steps(alone), 40500*time.Microsecond; got != want {
+	// One step reads 100 tokens in 0.5 ms and generates the first token, nine more steps
+	// generate the others.
+	if got, want := runToIdle(alone), 40500*time.Microsecond; got != want {
 		t.Errorf("alone: got %v, want %v", got, want)
 	}
 	p := newEndpoint()
 	var ended, now time.Duration
 	short := newJob(0, 100, 10)
-	short.token = func() {
-		if short.left == 0 {
+	short.onToken = func() {
+		if short.outputLeft == 0 {
 			ended = now
 		}
 	}
@@ -103,15 +104,15 @@
 			break
 		}
 		now += d
-		p.end(read)
+		p.endStep(read)
 	}
-	// Four of its steps read 1,000 tokens of the long prompt in 30 ms each.
+	// Four of the endpoint's steps read 1,000 tokens of the long prompt each, in 30 ms.
 	if want := 40500*time.Microsecond + 4*30*time.Millisecond; ended != want {
-		t.Errorf("beside a long prompt: got %v, want %v", ended, want)
+		t.Errorf("concurrent with a long prompt: got %v, want %v", ended, want)
 	}
 }
 
-func TestSlotsAndDrops(t *testing.T) {
+func TestSlotsAndDroppedRuns(t *testing.T) {
 	p := newEndpoint()
 	for range 3 {
 		p.waiting = append(p.waiting, newJob(0, 10, 5))
@@ -121,23 +122,23 @@
 		t.Errorf("runs: got %d with %d waiting, want 2 and 1", got, len(p.waiting))
 	}
 	dropped := newJob(0, 10, 5)
-	dropped.head = func() { dropped.dropped = true }
+	dropped.onHead = func() { dropped.dropped = true }
 	q := newEndpoint()
 	q.waiting = append(q.waiting, dropped)
-	if got, want := steps(q), 4050*time.Microsecond; got != want {
-		t.Errorf("dropped at its head: got %v, want %v", got, want)
+	if got, want := runToIdle(q), 4050*time.Microsecond; got != want {
+		t.Errorf("dropped at its first token: got %v, want %v", got, want)
 	}
 }
 
-func TestPartsAreKeptByUse(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	p := newEndpoint()
-	a, b, c := partKey{thing: 1}, partKey{thing: 2}, partKey{thing: 3}
+	a, b, c := partKey{part: 1}, partKey{part: 2}, partKey{part: 3}
 	for _, k := range []struct {
 		key  partKey
 		want int
 	}{{a, 0}, {b, 0}, {a, 100}, {c, 0}, {b, 0}, {a, 0}} {
-		if got := p.tokensKept(k.key, 100); got != k.want {
-			t.Errorf("part %d: got %d tokens, want %d", k.key.thing, got, k.want)
+		if got := p.lookup(k.key, 100); got != k.want {
+			t.Errorf("part %d: got %d cached tokens, want %d", k.key.part, got, k.want)
 		}
 	}
 }
--- a/internal/emul/endpoint.go
+++ b/internal/emul/endpoint.go
@@ -10,63 +10,66 @@
 
 // job is one run of a request at an endpoint.
 type job struct {
-	req   *request
+	req *request
+	// model is the model's index in Experiment.Models.
 	model int
-	// unread is what is left of the prompt, left what is left of the answer, in
-	// tokens.
-	unread, left int
-	// made counts tokens since the last event.
-	made int
-	// dropped says that the answer is not wanted any more.
+	// promptLeft is the number of prompt tokens still to be read, outputLeft that of tokens
+	// still to be generated.
+	promptLeft, outputLeft int
+	// sinceEvent is the number of tokens generated since the last event.
+	sinceEvent int
+	// dropped says that the answer was given up for a larger model's.
 	dropped bool
-	// head and token are called as the first and each later token is made.
-	head, token func()
+	// onHead is called when the first token is generated, onToken for each later one.
+	onHead, onToken func()
 }
 
-// endpoint is one emulated endpoint.
+// endpoint is one simulated endpoint.
 type endpoint struct {
 	engine *Engine
 	models []Model
-	// waiting holds the runs that have no slot yet, reading those whose prompt
-	// is not read, decoding the others; each in order.
+	// waiting holds the runs without a slot, reading those with a slot whose prompt has not
+	// been read whole, decoding the others with a slot; each in order of arrival there.
 	waiting, reading, decoding []*job
-	// kept holds the shared parts in memory by key, oldest use first, and
-	// keptTokens their sum, at most engine.Kept.
-	kept       []part
-	keptTokens int
-	// busy says that a step is under way.
-	busy bool
+	// cache holds the cached parts, least recently used first. cachedTokens is the sum of
+	// their sizes, at most engine.CacheTokens.
+	cache        []cachedPart
+	cachedTokens int
+	// stepping says that a step is in progress.
+	stepping bool
 }
 
-// part is a shared part of prompts in memory.
-type part struct {
+// cachedPart is a shared part of prompts that an endpoint holds in its cache.
+type cachedPart struct {
 	key    partKey
 	tokens int
 }
 
-// partKey names a shared part for a model.
-type partKey struct{ sort, thing, model int }
+// partKey identifies a shared part for a model, by the indices of class, part and model.
+type partKey struct{ class, part, model int }
 
-// tokensKept returns how many tokens of a part are in memory and notes its use.
-func (p *endpoint) tokensKept(key partKey, tokens int) int {
-	if i := slices.IndexFunc(p.kept, func(q part) bool { return q.key == key }); i >= 0 {
-		used := p.kept[i]
-		p.kept = append(slices.Delete(p.kept, i, i+1), used)
+// lookup returns how many tokens of a part are in the cache and marks the part as the most
+// recently used. A part that is missing is added with the given size; the least recently used
+// parts are evicted to make room.
+func (p *endpoint) lookup(key partKey, tokens int) int {
+	if i := slices.IndexFunc(p.cache, func(q cachedPart) bool { return q.key == key }); i >= 0 {
+		used := p.cache[i]
+		p.cache = append(slices.Delete(p.cache, i, i+1), used)
 		return used.tokens
 	}
-	p.kept = append(p.kept, part{key, tokens})
-	p.keptTokens += tokens
-	for p.keptTokens > p.engine.Kept {
-		p.keptTokens -= p.kept[0].tokens
-		p.kept = p.kept[1:]
+	p.cache = append(p.cache, cachedPart{key, tokens})
+	p.cachedTokens += tokens
+	for p.cachedTokens > p.engine.CacheTokens {
+		p.cachedTokens -= p.cache[0].tokens
+		p.cache = p.cache[1:]
 	}
 	return 0
 }
 
-// runs returns how many runs have a slot.
+// runs returns the number of runs with a slot.
 func (p *endpoint) runs() int { return len(p.reading) + len(p.decoding) }
 
-// admit moves waiting runs to free slots.
+// admit moves waiting runs to free slots, first come first served.
 func (p *endpoint) admit() {
 	for len(p.waiting) > 0 && p.runs() < p.engine.Slots {
 		p.reading = append(p.reading, p.waiting[0])
@@ -74,8 +77,8 @@
 	}
 }
 
-// step returns how long the next step takes, and what it reads of the first prompt;
-// ok is false if there is nothing to do.
+// step begins a step. It returns the step's duration and how many tokens of the first prompt it
+// reads; ok is false if the endpoint is idle.
 func (p *endpoint) step() (d time.Duration, read int, ok bool) {
 	p.admit()
 	if p.runs() == 0 {
@@ -84,32 +87,33 @@
 	d = time.Duration(p.engine.Step) + time.Duration(p.runs())*time.Duration(p.engine.StepPerRun)
 	if len(p.reading) > 0 {
 		j := p.reading[0]
-		read = min(j.unread, p.engine.Piece)
-		ms := float64(read) / p.engine.TokensPerMs * p.models[j.model].Pace
+		read = min(j.promptLeft, p.engine.ChunkTokens)
+		ms := float64(read) / p.engine.TokensPerMs * p.models[j.model].ReadFactor
 		d += time.Duration(ms * float64(time.Millisecond))
 	}
 	return d, read, true
 }
 
-// end ends a step that read so much of the first prompt.
-func (p *endpoint) end(read int) {
+// endStep ends a step that read the given number of tokens of the first prompt: it generates the
+// step's tokens, and the first token of a run whose prompt is now read whole.
+func (p *endpoint) endStep(read int) {
 	for _, j := range p.decoding {
-		j.left--
-		j.token()
+		j.outputLeft--
+		j.onToken()
 	}
-	p.decoding = slices.DeleteFunc(p.decoding, func(j *job) bool { return j.dropped || j.left <= 0 })
+	p.decoding = slices.DeleteFunc(p.decoding, func(j *job) bool { return j.dropped || j.outputLeft <= 0 })
 	if len(p.reading) == 0 {
 		return
 	}
 	j := p.reading[0]
-	j.unread -= read
-	if j.unread > 0 {
+	j.promptLeft -= read
+	if j.promptLeft > 0 {
 		return
 	}
 	p.reading = p.reading[1:]
-	j.left--
-	j.head()
-	if !j.dropped && j.left > 0 {
+	j.outputLeft--
+	j.onHead()
+	if !j.dropped && j.outputLeft > 0 {
 		p.decoding = append(p.decoding, j)
 	}
 }
--- a/internal/fakes/faults.go
+++ b/internal/fakes/faults.go
@@ -14,55 +14,57 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Faults are what a stand-in does wrong on request.
+// Faults are the faults that a fake injects. The zero value injects none.
 type Faults struct {
-	// Down refuses every call before it has any effect.
+	// Down makes the fake refuse every call with status 503 before the call has any effect.
 	Down bool `json:"down"`
-	// Delay is added to every call.
+	// Delay is added to the duration of every call of Objects and Plain.
 	Delay config.Span `json:"delay"`
-	// SilentWatch ends every watch without a change, whatever happened.
+	// SilentWatch makes Objects end every watch without a change, whatever was written.
 	SilentWatch bool `json:"silentWatch"`
-	// OldWatch answers every watch at once with an object's first value.
-	OldWatch bool `json:"oldWatch"`
-	// LoseAnswers is the share of writes whose answer is lost after they
-	// took effect.
-	LoseAnswers float64 `json:"loseAnswers"`
-	// Fail is the share of runs that end in an error.
-	Fail float64 `json:"fail"`
-	// CutAfter cuts an answer after so many chunks; 0 cuts none.
-	CutAfter int `json:"cutAfter"`
-	// EndEarly ends an answer after so many chunks as if it were whole.
-	EndEarly int `json:"endEarly"`
-	// Slow multiplies the time of every step; 0 counts as 1.
-	Slow float64 `json:"slow"`
+	// StaleWatch makes Objects answer every watch at once with the first value of the object.
+	StaleWatch bool `json:"oldWatch"`
+	// ResponseLossRate is the share, 0 to 1, of writes to Objects whose response is lost
+	// after the write took effect.
+	ResponseLossRate float64 `json:"loseAnswers"`
+	// FailureRate is the share, 0 to 1, of runs of Engine and Plain that fail.
+	FailureRate float64 `json:"fail"`
+	// DisconnectAfter makes Engine close the connection after this many chunks of an answer;
+	// 0 for never.
+	DisconnectAfter int `json:"cutAfter"`
+	// TruncateAfter makes Engine end an answer after this many chunks as if it were complete;
+	// 0 for never.
+	TruncateAfter int `json:"endEarly"`
+	// Slowdown multiplies the time of every step of Engine; values below 1, such as 0, count as 1.
+	Slowdown float64 `json:"slow"`
 }
 
-// faultBox holds the faults in force and a seeded source.
-type faultBox struct {
+// faultInjector holds the faults in force and the random source that decides which calls fail.
+type faultInjector struct {
 	mu     sync.Mutex
 	faults Faults
 	rnd    *rand.Rand
 }
 
-func newFaultBox(seed uint64) *faultBox {
-	return &faultBox{rnd: rand.New(rand.NewPCG(seed, seed))}
+func newFaultInjector(seed uint64) *faultInjector {
+	return &faultInjector{rnd: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Set puts faults in force.
-func (b *faultBox) Set(f Faults) {
+// Set replaces the faults in force. Runs and watches that have started keep the earlier ones.
+func (b *faultInjector) Set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
 }
 
-func (b *faultBox) get() Faults {
+func (b *faultInjector) current() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
-// draw reports true with probability p.
-func (b *faultBox) draw(p float64) bool {
+// draw returns true with probability p.
+func (b *faultInjector) draw(p float64) bool {
 	if p <= 0 {
 		return false
 	}
@@ -71,8 +73,9 @@
 	return b.rnd.Float64() < p
 }
 
-// serve answers POST /faults and reports whether the request was that.
-func (b *faultBox) serve(ctx *fasthttp.RequestCtx) bool {
+// handleFaults serves /faults, which sets the faults in force, and reports whether the request was
+// for that path.
+func (b *faultInjector) handleFaults(ctx *fasthttp.RequestCtx) bool {
 	if string(ctx.Path()) != "/faults" {
 		return false
 	}
@@ -85,8 +88,8 @@
 	return true
 }
 
-// pause waits for the given length of time, or for the length of faults.
-func pause(s config.Span) {
+// sleep waits for s; it returns at once if s is not positive.
+func sleep(s config.Span) {
 	if s > 0 {
 		time.Sleep(time.Duration(s))
 	}
