--- a/cmd/tdfake/main.go
+++ b/cmd/tdfake/main.go
@@ -238,7 +238,7 @@
 		if err != nil {
 			return err
 		}
-		err = soak.Run(context.Background(), soak.Options{Seed: a.Seed + uint64(i), For: a.For, Callers: a.Callers, Dir: dir, Out: os.Stdout})
+		err = soak.Run(context.Background(), soak.Options{Seed: a.Seed + uint64(i), Duration: a.For, Callers: a.Callers, Dir: dir, Out: os.Stdout})
 		if err != nil {
 			return errors.Wrapf(err, "files are in %s", dir)
 		}
--- a/internal/gauge/capacity.go
+++ b/internal/gauge/capacity.go
@@ -20,7 +20,7 @@
 
 // Capacity measures the slopes that docs/CAPACITY.md is worked out from.
 func Capacity(ctx context.Context, out io.Writer, dir string) error {
-	steps := []func(context.Context, io.Writer, string) error{control, entries, load, tree}
+	steps := []func(context.Context, io.Writer, string) error{idleByLinks, idleByEntries, cpuByRate, memoryByNodes}
 	for i, step := range steps {
 		sub := filepath.Join(dir, fmt.Sprint(i))
 		if err := os.Mkdir(sub, 0o700); err != nil {
@@ -33,27 +33,27 @@
 	return nil
 }
 
-// settleFor is how long a fleet rests before it is measured, measureFor how
+// settleDuration is how long a fleet rests before it is measured, measureDuration how
 // long it is measured.
 const (
-	settleFor  = 3 * time.Second
-	measureFor = 10 * time.Second
+	settleDuration  = 3 * time.Second
+	measureDuration = 10 * time.Second
 )
 
-// quiet is an idle fleet's use per second and process, by role.
-type quiet struct {
+// idleUse is an idle fleet's use per second and process, by role.
+type idleUse struct {
 	cpu, bytes, messages, resident float64
 }
 
-func measureQuiet(ctx context.Context, f *rig.Fleet) (entry, guard quiet, calls map[string]float64, err error) {
-	tasks.Pause(ctx, time.Now().Add(settleFor))
+func measureIdle(ctx context.Context, f *rig.Fleet) (entry, guard idleUse, calls map[string]float64, err error) {
+	tasks.Pause(ctx, time.Now().Add(settleDuration))
 	before, err := usages(f)
 	if err != nil {
 		return
 	}
 	callsBefore, _ := f.Objects.Calls()
 	start := time.Now()
-	tasks.Pause(ctx, time.Now().Add(measureFor))
+	tasks.Pause(ctx, time.Now().Add(measureDuration))
 	after, err := usages(f)
 	if err != nil {
 		return
@@ -73,16 +73,16 @@
 		q.cpu += after[i].CPU.Sub(before[i].CPU).Seconds() / seconds / n
 		q.bytes += float64(after[i].LinkBytes-before[i].LinkBytes) / seconds / n
 		q.messages += float64(after[i].LinkMessages-before[i].LinkMessages) / seconds / n
-		q.resident += megabytes(after[i].Resident) / n
+		q.resident += megabytes(after[i].ResidentBytes) / n
 	}
 	return
 }
 
-func fleet(dir string, entries, guards int, text string) (*rig.Fleet, error) {
+func startFleet(dir string, entries, guards int, text string) (*rig.Fleet, error) {
 	return rig.Start(rig.Options{
 		Dir: dir, Zones: []string{"a", "b", "c"}, Entries: entries, Settings: text, Seed: 1,
-		Entry: "linksPerPool: 1000\n",
-		Pools: []rig.Pool{{Name: "m", Kind: "engine", Endpoints: guards, Slots: 64, Waiting: 256}},
+		EntrySettings: "linksPerPool: 1000\n",
+		Pools:         []rig.Pool{{Name: "m", Kind: "engine", Endpoints: guards, Slots: 64, Waiting: 256}},
 	})
 }
 
@@ -91,19 +91,19 @@
 	return sub, os.Mkdir(sub, 0o700)
 }
 
-// control measures an idle entry and guard against the number of links.
-func control(ctx context.Context, out io.Writer, dir string) error {
+// idleByLinks measures an idle entry and guard against the number of links.
+func idleByLinks(ctx context.Context, out io.Writer, dir string) error {
 	var cpu, bytes, messages, resident []Point
 	for _, n := range []int{4, 16, 48, 96} {
 		sub, err := subdir(dir, n)
 		if err != nil {
 			return err
 		}
-		f, err := fleet(sub, 1, n, settings)
+		f, err := startFleet(sub, 1, n, settings)
 		if err != nil {
 			return err
 		}
-		e, g, calls, err := measureQuiet(ctx, f)
+		e, g, calls, err := measureIdle(ctx, f)
 		f.Close()
 		if err != nil {
 			return err
@@ -122,22 +122,22 @@
 	return nil
 }
 
-// entries measures an idle guard, and the platform's calls and the time of a
-// change, against the number of entries.
-func entries(ctx context.Context, out io.Writer, dir string) error {
+// idleByEntries measures an idle guard, and the platform's calls and the time of a
+// change, against the number of idleByEntries.
+func idleByEntries(ctx context.Context, out io.Writer, dir string) error {
 	var cpu, bytes, resident, lists []Point
 	for _, n := range []int{2, 8, 24, 48} {
 		sub, err := subdir(dir, n)
 		if err != nil {
 			return err
 		}
-		f, err := fleet(sub, n, 4, settings)
+		f, err := startFleet(sub, n, 4, settings)
 		if err != nil {
 			return err
 		}
-		_, g, calls, err := measureQuiet(ctx, f)
+		_, g, calls, err := measureIdle(ctx, f)
 		if err == nil {
-			err = spreadTimes(out, f, n+4)
+			err = measurePropagation(out, f, n+4)
 		}
 		f.Close()
 		if err != nil {
@@ -160,8 +160,8 @@
 // changesMeasured is how many changes the time to spread is taken from.
 const changesMeasured = 15
 
-// spreadTimes measures the time from accepted to in force in the last process.
-func spreadTimes(out io.Writer, f *rig.Fleet, processes int) error {
+// measurePropagation measures the time from accepted to in force in the last process.
+func measurePropagation(out io.Writer, f *rig.Fleet, processes int) error {
 	var sum, worst float64
 	for i := range changesMeasured {
 		text := strings.Replace(settings, "answerWithin: 30s", fmt.Sprintf("answerWithin: %ds", 31+i), 1)
@@ -170,7 +170,7 @@
 			return err
 		}
 		start := time.Now()
-		if err := f.InForce(revision, start.Add(20*time.Second)); err != nil {
+		if err := f.WaitRevision(revision, start.Add(20*time.Second)); err != nil {
 			return err
 		}
 		s := time.Since(start).Seconds()
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// load measures processor time against the rate of requests and of tokens.
-func load(ctx context.Context, out io.Writer, dir string) error {
-	f, err := fleet(dir, 1, 1, settings)
+// cpuByRate measures processor time against the rate of requests and of tokens.
+func cpuByRate(ctx context.Context, out io.Writer, dir string) error {
+	f, err := startFleet(dir, 1, 1, settings)
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 	for _, words := range []int{1, 100} {
 		var cpu [2][]Point
 		for _, perSecond := range []float64{50, 150, 450} {
-			ps, err := loaded(ctx, out, f, perSecond, words)
+			ps, err := measureLoad(ctx, out, f, perSecond, words)
 			if err != nil {
 				return err
 			}
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func loaded(ctx context.Context, out io.Writer, f *rig.Fleet, perSecond float64, words int) ([2]Point, error) {
+func measureLoad(ctx context.Context, out io.Writer, f *rig.Fleet, perSecond float64, words int) ([2]Point, error) {
 	var ps [2]Point
 	before, err := usages(f)
 	if err != nil {
@@ -214,8 +214,8 @@
 	start := time.Now()
 	l := drive.Load{
 		Callers:   []*drive.Caller{f.Caller(0, gaugeKey)},
-		Mix:       []drive.Share{{Name: fmt.Sprintf("%d tokens", words), Weight: 1, Make: func(n int) drive.Ask { return ask(n, words, true, "chat") }}},
-		PerSecond: perSecond, Until: start.Add(measureFor), Seed: 1, Most: 2000,
+		Mix:       []drive.Share{{Name: fmt.Sprintf("%d tokens", words), Weight: 1, Make: func(n int) drive.Ask { return chatAsk(n, words, true, "chat") }}},
+		PerSecond: perSecond, Until: start.Add(measureDuration), Seed: 1, Most: 2000,
 	}
 	results := l.Run(ctx)
 	seconds := time.Since(start).Seconds()
@@ -230,19 +230,19 @@
 	return ps, nil
 }
 
-// tree measures the memory of an idle entry against the size of the settings.
-func tree(ctx context.Context, out io.Writer, dir string) error {
+// memoryByNodes measures the memory of an idle entry against the size of the settings.
+func memoryByNodes(ctx context.Context, out io.Writer, dir string) error {
 	var resident []Point
 	for _, n := range []int{10, 400, 1600} {
 		sub, err := subdir(dir, n)
 		if err != nil {
 			return err
 		}
-		f, err := fleet(sub, 1, 1, treeOf(n))
+		f, err := startFleet(sub, 1, 1, settingsOfNodes(n))
 		if err != nil {
 			return err
 		}
-		e, g, _, err := measureQuiet(ctx, f)
+		e, g, _, err := measureIdle(ctx, f)
 		f.Close()
 		if err != nil {
 			return err
@@ -254,8 +254,8 @@
 	return nil
 }
 
-// treeOf returns settings of about n nodes.
-func treeOf(n int) string {
+// settingsOfNodes returns settings of about n nodes.
+func settingsOfNodes(n int) string {
 	var b strings.Builder
 	b.WriteString(strings.TrimRight(settings, "\n") + "\n")
 	for w := 0; w*10 < n; w++ {
--- a/internal/gauge/claims.go
+++ b/internal/gauge/claims.go
@@ -35,28 +35,28 @@
 		}
 		f, err := rig.Start(rig.Options{
 			Dir: sub, Zones: []string{"a", "b"}, Entries: 4, Settings: settings, Seed: 1,
-			Pools: []rig.Pool{{Name: "s", Kind: "service", Endpoints: 2, Slots: 64, Waiting: 256, Work: config.Span(time.Millisecond)}},
+			Pools: []rig.Pool{{Name: "s", Kind: "service", Endpoints: 2, Slots: 64, Waiting: 256, ServiceTime: config.Span(time.Millisecond)}},
 		})
 		if err != nil {
 			return err
 		}
 		f.Objects.Set(fakes.Faults{Delay: platformDelay})
 		for _, perSecond := range claimRates {
-			claimLoad(ctx, out, f, kind, perSecond)
+			measureClaims(ctx, out, f, kind, perSecond)
 		}
 		f.Close()
 	}
 	return nil
 }
 
-// claimLoad runs one rate of one kind.
-func claimLoad(ctx context.Context, out io.Writer, f *rig.Fleet, kind string, perSecond float64) {
+// measureClaims runs one rate of one kind.
+func measureClaims(ctx context.Context, out io.Writer, f *rig.Fleet, kind string, perSecond float64) {
 	var callers []*drive.Caller
 	for i := range f.Entries {
 		callers = append(callers, f.Caller(i, gaugeKey))
 	}
-	until := time.Now().Add(measureFor)
-	keys := keysFor(callers, kind, int(perSecond*measureFor.Seconds()*3/2)+20)
+	until := time.Now().Add(measureDuration)
+	keys := keySource(callers, kind, int(perSecond*measureDuration.Seconds()*3/2)+20)
 	before, bytesBefore := f.Objects.Calls()
 	start := time.Now()
 	l := drive.Load{
@@ -70,7 +70,7 @@
 		}}},
 	}
 	if kind == "ticket" {
-		l.Until = time.Now().Add(measureFor)
+		l.Until = time.Now().Add(measureDuration)
 		start = time.Now()
 	}
 	results := l.Run(ctx)
@@ -83,13 +83,13 @@
 		float64(after["put"]-before["put"])/n, float64(bytesAfter-bytesBefore)/n)
 }
 
-// keysFor returns the key of the n-th request; tickets are taken beforehand.
-func keysFor(callers []*drive.Caller, kind string, most int) func(n int) string {
+// keySource returns the key of the n-th request; tickets are taken beforehand.
+func keySource(callers []*drive.Caller, kind string, count int) func(n int) string {
 	if kind != "ticket" {
 		run := time.Now().UnixNano()
 		return func(n int) string { return fmt.Sprintf("%d-%d", run, n) }
 	}
-	tickets := make([]string, most)
+	tickets := make([]string, count)
 	for i := range tickets {
 		a, err := callers[i%len(callers)].Do(drive.Ask{Path: "/v1/tickets", Deadline: time.Now().Add(10 * time.Second)})
 		var t struct {
@@ -99,5 +99,5 @@
 			tickets[i] = t.Ticket
 		}
 	}
-	return func(n int) string { return tickets[n%most] }
+	return func(n int) string { return tickets[n%count] }
 }
--- a/internal/gauge/fit.go
+++ b/internal/gauge/fit.go
@@ -17,8 +17,8 @@
 // Fit is a least-squares line through points.
 type Fit struct {
 	Slope, Intercept float64
-	// Error is the standard error of the slope; 0 for two points.
-	Error float64
+	// StdError is the standard error of the slope; 0 for two points.
+	StdError float64
 }
 
 // FitLine fits a line through at least two points of different X (ordinary
@@ -38,19 +38,19 @@
 	if len(ps) < 3 {
 		return f
 	}
-	var rest float64
+	var rss float64
 	for _, p := range ps {
 		e := p.Y - f.Intercept - f.Slope*p.X
-		rest += e * e
+		rss += e * e
 	}
-	f.Error = math.Sqrt(rest / (n - 2) / (sxx - sx*sx/n))
+	f.StdError = math.Sqrt(rss / (n - 2) / (sxx - sx*sx/n))
 	return f
 }
 
 // writeFit prints a slope with its points.
 func writeFit(w io.Writer, name, x, y string, ps []Point) {
 	f := FitLine(ps)
-	_, _ = fmt.Fprintf(w, "%s: %s per %s %.6g +- %.2g, at none %.6g; points", name, y, x, f.Slope, f.Error, f.Intercept)
+	_, _ = fmt.Fprintf(w, "%s: %s per %s %.6g +- %.2g, at none %.6g; points", name, y, x, f.Slope, f.StdError, f.Intercept)
 	for _, p := range ps {
 		_, _ = fmt.Fprintf(w, " (%g, %.6g)", p.X, p.Y)
 	}
--- a/internal/gauge/path.go
+++ b/internal/gauge/path.go
@@ -38,7 +38,7 @@
       once: {serves: s, values: {repeatable: false}}
 `
 
-func ask(n, words int, streamed bool, model string) drive.Ask {
+func chatAsk(n, words int, streamed bool, model string) drive.Ask {
 	return drive.Ask{
 		Chat: fakes.ChatRequest{
 			Model:     model,
@@ -62,42 +62,42 @@
 		return err
 	}
 	defer f.Close()
-	if err := idle(out, f); err != nil {
+	if err := writeIdleMemory(out, f); err != nil {
 		return err
 	}
-	added(out, f)
-	return rates(out, f)
+	measureLatency(out, f)
+	return measureRates(out, f)
 }
 
-func idle(out io.Writer, f *rig.Fleet) error {
+func writeIdleMemory(out io.Writer, f *rig.Fleet) error {
 	for _, n := range f.Nodes() {
 		u, err := n.Usage()
 		if err != nil {
 			return err
 		}
-		_, _ = fmt.Fprintf(out, "idle %s: resident %.1f MB\n", n.VM.Name, megabytes(u.Resident))
+		_, _ = fmt.Fprintf(out, "idle %s: resident %.1f MB\n", n.VM.Name, megabytes(u.ResidentBytes))
 	}
 	return nil
 }
 
 func megabytes(n int64) float64 { return float64(n) / (1 << 20) }
 
-// addedRequests is how many calls of each kind the latency is taken from.
-const addedRequests = 3000
+// latencyRequests is how many calls of each kind the latency is taken from.
+const latencyRequests = 3000
 
-// added calls the engine directly and through the path by turns.
-func added(out io.Writer, f *rig.Fleet) {
+// measureLatency calls the engine directly and through the path by turns.
+func measureLatency(out io.Writer, f *rig.Fleet) {
 	through := f.Caller(0, gaugeKey)
-	direct := drive.NewCaller(f.Endpoint(f.Guards[0]), "")
+	direct := drive.NewCaller(f.EndpointAddr(f.Guards[0]), "")
 	for _, streamed := range []bool{false, true} {
 		var hs [2]*hdrhistogram.Histogram
 		for i := range hs {
 			hs[i] = hdrhistogram.New(1, 60_000_000, 3)
 		}
-		for n := range addedRequests {
+		for n := range latencyRequests {
 			for i, c := range []*drive.Caller{direct, through} {
 				model := [2]string{"m@1", "chat"}[i]
-				a, err := c.Do(ask(n, 1, streamed, model))
+				a, err := c.Do(chatAsk(n, 1, streamed, model))
 				if err == nil && a.Bad == "" && a.Err == nil {
 					_ = hs[i].RecordValue(a.Done.Sub(a.Sent).Microseconds())
 				}
@@ -111,9 +111,9 @@
 	}
 }
 
-// workers send one request after the other until the deadline, and return how
+// runWorkers send one request after the other until the deadline, and return how
 // many were answered right.
-func workers(c *drive.Caller, n int, until time.Time, next func(i int) drive.Ask) int {
+func runWorkers(c *drive.Caller, n int, until time.Time, next func(i int) drive.Ask) int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	right := 0
@@ -121,14 +121,14 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			mine := 0
+			answered := 0
 			for i := w; time.Now().Before(until); i += n {
 				if a, err := c.Do(next(i)); err == nil && a.Bad == "" && a.Err == nil {
-					mine++
+					answered++
 				}
 			}
 			mu.Lock()
-			right += mine
+			right += answered
 			mu.Unlock()
 		}()
 	}
@@ -136,10 +136,10 @@
 	return right
 }
 
-// rateFor is how long each rate is measured.
-const rateFor = 4 * time.Second
+// rateDuration is how long each rate is measured.
+const rateDuration = 4 * time.Second
 
-func rates(out io.Writer, f *rig.Fleet) error {
+func measureRates(out io.Writer, f *rig.Fleet) error {
 	for _, shape := range []struct {
 		name    string
 		words   int
@@ -150,8 +150,8 @@
 			return err
 		}
 		start := time.Now()
-		n := workers(f.Caller(0, gaugeKey), shape.workers, start.Add(rateFor), func(i int) drive.Ask {
-			return ask(i, shape.words, true, "chat")
+		n := runWorkers(f.Caller(0, gaugeKey), shape.workers, start.Add(rateDuration), func(i int) drive.Ask {
+			return chatAsk(i, shape.words, true, "chat")
 		})
 		seconds := time.Since(start).Seconds()
 		after, err := usages(f)
@@ -162,7 +162,7 @@
 		for i, node := range f.Nodes() {
 			cpu := after[i].CPU.Sub(before[i].CPU).Seconds()
 			_, _ = fmt.Fprintf(out, "  %s: %.1f us of processor and %.0f allocations per request, resident %.1f MB\n", node.VM.Name,
-				cpu/float64(n)*1e6, float64(after[i].Mallocs-before[i].Mallocs)/float64(n), megabytes(after[i].Resident))
+				cpu/float64(n)*1e6, float64(after[i].Mallocs-before[i].Mallocs)/float64(n), megabytes(after[i].ResidentBytes))
 		}
 	}
 	return nil
--- a/internal/gauge/recovery.go
+++ b/internal/gauge/recovery.go
@@ -19,23 +19,23 @@
 // recoveryRate is the rate of requests while processes are killed, a second.
 const recoveryRate = 200
 
-// failures gathers answers that were not whole, and when the last one came.
-type failures struct {
+// answerCounts gathers answers that were not whole, and when the last one came.
+type answerCounts struct {
 	mu    sync.Mutex
 	count map[string]int
 	last  time.Time
 	whole int
 	// late counts whole answers that took longer than lateAfter, slowest is
 	// the longest that one took, in seconds.
-	late    int
-	slowest float64
+	late       int
+	maxSeconds float64
 }
 
-// lateAfter is when an answer counts as late; without a fault they take a few
+// lateThreshold is when an answer counts as late; without a fault they take a few
 // milliseconds.
-const lateAfter = 250 * time.Millisecond
+const lateThreshold = 250 * time.Millisecond
 
-func (f *failures) add(_ string, a drive.Answer, err error) {
+func (f *answerCounts) add(_ string, a drive.Answer, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -48,8 +48,8 @@
 	default:
 		f.whole++
 		took := a.Done.Sub(a.Sent)
-		f.slowest = max(f.slowest, took.Seconds())
-		if took > lateAfter {
+		f.maxSeconds = max(f.maxSeconds, took.Seconds())
+		if took > lateThreshold {
 			f.late++
 		}
 		return
@@ -57,13 +57,13 @@
 	f.last = time.Now()
 }
 
-// take returns what was gathered since the last call.
-func (f *failures) take() *failures {
+// reset returns what was gathered since the last call.
+func (f *answerCounts) reset() *answerCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := &failures{count: maps.Clone(f.count), whole: f.whole, last: f.last, late: f.late, slowest: f.slowest}
+	out := &answerCounts{count: maps.Clone(f.count), whole: f.whole, last: f.last, late: f.late, maxSeconds: f.maxSeconds}
 	clear(f.count)
-	f.whole, f.last, f.late, f.slowest = 0, time.Time{}, 0, 0
+	f.whole, f.last, f.late, f.maxSeconds = 0, time.Time{}, 0, 0
 	return out
 }
 
@@ -82,12 +82,12 @@
 		return err
 	}
 	defer f.Close()
-	seen := &failures{count: make(map[string]int)}
+	seen := &answerCounts{count: make(map[string]int)}
 	n := 0
 	l := drive.Load{
 		Callers: []*drive.Caller{f.Caller(1, gaugeKey), f.Caller(2, gaugeKey)}, PerSecond: recoveryRate, Seed: 1, Most: 2000, OnAnswer: seen.add,
 		Mix: []drive.Share{
-			{Name: "chat", Weight: 1, Make: func(int) drive.Ask { n++; return ask(n, 5, true, "chat") }},
+			{Name: "chat", Weight: 1, Make: func(int) drive.Ask { n++; return chatAsk(n, 5, true, "chat") }},
 			{Name: "note", Weight: 1, Make: func(int) drive.Ask {
 				n++
 				return drive.Ask{Path: "/svc/once/lodge", Body: fmt.Sprint("note ", n), Deadline: time.Now().Add(30 * time.Second)}
@@ -99,13 +99,13 @@
 		do   func() error
 	}{
 		{"nothing", func() error { return nil }},
-		{"engine's guard killed, back after 2 s", killed(ctx, f.Guards[0])},
-		{"service's guard killed, back after 2 s", killed(ctx, f.Guards[3])},
-		{"engine's guard frozen for 2 s", frozen(ctx, f.Guards[1])},
-		{"engine's guard stopped as planned, back after", stopped(f.Guards[2])},
-		{"another entry killed, back after 2 s", killed(ctx, f.Entries[0])},
+		{"engine's guard killed, back after 2 s", killAndRestart(ctx, f.Guards[0])},
+		{"service's guard killed, back after 2 s", killAndRestart(ctx, f.Guards[3])},
+		{"engine's guard frozen for 2 s", freezeAndThaw(ctx, f.Guards[1])},
+		{"engine's guard stopped as planned, back after", stopAndRestart(f.Guards[2])},
+		{"another entry killed, back after 2 s", killAndRestart(ctx, f.Entries[0])},
 	}
-	l.Until = time.Now().Add(time.Duration(len(steps)) * recoveryStep)
+	l.Until = time.Now().Add(time.Duration(len(steps)) * stepDuration)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -113,21 +113,21 @@
 	}()
 	for _, s := range steps {
 		tasks.Pause(ctx, time.Now().Add(time.Second))
-		seen.take()
+		seen.reset()
 		start := time.Now()
 		if err := s.do(); err != nil {
 			return err
 		}
-		tasks.Pause(ctx, time.Now().Add(recoveryStep-time.Since(start)-time.Second))
-		got := seen.take()
+		tasks.Pause(ctx, time.Now().Add(stepDuration-time.Since(start)-time.Second))
+		got := seen.reset()
 		noticed := time.Duration(0)
 		if !got.last.IsZero() {
 			noticed = got.last.Sub(start)
 		}
-		_, _ = fmt.Fprintf(out, "%s: whole %d, late %d, slowest %.3f s, failed %v, last failure after %.2f s\n", s.name, got.whole, got.late, got.slowest, got.count, noticed.Seconds())
+		_, _ = fmt.Fprintf(out, "%s: whole %d, late %d, slowest %.3f s, failed %v, last failure after %.2f s\n", s.name, got.whole, got.late, got.maxSeconds, got.count, noticed.Seconds())
 	}
 	<-ended
-	for body, times := range f.Bodies() {
+	for body, times := range f.ServiceCalls() {
 		if times > 1 {
 			_, _ = fmt.Fprintf(out, "%q ran %d times\n", body, times)
 		}
@@ -135,32 +135,32 @@
 	return nil
 }
 
-// recoveryStep is how long each step is watched.
-const recoveryStep = 8 * time.Second
+// stepDuration is how long each step is watched.
+const stepDuration = 8 * time.Second
 
-// awayFor is how long a process is killed or frozen.
-const awayFor = 2 * time.Second
+// outageDuration is how long a process is killed or frozen.
+const outageDuration = 2 * time.Second
 
-func killed(ctx context.Context, n *rig.Node) func() error {
+func killAndRestart(ctx context.Context, n *rig.Node) func() error {
 	return func() error {
 		n.Kill()
-		tasks.Pause(ctx, time.Now().Add(awayFor))
+		tasks.Pause(ctx, time.Now().Add(outageDuration))
 		return n.Start()
 	}
 }
 
-func frozen(ctx context.Context, n *rig.Node) func() error {
+func freezeAndThaw(ctx context.Context, n *rig.Node) func() error {
 	return func() error {
 		n.Freeze()
-		tasks.Pause(ctx, time.Now().Add(awayFor))
+		tasks.Pause(ctx, time.Now().Add(outageDuration))
 		n.Thaw()
 		return nil
 	}
 }
 
-func stopped(n *rig.Node) func() error {
+func stopAndRestart(n *rig.Node) func() error {
 	return func() error {
-		if err := n.Stop(time.Now().Add(recoveryStep)); err != nil {
+		if err := n.Stop(time.Now().Add(stepDuration)); err != nil {
 			return err
 		}
 		return n.Start()
--- a/internal/rig/answer_test.go
+++ b/internal/rig/answer_test.go
@@ -60,7 +60,7 @@
 	_ = c.Close()
 	start := time.Now()
 	waitFor(t, "the end of the run", func() bool { return running() == 0 })
-	if took := time.Since(start); took > promptly {
+	if took := time.Since(start); took > maxPromptDelay {
 		t.Errorf("the run of a gone caller ended after %v, want at once", took)
 	}
 }
@@ -83,7 +83,7 @@
 	for range 5 {
 		expect(t, "another caller", <-send(f, 0, chat("history", "lot", true)), "whole")
 	}
-	_ = c.SetReadDeadline(soon())
+	_ = c.SetReadDeadline(stepDeadline())
 	// Without the framing of the answer: a chunk may end in the middle of an event.
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -93,7 +93,7 @@
 	var all strings.Builder
 	p := make([]byte, 8<<10)
 	for {
-		_ = c.SetReadDeadline(soon())
+		_ = c.SetReadDeadline(stepDeadline())
 		n, err := resp.Body.Read(p)
 		all.Write(p[:n])
 		if err != nil {
@@ -112,7 +112,7 @@
 // did not run, although the platform is down, loses answers, and the entry is
 // killed before it has written.
 func TestBills(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: testPools(1), Guard: "billAfter: 500ms\n"})
+	f := startFleet(t, Options{Entries: 2, Pools: testPools(1), GuardSettings: "billAfter: 500ms\n"})
 	f.Objects.Set(fakes.Faults{Down: true})
 	want := map[string]bool{}
 	ask := func(entry int, a drive.Ask) {
@@ -135,7 +135,7 @@
 	})
 	f.Objects.Set(fakes.Faults{})
 	for _, n := range append(f.Guards, f.Entries[1]) {
-		if err := n.Stop(soon()); err != nil {
+		if err := n.Stop(stepDeadline()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -162,8 +162,8 @@
 	for range requests {
 		expect(t, "a chat while the pool fails", <-send(f, 0, chat("history", "lot", false)), "endpointLost/mayHaveRun", "endpointFailed/mayHaveRun", "notWhole/ran")
 	}
-	if got, most := len(f.EngineRuns()), requests*13/10; got > most || got < requests {
-		t.Errorf("attempts of %d requests: got %d, want at most %d", requests, got, most)
+	if got, maxAttempts := len(f.EngineRuns()), requests*13/10; got > maxAttempts || got < requests {
+		t.Errorf("attempts of %d requests: got %d, want at most %d", requests, got, maxAttempts)
 	}
 }
 
@@ -180,7 +180,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.Ready(soon()); err != nil {
+	if err := f.WaitReady(stepDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	cheaper := strings.Replace(testSettings, `"3": {pool: deedwriter, cost: 12`, `"3": {pool: deedwriter, cost: 1`, 1)
@@ -188,7 +188,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.InForce(revision, soon()); err != nil {
+	if err := f.WaitRevision(revision, stepDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	next := chat("tags", "lot", true)
@@ -207,7 +207,7 @@
 	pools[0].Slots, pools[0].Engine.Slots = 1, 1
 	pools[0].Engine.PerToken = span("100ms")
 	f := startFleet(t, Options{Entries: 1, Pools: pools})
-	ask := func(within time.Duration) <-chan sent {
+	ask := func(within time.Duration) <-chan outcome {
 		a := chat("history", "lot", false)
 		a.Chat.MaxTokens = 200
 		a.Header["Traildrift-Deadline"] = time.Now().Add(within).Format(time.RFC3339Nano)
@@ -218,12 +218,12 @@
 	waiting := ask(500 * time.Millisecond)
 	got := <-waiting
 	expect(t, "one that waits", got, "deadlinePassed/notRun")
-	if got.took > promptly {
+	if got.took > maxPromptDelay {
 		t.Errorf("the answer took %v, want it soon after the deadline", got.took)
 	}
 	got = <-running
 	expect(t, "one that runs", got, "deadlinePassed/mayHaveRun", "notWhole/ran", "endpointLost/mayHaveRun", "deadlinePassed/ran")
-	if got.took > promptly {
+	if got.took > maxPromptDelay {
 		t.Errorf("the answer took %v, want it soon after the deadline", got.took)
 	}
 	waitFor(t, "the end of the run", func() bool { n, _ := f.Engines["deedwriter-1"].Load(); return n == 0 })
@@ -239,7 +239,7 @@
 	pools[0].Slots, pools[0].Waiting = 1, 2
 	pools[0].Engine.PerToken = span("20ms")
 	f := startFleet(t, Options{Entries: 1, Pools: pools})
-	var all []<-chan sent
+	var all []<-chan outcome
 	for range 12 {
 		all = append(all, send(f, 0, chat("history", "lot", true)))
 	}
@@ -264,7 +264,7 @@
 // billed once in the end, by the guard where the entry could not hold its line.
 func TestOutageBeyondBuffers(t *testing.T) {
 	refusing := strings.Replace(testSettings, "history: {values: {qualityTarget: 0.9}}", "history: {values: {qualityTarget: 0.9, onBillsFull: refuse}}", 1)
-	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: refusing, Entry: "recordsHeld: 4\n", Guard: "billAfter: 300ms\n"})
+	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: refusing, EntrySettings: "recordsHeld: 4\n", GuardSettings: "billAfter: 300ms\n"})
 	f.Objects.Set(fakes.Faults{Down: true})
 	want := map[string]bool{}
 	for i := range 10 {
--- a/internal/rig/counts.go
+++ b/internal/rig/counts.go
@@ -9,10 +9,10 @@
 	"github.com/traildrift/traildrift/internal/spread"
 )
 
-// Bodies counts how often each body was really lodged, over all services.
-func (f *Fleet) Bodies() map[string]int {
+// ServiceCalls counts how often each body was really lodged, over all services.
+func (f *Fleet) ServiceCalls() map[string]int {
 	out := make(map[string]int)
-	for _, p := range f.Plains {
+	for _, p := range f.Services {
 		for body, n := range p.Bodies() {
 			out[body] += n
 		}
@@ -42,16 +42,16 @@
 
 // Revision returns the revision that was accepted last.
 func (f *Fleet) Revision() (int64, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	head, _, err := spread.ReadHead(ctx, f.Store)
 	return head.Revision, err
 }
 
-// Holder returns the guard whose service has lodged a body, or nil.
-func (f *Fleet) Holder(body string) *Node {
+// GuardOfCall returns the guard whose service has lodged a body, or nil.
+func (f *Fleet) GuardOfCall(body string) *Node {
 	for _, n := range f.Guards {
-		if p := f.Plains[n.VM.Name]; p != nil && p.Bodies()[body] > 0 {
+		if p := f.Services[n.VM.Name]; p != nil && p.Bodies()[body] > 0 {
 			return n
 		}
 	}
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -34,8 +34,8 @@
 	Slots     int
 	Waiting   int
 	Engine    fakes.EngineOptions
-	// Work is how long a call of a plain service takes.
-	Work config.Span
+	// ServiceTime is how long a call of a plain service takes.
+	ServiceTime config.Span
 }
 
 // Options describe a fleet.
@@ -48,14 +48,14 @@
 	Pools   []Pool
 	// Settings is the tree in force from the beginning, as YAML.
 	Settings string
-	// Secured says that Entry names TLS files for callers, so that readiness
+	// CallerTLS says that Entry names TLS files for callers, so that readiness
 	// is asked for over TLS.
-	Secured bool
-	// Unlinked says that not every entry links to every guard.
-	Unlinked bool
-	// Entry and Guard are added to the process settings, as YAML.
-	Entry, Guard string
-	Seed         uint64
+	CallerTLS bool
+	// PartialLinks says that not every entry links to every guard.
+	PartialLinks bool
+	// EntrySettings and GuardSettings are added to the process settings, as YAML.
+	EntrySettings, GuardSettings string
+	Seed                         uint64
 }
 
 // Fleet is a running fleet.
@@ -67,27 +67,27 @@
 	Entries []*Node
 	Guards  []*Node
 	// Engines, Plains and Relays are by the name of their VM.
-	Engines  map[string]*fakes.Engine
-	Plains   map[string]*fakes.Plain
-	Relays   map[string]*Relay
-	Platform netip.AddrPort
-	opts     Options
-	block    netip.Addr
-	next     byte
-	keyFile  string
-	served   []*fakes.Served
-	vms      []store.VM
+	Engines    map[string]*fakes.Engine
+	Services   map[string]*fakes.Plain
+	Relays     map[string]*Relay
+	Platform   netip.AddrPort
+	opts       Options
+	firstIP    netip.Addr
+	lastOffset byte
+	keyFile    string
+	servers    []*fakes.Served
+	vms        []store.VM
 }
 
-// blocks counts the fleets of this process.
-var blocks atomic.Uint32
+// fleetCount counts the fleets of this process.
+var fleetCount atomic.Uint32
 
-// newBlock returns the first IP number of a block for one fleet, of which no
+// newIPBlock returns the first IP number of a block for one fleet, of which no
 // other fleet on this machine has listened on yet.
-func newBlock() (netip.Addr, error) {
+func newIPBlock() (netip.Addr, error) {
 	const second, third = 200, 250
 	for range second {
-		pid, n := uint32(os.Getpid()), blocks.Add(1)
+		pid, n := uint32(os.Getpid()), fleetCount.Add(1)
 		a := netip.AddrFrom4([4]byte{127, byte(2 + (pid+n/third)%second), byte(1 + (pid/second+n)%third), 1})
 		ln, err := net.Listen("tcp", netip.AddrPortFrom(a, portPlatform).String())
 		if err == nil {
@@ -97,25 +97,25 @@
 	return netip.Addr{}, errors.New("rig: no free block of IP numbers")
 }
 
-// ip returns the next IP number of the block.
-func (f *Fleet) ip() netip.Addr {
-	b := f.block.As4()
-	f.next++
-	b[3] += f.next
+// nextIP returns the next IP number of the block.
+func (f *Fleet) nextIP() netip.Addr {
+	b := f.firstIP.As4()
+	f.lastOffset++
+	b[3] += f.lastOffset
 	return netip.AddrFrom4(b)
 }
 
 // Start starts a fleet and waits until its entries are ready.
 func Start(o Options) (*Fleet, error) {
-	block, err := newBlock()
+	block, err := newIPBlock()
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{
 		opts:     o,
-		block:    block,
+		firstIP:  block,
 		Engines:  make(map[string]*fakes.Engine),
-		Plains:   make(map[string]*fakes.Plain),
+		Services: make(map[string]*fakes.Plain),
 		Relays:   make(map[string]*Relay),
 		Platform: netip.AddrPortFrom(block, portPlatform),
 	}
@@ -152,18 +152,18 @@
 			return err
 		}
 	}
-	return f.Ready(time.Now().Add(readyWithin))
+	return f.WaitReady(time.Now().Add(startTimeout))
 }
 
-// readyWithin bounds the start of a fleet.
-const readyWithin = 20 * time.Second
+// startTimeout bounds the start of a fleet.
+const startTimeout = 20 * time.Second
 
 func (f *Fleet) serve(addr netip.AddrPort, handle fasthttp.RequestHandler) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return nil, err
 	}
-	f.served = append(f.served, fakes.Serve(ln, handle))
+	f.servers = append(f.servers, fakes.Serve(ln, handle))
 	return ln, nil
 }
 
@@ -188,22 +188,22 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	c, err := commit.Apply(ctx, f.Store, commit.Edit{ID: proc.NewID(), Author: author, At: time.Now(), Base: -1, Nodes: file.Nodes()})
 	return c.Revision, err
 }
 
-// InForce waits until every live VM's process has the revision.
-func (f *Fleet) InForce(revision int64, deadline time.Time) error {
+// WaitRevision waits until every live VM's process has the revision.
+func (f *Fleet) WaitRevision(revision int64, deadline time.Time) error {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	return desk.Wait(ctx, f.VMs, f.Keys, revision)
 }
 
-func (f *Fleet) zone() string { return f.opts.Zones[int(f.next)%len(f.opts.Zones)] }
+func (f *Fleet) nextZone() string { return f.opts.Zones[int(f.lastOffset)%len(f.opts.Zones)] }
 
-func (f *Fleet) common(n *Node, zone string, ip netip.Addr) string {
+func (f *Fleet) commonSettings(n *Node, zone string, ip netip.Addr) string {
 	n.VM.AvailabilityZone = zone
 	n.Operators = netip.AddrPortFrom(ip, portOperators)
 	return fmt.Sprintf("vm: %s\navailabilityZone: %s\nlink: %s\noperators: %s\nplatform: %s\nkeys: %s\nstopWithin: 30s\nwriteEvery: 500ms\n",
@@ -211,10 +211,10 @@
 }
 
 func (f *Fleet) addGuard(p Pool) error {
-	zone, ip := f.zone(), f.ip()
+	zone, ip := f.nextZone(), f.nextIP()
 	n := &Node{VM: store.VM{Name: fmt.Sprintf("%s-%d", p.Name, len(f.Guards)+1), Role: store.RoleEndpoint, Pool: p.Name, State: store.VMLive}}
 	endpoint := netip.AddrPortFrom(ip, portEndpoint)
-	text := f.common(n, zone, ip) + fmt.Sprintf("pool: %s\nkind: %s\nendpoint: %s\nslots: %d\nwaiting: %d\n", p.Name, p.Kind, endpoint, p.Slots, p.Waiting) + f.opts.Guard
+	text := f.commonSettings(n, zone, ip) + fmt.Sprintf("pool: %s\nkind: %s\nendpoint: %s\nslots: %d\nwaiting: %d\n", p.Name, p.Kind, endpoint, p.Slots, p.Waiting) + f.opts.GuardSettings
 	if err := f.serveEndpoint(p, n.VM.Name, endpoint); err != nil {
 		return err
 	}
@@ -232,8 +232,8 @@
 func (f *Fleet) serveEndpoint(p Pool, vm string, addr netip.AddrPort) error {
 	seed := f.opts.Seed + uint64(len(f.Guards))
 	if p.Kind == "service" {
-		s := fakes.NewPlain(seed, p.Work)
-		f.Plains[vm] = s
+		s := fakes.NewPlain(seed, p.ServiceTime)
+		f.Services[vm] = s
 		_, err := f.serve(addr, s.Handle)
 		return err
 	}
@@ -250,18 +250,18 @@
 }
 
 func (f *Fleet) addEntry() error {
-	zone, ip := f.zone(), f.ip()
+	zone, ip := f.nextZone(), f.nextIP()
 	n := &Node{VM: store.VM{Name: fmt.Sprintf("entry-%d", len(f.Entries)+1), Role: store.RoleEntry, State: store.VMLive, Link: netip.AddrPortFrom(ip, portLink)}}
 	n.Callers = netip.AddrPortFrom(ip, portCallers)
-	text := f.common(n, zone, ip) + fmt.Sprintf("listen: %s\n", n.Callers) + f.opts.Entry
+	text := f.commonSettings(n, zone, ip) + fmt.Sprintf("listen: %s\n", n.Callers) + f.opts.EntrySettings
 	f.Entries = append(f.Entries, n)
 	return f.launch(n, text)
 }
 
 func (f *Fleet) launch(n *Node, text string) error {
-	n.file = filepath.Join(f.opts.Dir, n.VM.Name+".yaml")
+	n.settingsFile = filepath.Join(f.opts.Dir, n.VM.Name+".yaml")
 	n.logFile = filepath.Join(f.opts.Dir, n.VM.Name+".log")
-	if err := os.WriteFile(n.file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(n.settingsFile, []byte(text), 0o600); err != nil {
 		return err
 	}
 	f.vms = append(f.vms, n.VM)
@@ -269,8 +269,8 @@
 	return n.Start()
 }
 
-// SetState changes the state of a VM in the VM list.
-func (f *Fleet) SetState(vm, state string) {
+// SetVMState changes the state of a VM in the VM list.
+func (f *Fleet) SetVMState(vm, state string) {
 	for i := range f.vms {
 		if f.vms[i].Name == vm {
 			f.vms[i].State = state
@@ -279,8 +279,8 @@
 	f.Objects.SetVMs(f.vms)
 }
 
-// Ready waits until every entry is ready and may use every running guard.
-func (f *Fleet) Ready(deadline time.Time) error {
+// WaitReady waits until every entry is ready and may use every running guard.
+func (f *Fleet) WaitReady(deadline time.Time) error {
 	want := 0
 	for _, n := range f.Guards {
 		if n.Running() {
@@ -291,30 +291,30 @@
 		if !n.Running() {
 			continue
 		}
-		if err := f.caller(n, "", f.opts.Secured).Ready(deadline); err != nil {
+		if err := f.caller(n, "", f.opts.CallerTLS).Ready(deadline); err != nil {
 			return errors.Wrap(err, n.Log())
 		}
-		for n.usable() < want && !f.opts.Unlinked {
+		for n.usableEndpoints() < want && !f.opts.PartialLinks {
 			if time.Now().After(deadline) {
-				return errors.Newf("%s may use %d of %d guards", n.VM.Name, n.usable(), want)
+				return errors.Newf("%s may use %d of %d guards", n.VM.Name, n.usableEndpoints(), want)
 			}
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
 }
 
-// readyPoll is how often an entry is asked for its links.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is how often an entry is asked for its links.
+const readyPollInterval = 20 * time.Millisecond
 
 // Caller returns a caller of the numbered entry.
 func (f *Fleet) Caller(i int, key string) *drive.Caller {
 	return f.caller(f.Entries[i], key, false)
 }
 
-// SecureCaller returns a caller of the numbered entry that uses TLS and takes
+// TLSCaller returns a caller of the numbered entry that uses TLS and takes
 // any certificate.
-func (f *Fleet) SecureCaller(i int, key string) *drive.Caller {
+func (f *Fleet) TLSCaller(i int, key string) *drive.Caller {
 	return f.caller(f.Entries[i], key, true)
 }
 
@@ -326,8 +326,8 @@
 	return c
 }
 
-// Endpoint returns where the engine or service beside a guard listens.
-func (f *Fleet) Endpoint(n *Node) netip.AddrPort {
+// EndpointAddr returns where the engine or service beside a guard listens.
+func (f *Fleet) EndpointAddr(n *Node) netip.AddrPort {
 	return netip.AddrPortFrom(n.Operators.Addr(), portEndpoint)
 }
 
@@ -342,7 +342,7 @@
 	for _, r := range f.Relays {
 		r.Close()
 	}
-	for _, s := range f.served {
+	for _, s := range f.servers {
 		_ = s.Close()
 	}
 }
--- a/internal/rig/door_test.go
+++ b/internal/rig/invalid_test.go
@@ -27,26 +27,26 @@
 	"github.com/traildrift/traildrift/internal/proc"
 )
 
-// raw sends bytes to an entry and returns what comes back until it closes.
-func raw(t *testing.T, f *Fleet, text string) string {
+// sendRaw sends bytes to an entry and returns what comes back until it closes.
+func sendRaw(t *testing.T, f *Fleet, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Entries[0].Callers.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(soon())
+	_ = c.SetDeadline(stepDeadline())
 	_, _ = io.WriteString(c, text)
 	got, _ := io.ReadAll(c)
 	return string(got)
 }
 
-// TestDoor lets no one in who should not be, and nothing that is too large, too
+// TestInvalidRequests lets no one in who should not be, and nothing that is too large, too
 // slow or broken.
-func TestDoor(t *testing.T) {
-	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Entry: "maxBody: 1000\nmaxHeader: 2000\nreadWithin: 300ms\n"})
+func TestInvalidRequests(t *testing.T) {
+	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), EntrySettings: "maxBody: 1000\nmaxHeader: 2000\nreadWithin: 300ms\n"})
 	ask := func(key string, a drive.Ask) string {
-		a.Deadline = soon()
+		a.Deadline = stepDeadline()
 		got, err := f.Caller(0, key).Do(a)
 		return result(got, err)
 	}
@@ -71,14 +71,14 @@
 		}
 	}
 	start := time.Now()
-	raw(t, f, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Slow: ")
-	if took := time.Since(start); took > promptly {
+	sendRaw(t, f, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Slow: ")
+	if took := time.Since(start); took > maxPromptDelay {
 		t.Errorf("slow headers were waited for %v, want less than 8s", took)
 	}
-	if got := raw(t, f, "no HTTP at all\r\n\r\n"); !strings.Contains(got, "400") {
+	if got := sendRaw(t, f, "no HTTP at all\r\n\r\n"); !strings.Contains(got, "400") {
 		t.Errorf("no HTTP: got %q, want a status 400", got)
 	}
-	if got := len(f.EngineRuns()) + len(f.Bodies()); got != 0 {
+	if got := len(f.EngineRuns()) + len(f.ServiceCalls()); got != 0 {
 		t.Errorf("runs: got %d, want 0", got)
 	}
 }
@@ -151,9 +151,9 @@
 	a.issue(t, "first", "first")
 	linkTLS := fmt.Sprintf("linkTLS: {cert: %[1]s/first.crt, key: %[1]s/first.key, ca: %[1]s/ca.pem}\n", dir)
 	f := startFleet(t, Options{
-		Entries: 1, Pools: testPools(1), Secured: true,
-		Entry: linkTLS + fmt.Sprintf("tls: {cert: %[1]s/first.crt, key: %[1]s/first.key}\n", dir),
-		Guard: linkTLS,
+		Entries: 1, Pools: testPools(1), CallerTLS: true,
+		EntrySettings: linkTLS + fmt.Sprintf("tls: {cert: %[1]s/first.crt, key: %[1]s/first.key}\n", dir),
+		GuardSettings: linkTLS,
 	})
 	seen := func() string {
 		c, err := tls.Dial("tcp", f.Entries[0].Callers.String(), &tls.Config{InsecureSkipVerify: true})
@@ -167,7 +167,7 @@
 		t.Errorf("certificate: got %s, want first", got)
 	}
 	waitFor(t, "a chat over TLS", func() bool {
-		got, err := f.SecureCaller(0, testKey).Do(chat("history", "lot", true))
+		got, err := f.TLSCaller(0, testKey).Do(chat("history", "lot", true))
 		return result(got, err) == "whole"
 	})
 	a.issue(t, "first", "second")
@@ -189,7 +189,7 @@
 
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for deadline := soon(); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	for deadline := stepDeadline(); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if ok() {
 			return
 		}
@@ -199,7 +199,7 @@
 
 // TestSecrets finds no secret in logs and dumps.
 func TestSecrets(t *testing.T) {
-	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Entry: "logLevel: debug\n", Guard: "logLevel: debug\n"})
+	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), EntrySettings: "logLevel: debug\n", GuardSettings: "logLevel: debug\n"})
 	expect(t, "chat", <-send(f, 0, chat("history", "lot", false)), "whole")
 	keys, err := os.ReadFile(f.keyFile)
 	if err != nil {
@@ -256,13 +256,13 @@
 // TestRefusedCallerMayFinishSending sends the rest of a request after its refusal:
 // a reset would break callers that are still sending, and lose them the answer.
 func TestRefusedCallerMayFinishSending(t *testing.T) {
-	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Entry: "maxHeader: 2000\n"})
+	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), EntrySettings: "maxHeader: 2000\n"})
 	c, err := net.Dial("tcp", f.Entries[0].Callers.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(soon())
+	_ = c.SetDeadline(stepDeadline())
 	if _, err := io.WriteString(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Large: "+strings.Repeat("x", 3000)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/once_test.go
+++ b/internal/rig/keys_test.go
@@ -15,10 +15,10 @@
 	"github.com/traildrift/traildrift/internal/fakes"
 )
 
-// slowRegister has calls that take long enough for a fault to hit them.
-func slowRegister(work string) []Pool {
+// slowServicePools has calls that take long enough for a fault to hit them.
+func slowServicePools(work string) []Pool {
 	pools := testPools(2)
-	pools[2].Work = span(work)
+	pools[2].ServiceTime = span(work)
 	return pools
 }
 
@@ -36,29 +36,29 @@
 	}
 }
 
-// sent is a request under way.
-type sent struct {
+// outcome is a request under way.
+type outcome struct {
 	answer drive.Answer
 	result string
 	took   time.Duration
 }
 
 // send sends a request in the background.
-func send(f *Fleet, entry int, a drive.Ask) <-chan sent {
-	out := make(chan sent, 1)
+func send(f *Fleet, entry int, a drive.Ask) <-chan outcome {
+	out := make(chan outcome, 1)
 	go func() {
 		start := time.Now()
 		got, err := f.Caller(entry, testKey).Do(a)
-		out <- sent{got, result(got, err), time.Since(start)}
+		out <- outcome{got, result(got, err), time.Since(start)}
 	}()
 	return out
 }
 
-// lodged waits until a body was lodged and returns its guard.
-func lodged(t *testing.T, f *Fleet, body string) *Node {
+// waitForCall waits until a body was waitForCall and returns its guard.
+func waitForCall(t *testing.T, f *Fleet, body string) *Node {
 	t.Helper()
-	for deadline := soon(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		if n := f.Holder(body); n != nil {
+	for deadline := stepDeadline(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if n := f.GuardOfCall(body); n != nil {
 			return n
 		}
 	}
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func expect(t *testing.T, what string, got sent, want ...string) {
+func expect(t *testing.T, what string, got outcome, want ...string) {
 	t.Helper()
 	for _, w := range want {
 		if got.result == w {
@@ -76,9 +76,9 @@
 	t.Errorf("%s: got %s (%v), want %v", what, got.result, got.answer.Err, want)
 }
 
-func expectLodged(t *testing.T, f *Fleet, body string, want int) {
+func expectCalls(t *testing.T, f *Fleet, body string, want int) {
 	t.Helper()
-	if got := f.Bodies()[body]; got != want {
+	if got := f.ServiceCalls()[body]; got != want {
 		t.Errorf("%q was lodged %d times, want %d", body, got, want)
 	}
 }
@@ -86,14 +86,14 @@
 // keyKinds are the two kinds of key that allow one run only.
 var keyKinds = []string{"own", "ticket"}
 
-// keyOf returns a fresh key of a kind, a ticket being that of the numbered
+// newKey returns a fresh key of a kind, a ticket being that of the numbered
 // entry.
-func keyOf(t *testing.T, f *Fleet, kind string, entry int) string {
+func newKey(t *testing.T, f *Fleet, kind string, entry int) string {
 	t.Helper()
 	if kind == "own" {
 		return fmt.Sprintf("%s-%d", t.Name(), time.Now().UnixNano())
 	}
-	a, err := f.Caller(entry, testKey).Do(drive.Ask{Path: "/v1/tickets", Deadline: soon()})
+	a, err := f.Caller(entry, testKey).Do(drive.Ask{Path: "/v1/tickets", Deadline: stepDeadline()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,11 +109,11 @@
 // TestRepeats sends one key many times to both entries at once: one run, and
 // every caller gets its answer, also later. Another body is refused.
 func TestRepeats(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("100ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("100ms")})
 	for _, kind := range keyKinds {
 		body := "note " + kind
-		key := keyOf(t, f, kind, 0)
-		var all []<-chan sent
+		key := newKey(t, f, kind, 0)
+		var all []<-chan outcome
 		for i := range 10 {
 			all = append(all, send(f, i%2, note(key, body)))
 		}
@@ -132,23 +132,23 @@
 		expect(t, kind+", later", <-send(f, 1, note(key, body)), "whole")
 		expect(t, kind+", another body", <-send(f, 0, note(key, "other")), "keyReused/notRun")
 		expect(t, kind+", another body elsewhere", <-send(f, 1, note(key, "other")), "keyReused/notRun")
-		expectLodged(t, f, body, 1)
-		expectLodged(t, f, "other", 0)
+		expectCalls(t, f, body, 1)
+		expectCalls(t, f, "other", 0)
 	}
 }
 
 // TestEntryKilled kills the entry that runs a request: a repeat elsewhere hears
 // at once that it may have run, for good, and it never runs again.
 func TestEntryKilled(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("300ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	keys := map[string]string{}
 	for _, kind := range keyKinds {
-		keys[kind] = keyOf(t, f, kind, 0)
+		keys[kind] = newKey(t, f, kind, 0)
 	}
-	var lost []<-chan sent
+	var lost []<-chan outcome
 	for _, kind := range keyKinds {
 		lost = append(lost, send(f, 0, note(keys[kind], kind)))
-		lodged(t, f, kind)
+		waitForCall(t, f, kind)
 	}
 	f.Entries[0].Kill()
 	for _, kind := range keyKinds {
@@ -156,29 +156,29 @@
 		lost = lost[1:]
 		got := <-send(f, 1, note(keys[kind], kind))
 		expect(t, kind, got, "keyUnsettled/mayHaveRun")
-		if got.took > promptly || got.answer.RetryText == "" {
+		if got.took > maxPromptDelay || got.answer.RetryText == "" {
 			t.Errorf("%s: got an answer after %v with retry %q, want one at once with a time", kind, got.took, got.answer.RetryText)
 		}
 	}
 	if err := f.Entries[0].Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Ready(soon()); err != nil {
+	if err := f.WaitReady(stepDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	for _, kind := range keyKinds {
 		expect(t, kind+" at the entry's next incarnation", <-send(f, 0, note(keys[kind], kind)), "keyUnsettled/mayHaveRun")
-		expectLodged(t, f, kind, 1)
+		expectCalls(t, f, kind, 1)
 	}
 }
 
 // TestEntryFrozen freezes the entry that runs a request past every timeout.
 func TestEntryFrozen(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("300ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	for _, kind := range keyKinds {
-		key := keyOf(t, f, kind, 0)
+		key := newKey(t, f, kind, 0)
 		lost := send(f, 0, note(key, kind))
-		lodged(t, f, kind)
+		waitForCall(t, f, kind)
 		f.Entries[0].Freeze()
 		expectFrozen(t, f, key, kind, send(f, 1, note(key, kind)), lost)
 	}
@@ -187,40 +187,40 @@
 // expectFrozen checks what callers hear of an entry that is frozen, which is thawed then: the
 // repeat at the other entry that the run may have run, at once; the first caller and a later
 // repeat the one run's answer.
-func expectFrozen(t *testing.T, f *Fleet, key, kind string, repeat, lost <-chan sent) {
+func expectFrozen(t *testing.T, f *Fleet, key, kind string, repeat, lost <-chan outcome) {
 	t.Helper()
 	got := <-repeat
 	f.Entries[0].Thaw()
 	expect(t, kind+" while the entry is frozen", got, "keyUnsettled/mayHaveRun")
-	if got.took > promptly {
+	if got.took > maxPromptDelay {
 		t.Errorf("%s: got an answer after %v, want one at once", kind, got.took)
 	}
 	expect(t, kind+" after the thaw", <-lost, "whole")
 	expect(t, kind+" again", <-send(f, 1, note(key, kind)), "whole")
-	expectLodged(t, f, kind, 1)
+	expectCalls(t, f, kind, 1)
 }
 
 // TestEntryFrozenWhileFollowed freezes the entry that runs a request after another
 // entry began to follow the run there: the repeat's caller hears at once that it may
 // have run, as if the entry had been frozen before.
 func TestEntryFrozenWhileFollowed(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("5s")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("5s")})
 	for _, kind := range keyKinds {
-		key := keyOf(t, f, kind, 0)
+		key := newKey(t, f, kind, 0)
 		lost := send(f, 0, note(key, kind))
-		lodged(t, f, kind)
+		waitForCall(t, f, kind)
 		repeat := send(f, 1, note(key, kind))
-		followed(t, f.Entries[0])
+		waitForFollower(t, f.Entries[0])
 		f.Entries[0].Freeze()
 		expectFrozen(t, f, key, kind, repeat, lost)
 	}
 }
 
-// followed waits until another entry follows a run of an entry.
-func followed(t *testing.T, n *Node) {
+// waitForFollower waits until another entry follows a run of an entry.
+func waitForFollower(t *testing.T, n *Node) {
 	t.Helper()
-	for deadline := soon(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		if n.state().Followers > 0 {
+	for deadline := stepDeadline(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if n.readState().Followers > 0 {
 			return
 		}
 	}
@@ -230,14 +230,14 @@
 // TestGuardKilled kills the guard while the service works: the caller hears that
 // it may have run, and no repeat runs it again.
 func TestGuardKilled(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("300ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	for _, kind := range append(keyKinds, "none") {
 		key := ""
 		if kind != "none" {
-			key = keyOf(t, f, kind, 0)
+			key = newKey(t, f, kind, 0)
 		}
 		lost := send(f, 0, note(key, kind))
-		guard := lodged(t, f, kind)
+		guard := waitForCall(t, f, kind)
 		guard.Kill()
 		if err := guard.Start(); err != nil {
 			t.Fatal(err)
@@ -246,49 +246,49 @@
 		if key != "" {
 			expect(t, kind+", repeated", <-send(f, 1, note(key, kind)), "endpointLost/mayHaveRun")
 		}
-		expectLodged(t, f, kind, 1)
+		expectCalls(t, f, kind, 1)
 	}
 }
 
 // TestLinkCut breaks the link between entry and guard at different moments.
 func TestLinkCut(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("200ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("200ms")})
 	each := func(do func(*Relay)) {
 		for _, r := range f.Relays {
 			do(r)
 		}
 	}
 	tests := []struct {
-		name        string
-		before, hit func()
+		name           string
+		before, inject func()
 	}{
-		{"broken while it runs", nil, func() { each((*Relay).Break) }},
+		{"broken while it runs", nil, func() { each((*Relay).CloseConns) }},
 		{"cut for a while", nil, func() { each((*Relay).Cut); time.AfterFunc(500*time.Millisecond, func() { each((*Relay).Heal) }) }},
 		{"answers lost on the way", nil, func() {
-			each((*Relay).Swallow)
-			time.AfterFunc(400*time.Millisecond, func() { each((*Relay).Heal); each((*Relay).Break) })
+			each((*Relay).DropFromVM)
+			time.AfterFunc(400*time.Millisecond, func() { each((*Relay).Heal); each((*Relay).CloseConns) })
 		}},
-		{"request lost on the way", func() { each((*Relay).Drop) }, func() { each((*Relay).Heal); each((*Relay).Break) }},
+		{"request lost on the way", func() { each((*Relay).DropToVM) }, func() { each((*Relay).Heal); each((*Relay).CloseConns) }},
 	}
 	for _, tt := range tests {
 		for _, kind := range append(keyKinds, "none") {
 			body := tt.name + " " + kind
 			key := ""
 			if kind != "none" {
-				key = keyOf(t, f, kind, 0)
+				key = newKey(t, f, kind, 0)
 			}
 			if tt.before != nil {
 				tt.before()
 			}
 			lost := send(f, 0, note(key, body))
 			if tt.before == nil {
-				lodged(t, f, body)
+				waitForCall(t, f, body)
 			} else {
 				time.Sleep(100 * time.Millisecond)
 			}
-			tt.hit()
+			tt.inject()
 			expect(t, body, <-lost, "whole")
-			expectLodged(t, f, body, 1)
+			expectCalls(t, f, body, 1)
 		}
 	}
 }
@@ -298,22 +298,22 @@
 // settled.
 func TestPlatformDown(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
-	ticket := keyOf(t, f, "ticket", 0)
+	ticket := newKey(t, f, "ticket", 0)
 	f.Objects.Set(fakes.Faults{Down: true})
 	got := <-send(f, 0, note("down", "down"))
 	expect(t, "own key", got, "platformDown/notRun")
-	if got.took > promptly || got.answer.RetryText == "" {
+	if got.took > maxPromptDelay || got.answer.RetryText == "" {
 		t.Errorf("own key: got an answer after %v with retry %q, want one at once with a time", got.took, got.answer.RetryText)
 	}
 	expect(t, "ticket", <-send(f, 1, note(ticket, "ticket")), "whole")
-	expect(t, "fresh ticket", <-send(f, 1, note(keyOf(t, f, "ticket", 1), "fresh")), "whole")
+	expect(t, "fresh ticket", <-send(f, 1, note(newKey(t, f, "ticket", 1), "fresh")), "whole")
 	expect(t, "no key", <-send(f, 0, note("", "no key")), "whole")
 	expect(t, "chat", <-send(f, 0, chat("history", "lot", true)), "whole")
-	expectLodged(t, f, "down", 0)
+	expectCalls(t, f, "down", 0)
 	f.Objects.Set(fakes.Faults{LoseAnswers: 1})
 	expect(t, "own key, the write's answer lost", <-send(f, 0, note("lost", "lost")), "whole")
 	expect(t, "repeated elsewhere", <-send(f, 1, note("lost", "lost")), "whole")
-	expectLodged(t, f, "lost", 1)
+	expectCalls(t, f, "lost", 1)
 	for i := range 100 { // every bucket of the claim log was read by then
 		expect(t, "own key", <-send(f, 0, note(fmt.Sprint("warm", i), "warm")), "whole")
 	}
@@ -323,21 +323,21 @@
 	f.Objects.Set(fakes.Faults{})
 	time.Sleep(1500 * time.Millisecond) // the late write has taken effect by then
 	expect(t, "repeated after a claim in doubt", <-send(f, 1, note("slow", "slow")), "whole")
-	expectLodged(t, f, "slow", 1)
+	expectCalls(t, f, "slow", 1)
 }
 
 // TestTickets refuses tickets that are forged or another workspace's.
 func TestTickets(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1)})
-	key := keyOf(t, f, "ticket", 0)
+	key := newKey(t, f, "ticket", 0)
 	expect(t, "forged", <-send(f, 0, note(strings.Replace(key, ".t1.", ".t2.", 1), "forged")), "keyInvalid/notRun")
-	foreign, err := f.Caller(0, "lima-key").Do(drive.Ask{Path: "/v1/tickets", Deadline: soon()})
+	foreign, err := f.Caller(0, "lima-key").Do(drive.Ask{Path: "/v1/tickets", Deadline: stepDeadline()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := strings.Split(string(foreign.Body), `"`)[3]
 	expect(t, "another workspace's", <-send(f, 0, note(other, "foreign")), "keyInvalid/notRun")
-	if got := len(f.Bodies()); got != 0 {
+	if got := len(f.ServiceCalls()); got != 0 {
 		t.Errorf("lodged: got %d, want 0", got)
 	}
 }
@@ -345,7 +345,7 @@
 // TestPlannedStop stops an entry with a stream on it, and guards under load:
 // nothing is cut off.
 func TestPlannedStop(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("200ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("200ms")})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[string]int{}
@@ -376,19 +376,19 @@
 	long := chat("history", "long", true)
 	long.Chat.MaxTokens = 300
 	cut := send(f, 0, long)
-	ticket := keyOf(t, f, "ticket", 0)
+	ticket := newKey(t, f, "ticket", 0)
 	held := send(f, 0, note(ticket, "held"))
-	lodged(t, f, "held")
+	waitForCall(t, f, "held")
 	joined := send(f, 1, note(ticket, "held"))
 	time.Sleep(50 * time.Millisecond)
-	if err := f.Entries[0].Stop(soon()); err != nil {
+	if err := f.Entries[0].Stop(stepDeadline()); err != nil {
 		t.Errorf("stop of an entry: got %v, want nil", err)
 	}
 	expect(t, "a stream at the stopping entry", <-cut, "whole")
 	expect(t, "a ticket's request at the stopping entry", <-held, "whole")
 	expect(t, "one that joined it from another entry", <-joined, "whole")
 	for _, g := range []*Node{f.Guards[0], f.Guards[2], f.Guards[4]} {
-		if err := g.Stop(soon()); err != nil {
+		if err := g.Stop(stepDeadline()); err != nil {
 			t.Errorf("stop of %s: got %v, want nil", g.VM.Name, err)
 		}
 	}
@@ -413,19 +413,19 @@
 	f.Entries[1].Thaw()
 	for i := range keys {
 		expect(t, "repeated elsewhere", <-send(f, 1, note(key(i), key(i))), "whole")
-		expectLodged(t, f, key(i), 1)
+		expectCalls(t, f, key(i), 1)
 	}
 }
 
 // TestGuardSilent cuts the link to the guard for good while the service works:
 // the caller hears in a few seconds that the request may have run.
 func TestGuardSilent(t *testing.T) {
-	f := startFleet(t, Options{Entries: 1, Pools: slowRegister("100ms")})
+	f := startFleet(t, Options{Entries: 1, Pools: slowServicePools("100ms")})
 	lost := send(f, 0, note("", "silent"))
-	guard := lodged(t, f, "silent")
+	guard := waitForCall(t, f, "silent")
 	f.Relays[guard.VM.Name].Cut()
 	expect(t, "after the cut", <-lost, "endpointLost/mayHaveRun")
-	expectLodged(t, f, "silent", 1)
+	expectCalls(t, f, "silent", 1)
 }
 
 // TestKilledBeforeDispatch kills an entry while its claim is on its way. Whether
@@ -446,7 +446,7 @@
 	f.Objects.Set(fakes.Faults{})
 	time.Sleep(100 * time.Millisecond)
 	expect(t, "repeated", <-send(f, 1, note("spent", "spent")), "keyUnsettled/mayHaveRun", "whole")
-	if got := f.Bodies()["spent"]; got > 1 {
+	if got := f.ServiceCalls()["spent"]; got > 1 {
 		t.Errorf("lodged %d times, want at most once", got)
 	}
 }
--- a/internal/rig/main.go
+++ b/internal/rig/main.go
@@ -23,10 +23,10 @@
 	envFile = "TRAILDRIFT_RIG_FILE"
 	// envProfile names a folder for processor profiles, one a process.
 	envProfile = "TRAILDRIFT_RIG_PROFILE"
-	// envOther names a program of another revision that calls Main, and envOtherRole the role
+	// envOtherProgram names a program of another revision that calls Main, and envOtherRole the role
 	// whose processes run it: see scripts/mixed.sh.
-	envOther     = "TRAILDRIFT_RIG_OTHER"
-	envOtherRole = "TRAILDRIFT_RIG_OTHER_ROLE"
+	envOtherProgram = "TRAILDRIFT_RIG_OTHER"
+	envOtherRole    = "TRAILDRIFT_RIG_OTHER_ROLE"
 )
 
 // Main runs the process that the environment asks for and exits; it returns
@@ -36,7 +36,7 @@
 	if role == "" {
 		return
 	}
-	profile(role)
+	startProfile(role)
 	if err := runRole(role, os.Getenv(envFile)); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -44,8 +44,8 @@
 	os.Exit(0)
 }
 
-// profile takes a processor profile of the first seconds, if asked for.
-func profile(role string) {
+// startProfile takes a processor startProfile of the first seconds, if asked for.
+func startProfile(role string) {
 	dir := os.Getenv(envProfile)
 	if dir == "" {
 		return
@@ -54,11 +54,11 @@
 	if err != nil || pprof.StartCPUProfile(out) != nil {
 		return
 	}
-	time.AfterFunc(profileFor, pprof.StopCPUProfile)
+	time.AfterFunc(profileDuration, pprof.StopCPUProfile)
 }
 
-// profileFor is how long a profile is taken.
-const profileFor = 12 * time.Second
+// profileDuration is how long a profile is taken.
+const profileDuration = 12 * time.Second
 
 func runRole(role, file string) error {
 	ctx := context.Background()
--- a/internal/rig/node.go
+++ b/internal/rig/node.go
@@ -28,13 +28,13 @@
 
 // Node is one VM of a fleet, with its process.
 type Node struct {
-	VM        store.VM
-	Callers   netip.AddrPort
-	Operators netip.AddrPort
-	file      string
-	logFile   string
-	cmd       *exec.Cmd
-	ended     chan error
+	VM           store.VM
+	Callers      netip.AddrPort
+	Operators    netip.AddrPort
+	settingsFile string
+	logFile      string
+	cmd          *exec.Cmd
+	exited       chan error
 }
 
 // Start starts the process.
@@ -48,18 +48,18 @@
 	if err != nil {
 		return err
 	}
-	if other := os.Getenv(envOther); other != "" && n.VM.Role == os.Getenv(envOtherRole) {
+	if other := os.Getenv(envOtherProgram); other != "" && n.VM.Role == os.Getenv(envOtherRole) {
 		self = other
 	}
 	n.cmd = exec.Command(self)
-	n.cmd.Env = append(os.Environ(), envRole+"="+n.VM.Role, envFile+"="+n.file)
+	n.cmd.Env = append(os.Environ(), envRole+"="+n.VM.Role, envFile+"="+n.settingsFile)
 	n.cmd.Stdout, n.cmd.Stderr = out, out
 	n.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := n.cmd.Start(); err != nil {
 		return err
 	}
-	n.ended = make(chan error, 1)
-	go func() { n.ended <- n.cmd.Wait() }()
+	n.exited = make(chan error, 1)
+	go func() { n.exited <- n.cmd.Wait() }()
 	return nil
 }
 
@@ -68,7 +68,7 @@
 
 // Running reports whether the process was started and has not ended.
 func (n *Node) Running() bool {
-	return n.cmd != nil && len(n.ended) == 0
+	return n.cmd != nil && len(n.exited) == 0
 }
 
 // Kill ends the process at once.
@@ -77,7 +77,7 @@
 		return
 	}
 	_ = n.cmd.Process.Kill()
-	<-n.ended
+	<-n.exited
 	n.cmd = nil
 }
 
@@ -97,7 +97,7 @@
 	t := time.NewTimer(time.Until(deadline))
 	defer t.Stop()
 	select {
-	case err := <-n.ended:
+	case err := <-n.exited:
 		n.cmd = nil
 		return err
 	case <-t.C:
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -11,20 +11,20 @@
 
 // Relay stands before a VM's link so that tests can cut it.
 type Relay struct {
-	ln net.Listener
-	to string
-	mu sync.Mutex
+	ln     net.Listener
+	target string
+	mu     sync.Mutex
 	// conns holds both sides of every relayed connection.
 	conns map[net.Conn]struct{}
-	// closed refuses new connections while the link is cut.
-	closed bool
-	// drop loses what goes to the VM, swallow what comes back.
-	drop, swallow bool
+	// cut refuses new connections while the link is cut.
+	cut bool
+	// dropToVM loses what goes to the VM, dropFromVM what comes back.
+	dropToVM, dropFromVM bool
 }
 
 // NewRelay relays connections of ln to an address.
 func NewRelay(ln net.Listener, to string) *Relay {
-	r := &Relay{ln: ln, to: to, conns: make(map[net.Conn]struct{})}
+	r := &Relay{ln: ln, target: to, conns: make(map[net.Conn]struct{})}
 	go r.serve()
 	return r
 }
@@ -35,44 +35,44 @@
 		if err != nil {
 			return
 		}
-		go r.relay(c)
+		go r.forward(c)
 	}
 }
 
-func (r *Relay) relay(c net.Conn) {
+func (r *Relay) forward(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	up, err := net.Dial("tcp", r.to)
+	up, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
 	defer func() { _ = up.Close() }()
-	if !r.enter(c, up) {
+	if !r.addConns(c, up) {
 		return
 	}
-	defer r.leave(c, up)
+	defer r.removeConns(c, up)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, _ = io.Copy(&sideWriter{r, up, &r.drop}, c)
+		_, _ = io.Copy(&directionWriter{r, up, &r.dropToVM}, c)
 		_ = up.Close()
 	}()
-	_, _ = io.Copy(&sideWriter{r, c, &r.swallow}, up)
+	_, _ = io.Copy(&directionWriter{r, c, &r.dropFromVM}, up)
 	_ = c.Close()
 	<-done
 }
 
-// sideWriter writes towards one side, unless that way is lost.
-type sideWriter struct {
+// directionWriter writes towards one side, unless that way is lost.
+type directionWriter struct {
 	r *Relay
 	c net.Conn
-	// lost is one of the relay's flags.
-	lost *bool
+	// drop is one of the relay's flags.
+	drop *bool
 }
 
 // Write drops or writes p.
-func (b *sideWriter) Write(p []byte) (int, error) {
+func (b *directionWriter) Write(p []byte) (int, error) {
 	b.r.mu.Lock()
-	lost := *b.lost
+	lost := *b.drop
 	b.r.mu.Unlock()
 	if lost {
 		return len(p), nil
@@ -80,10 +80,10 @@
 	return b.c.Write(p)
 }
 
-func (r *Relay) enter(conns ...net.Conn) bool {
+func (r *Relay) addConns(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed {
+	if r.cut {
 		return false
 	}
 	for _, c := range conns {
@@ -92,7 +92,7 @@
 	return true
 }
 
-func (r *Relay) leave(conns ...net.Conn) {
+func (r *Relay) removeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Break closes every connection; new ones are taken.
-func (r *Relay) Break() {
+// CloseConns closes every connection; new ones are taken.
+func (r *Relay) CloseConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -112,32 +112,32 @@
 // Cut closes every connection and refuses new ones until Heal.
 func (r *Relay) Cut() {
 	r.mu.Lock()
-	r.closed = true
+	r.cut = true
 	r.mu.Unlock()
-	r.Break()
+	r.CloseConns()
 }
 
-// Drop loses what goes over the link to the VM until Heal.
-func (r *Relay) Drop() {
+// DropToVM loses what goes over the link to the VM until Heal.
+func (r *Relay) DropToVM() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drop = true
+	r.dropToVM = true
 }
 
-// Swallow drops what comes back over the link until Heal.
-func (r *Relay) Swallow() {
+// DropFromVM drops what comes back over the link until Heal.
+func (r *Relay) DropFromVM() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.swallow = true
+	r.dropFromVM = true
 }
 
 // Heal lets connections through again.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.closed = false
-	r.drop = false
-	r.swallow = false
+	r.cut = false
+	r.dropToVM = false
+	r.dropFromVM = false
 }
 
 // Close ends the relay.
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -59,7 +59,7 @@
 	return []Pool{
 		{Name: "deedwriter", Kind: "engine", Endpoints: n, Slots: 16, Waiting: 64, Engine: engine},
 		{Name: "mapcore", Kind: "engine", Endpoints: n, Slots: 16, Waiting: 64, Engine: engine},
-		{Name: "register", Kind: "service", Endpoints: n, Slots: 16, Waiting: 64, Work: span("5ms")},
+		{Name: "register", Kind: "service", Endpoints: n, Slots: 16, Waiting: 64, ServiceTime: span("5ms")},
 	}
 }
 
@@ -105,23 +105,23 @@
 	return drive.Ask{
 		Chat:     fakes.ChatRequest{Model: workload, Messages: []fakes.Message{{Role: "user", Content: text}}, MaxTokens: 8, Stream: streamed},
 		Header:   map[string]string{},
-		Deadline: soon(),
+		Deadline: stepDeadline(),
 	}
 }
 
 // note is a request that may not be repeated.
 func note(key, text string) drive.Ask {
-	a := drive.Ask{Path: "/svc/notes/lodge", Body: text, Header: map[string]string{}, Deadline: soon()}
+	a := drive.Ask{Path: "/svc/notes/lodge", Body: text, Header: map[string]string{}, Deadline: stepDeadline()}
 	if key != "" {
 		a.Header["Idempotency-Key"] = key
 	}
 	return a
 }
 
-// soon bounds a step of a test.
-func soon() time.Time { return time.Now().Add(20 * time.Second) }
+// stepDeadline bounds a step of a test.
+func stepDeadline() time.Time { return time.Now().Add(20 * time.Second) }
 
-// promptly is how long an answer that is given at once may take. It is no
+// maxPromptDelay is how long an answer that is given at once may take. It is no
 // measure of speed, which a busy machine would change, but tells an answer at
 // once from one that is held back until the deadlines of these requests, 20 s.
-const promptly = 8 * time.Second
+const maxPromptDelay = 8 * time.Second
--- a/internal/rig/rollout_test.go
+++ b/internal/rig/rollout_test.go
@@ -15,22 +15,22 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// rolling are settings with a version that is not open yet, and cheaper than
+// rolloutSettings are settings with a version that is not open yet, and cheaper than
 // the one that serves.
-var rolling = strings.Replace(testSettings, `"1": {pool: mapcore, cost: 2, quality: 0.8}`,
+var rolloutSettings = strings.Replace(testSettings, `"1": {pool: mapcore, cost: 2, quality: 0.8}`,
 	`"1": {pool: mapcore, cost: 2, quality: 0.8}
       "2": {pool: mapcore, cost: 1, quality: 0.8, share: 0}`, 1)
 
-// startRolling starts a fleet whose mapcore engines have version 1 and fetch
+// startRolloutFleet starts a fleet whose mapcore engines have version 1 and fetch
 // the weights of others from a store that bears two at a time.
-func startRolling(t *testing.T) (*Fleet, *fakes.Weights) {
+func startRolloutFleet(t *testing.T) (*Fleet, *fakes.Weights) {
 	t.Helper()
 	w := fakes.NewWeights(2, span("300ms"))
 	pools := testPools(4)[1:2]
 	pools[0].Engine.Versions = []string{"mapcore@1"}
 	pools[0].Engine.Weights = w.Fetch
 	pools[0].Engine.Unfenced = true
-	f := startFleet(t, Options{Entries: 2, Pools: pools, Settings: rolling, Zones: []string{"a"}})
+	f := startFleet(t, Options{Entries: 2, Pools: pools, Settings: rolloutSettings, Zones: []string{"a"}})
 	return f, w
 }
 
@@ -59,7 +59,7 @@
 // is never asked for more than it bears, serving goes on, and no request goes to
 // the version before it is open.
 func TestRollout(t *testing.T) {
-	f, w := startRolling(t)
+	f, w := startRolloutFleet(t)
 	expect(t, "before", <-send(f, 0, chat("tags", "lot", false)), "whole")
 	if got := f.ModelRuns("mapcore@2"); got != 0 {
 		t.Errorf("runs of a version with share 0: got %d, want 0", got)
@@ -74,7 +74,7 @@
 		if err := n.Start(); err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Ready(soon()); err != nil {
+		if err := f.WaitReady(stepDeadline()); err != nil {
 			t.Fatal(err)
 		}
 		if i == 40 {
@@ -82,8 +82,8 @@
 		}
 	}
 	f.Objects.Set(fakes.Faults{})
-	if most, refused := w.Seen(); most > 2 || refused != 0 {
-		t.Errorf("weight store: got %d at a time and %d refusals, want at most 2 and none", most, refused)
+	if maxAtOnce, refused := w.Seen(); maxAtOnce > 2 || refused != 0 {
+		t.Errorf("weight store: got %d at a time and %d refusals, want at most 2 and none", maxAtOnce, refused)
 	}
 	for vm, e := range f.Engines {
 		if got := strings.Join(e.Loaded(), " "); got != "mapcore@1 mapcore@2" {
@@ -99,7 +99,7 @@
 // TestRolloutAborted aborts a roll-out in its first wave: the version is
 // withdrawn and gets no new work.
 func TestRolloutAborted(t *testing.T) {
-	f, _ := startRolling(t)
+	f, _ := startRolloutFleet(t)
 	startRollout(t, f, 0.3, 1)
 	if err := rolls.Update(t.Context(), f.Store, func(b *roll.Board) error {
 		b.Rollouts[0].HoldSeconds = 600
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.InForce(revision, soon()); err != nil {
+	if err := f.WaitRevision(revision, stepDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	before := f.ModelRuns("mapcore@2")
@@ -136,10 +136,10 @@
 	}
 }
 
-// TestOldOrder refuses an order whose fence is not the newest, also at a guard
+// TestStaleOrder refuses an order whose fence is not the newest, also at a guard
 // that was just started, before an engine that does not check.
-func TestOldOrder(t *testing.T) {
-	f, _ := startRolling(t)
+func TestStaleOrder(t *testing.T) {
+	f, _ := startRolloutFleet(t)
 	startRollout(t, f, 1)
 	old, err := rolls.Version(t.Context(), f.Store)
 	if err != nil {
--- a/internal/rig/names_test.go
+++ b/internal/rig/session_names_test.go
@@ -29,7 +29,7 @@
 		}
 		return got
 	}
-	seen := raceNames(t, f, named, dearer)
+	seen := raceSessionNames(t, f, named, dearer)
 	for name, versions := range seen {
 		if len(versions) != 1 {
 			t.Errorf("%s: got models %v, want one", name, versions)
@@ -48,9 +48,9 @@
 	}
 }
 
-// raceNames uses each of ten names four times, at both entries, and returns the
+// raceSessionNames uses each of ten names four times, at both entries, and returns the
 // models that each was served by.
-func raceNames(t *testing.T, f *Fleet, named func(int, string) drive.Answer, dearer string) map[string]map[string]bool {
+func raceSessionNames(t *testing.T, f *Fleet, named func(int, string) drive.Answer, dearer string) map[string]map[string]bool {
 	t.Helper()
 	var mu sync.Mutex
 	seen := map[string]map[string]bool{}
--- a/internal/rig/session_test.go
+++ b/internal/rig/session_test.go
@@ -14,8 +14,8 @@
 	"github.com/traildrift/traildrift/internal/golden"
 )
 
-// changing are the parts of an answer that differ from run to run.
-var changing = []struct {
+// volatileParts are the parts of an answer that differ from run to run.
+var volatileParts = []struct {
 	re   *regexp.Regexp
 	with string
 }{
@@ -25,7 +25,7 @@
 }
 
 func normalise(text string) string {
-	for _, c := range changing {
+	for _, c := range volatileParts {
 		text = c.re.ReplaceAllString(text, c.with)
 	}
 	return text
@@ -36,30 +36,30 @@
 func TestSession(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	var out bytes.Buffer
-	say := func(title string, entry int, key string, a drive.Ask) drive.Answer {
+	record := func(title string, entry int, key string, a drive.Ask) drive.Answer {
 		got, err := f.Caller(entry, key).Do(a)
 		fmt.Fprintf(&out, "== %s\nstatus %d model %q version %q session %q retry %q bad %q err %v\n%s\n", title,
 			got.Status, got.Model, got.Version, got.Session, got.RetryText, got.Bad, err, got.Body)
 		return got
 	}
-	say("chat, whole", 0, testKey, chat("history", "lot 7", false))
-	streamed := say("chat, streamed", 1, testKey, chat("history", "lot 8", true))
+	record("chat, whole", 0, testKey, chat("history", "lot 7", false))
+	streamed := record("chat, streamed", 1, testKey, chat("history", "lot 8", true))
 	open := chat("tags", "lot 9", false)
 	open.Header["Traildrift-Session"] = "new"
-	opened := say("session opened", 0, testKey, open)
+	opened := record("session opened", 0, testKey, open)
 	kept := chat("tags", "lot 10", false)
 	kept.Header["Traildrift-Session"] = opened.Session
-	say("session kept at another entry", 1, testKey, kept)
+	record("session kept at another entry", 1, testKey, kept)
 	foreign := chat("hints", "bar 1", false)
 	foreign.Header["Traildrift-Session"] = opened.Session
-	say("session of another workspace", 0, "lima-key", foreign)
-	say("service", 0, testKey, note("", "mortgage discharged"))
-	say("model not allowed", 0, "lima-key", chat("deedwriter", "bar 2", false))
-	say("wrong key", 0, "nobody", chat("history", "lot 11", false))
+	record("session of another workspace", 0, "lima-key", foreign)
+	record("service", 0, testKey, note("", "mortgage discharged"))
+	record("model not allowed", 0, "lima-key", chat("deedwriter", "bar 2", false))
+	record("wrong key", 0, "nobody", chat("history", "lot 11", false))
 	late := chat("history", "lot 12", false)
 	late.Header["Traildrift-Deadline"] = "2020-01-01T00:00:00Z"
-	say("deadline passed", 0, testKey, late)
-	say("no JSON", 0, testKey, drive.Ask{Path: "/v1/chat/completions", Body: "{", Deadline: soon()})
+	record("deadline passed", 0, testKey, late)
+	record("no JSON", 0, testKey, drive.Ask{Path: "/v1/chat/completions", Body: "{", Deadline: stepDeadline()})
 	rec, err := desk.FindTrail(t.Context(), f.Store, streamed.Request)
 	for err != nil && t.Context().Err() == nil {
 		rec, err = desk.FindTrail(t.Context(), f.Store, streamed.Request)
@@ -70,7 +70,7 @@
 	}
 	golden.Check(t, "session.golden", []byte(normalise(out.String())))
 	for _, n := range f.Nodes() {
-		if err := n.Stop(soon()); err != nil {
+		if err := n.Stop(stepDeadline()); err != nil {
 			t.Errorf("planned stop of %s: got %v, want nil", n.VM.Name, err)
 		}
 	}
--- a/internal/rig/pages_test.go
+++ b/internal/rig/settings_test.go
@@ -17,8 +17,8 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// rowsOf returns a row for each key of a process settings struct.
-func rowsOf(t reflect.Type) []string {
+// settingRows returns a row for each key of a process settings struct.
+func settingRows(t reflect.Type) []string {
 	var rows []string
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -46,7 +46,7 @@
 		want = append(want, fmt.Sprintf("| `%s` | %s | %s | %s | %s | %s |", k.Name, k.Type, k.Unit, k.Default, k.Allowed, k.Doc))
 	}
 	for _, typ := range []reflect.Type{reflect.TypeFor[proc.Common](), reflect.TypeFor[entry.Settings](), reflect.TypeFor[guard.Settings](), reflect.TypeFor[router.Settings]()} {
-		want = append(want, rowsOf(typ)...)
+		want = append(want, settingRows(typ)...)
 	}
 	for _, row := range want {
 		if !strings.Contains(string(page), row+"\n") {
--- a/internal/rig/spread_test.go
+++ b/internal/rig/spread_test.go
@@ -16,11 +16,11 @@
 // silently or go back in time, the platform is slow or loses answers, or links
 // are cut; afterwards no process has gone back.
 func TestChangesUnderFaults(t *testing.T) {
-	f := startFleet(t, Options{Entries: 3, Pools: testPools(2), Entry: "listEvery: 500ms\n"})
+	f := startFleet(t, Options{Entries: 3, Pools: testPools(2), EntrySettings: "listEvery: 500ms\n"})
 	tests := []struct {
-		name  string
-		fault fakes.Faults
-		hit   func()
+		name   string
+		fault  fakes.Faults
+		inject func()
 	}{
 		{"none", fakes.Faults{}, nil},
 		{"watches end silently", fakes.Faults{SilentWatch: true}, nil},
@@ -29,7 +29,7 @@
 		{"answers lost", fakes.Faults{LoseAnswers: 0.4}, nil},
 		{"links broken", fakes.Faults{}, func() {
 			for _, r := range f.Relays {
-				r.Break()
+				r.CloseConns()
 			}
 		}},
 		{"an entry killed and started", fakes.Faults{}, func() {
@@ -42,15 +42,15 @@
 	last := int64(0)
 	for i, tt := range tests {
 		f.Objects.Set(tt.fault)
-		if tt.hit != nil {
-			tt.hit()
+		if tt.inject != nil {
+			tt.inject()
 		}
 		revision, err := f.Apply(strings.Replace(testSettings, "answerWithin: 20s", fmt.Sprintf("answerWithin: %ds", 21+i), 1), "test")
 		if err != nil {
 			t.Fatalf("%s: %v", tt.name, err)
 		}
 		start := time.Now()
-		if err := f.InForce(revision, soon()); err != nil {
+		if err := f.WaitRevision(revision, stepDeadline()); err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 		}
 		t.Logf("%s: in force everywhere after %v", tt.name, time.Since(start))
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.InForce(revision, soon()); err != nil {
+	if err := f.WaitRevision(revision, stepDeadline()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/rig/usage.go
+++ b/internal/rig/usage.go
@@ -22,8 +22,8 @@
 	// CPU is user and system time, as the end of a span that began at the
 	// zero time.
 	CPU time.Time
-	// Resident is the memory in bytes.
-	Resident int64
+	// ResidentBytes is the memory in bytes.
+	ResidentBytes int64
 	// Mallocs counts allocations.
 	Mallocs uint64
 	// LinkBytes and LinkMessages count what the links carried, both ways.
@@ -43,8 +43,8 @@
 	} `json:"endpoints"`
 }
 
-// state returns an entry's state; the zero value if it does not answer.
-func (n *Node) state() entryState {
+// readState returns an entry's readState; the zero value if it does not answer.
+func (n *Node) readState() entryState {
 	body, err := n.Dump()
 	if err != nil {
 		return entryState{}
@@ -58,10 +58,10 @@
 	return d.Role
 }
 
-// usable returns how many endpoints an entry may use.
-func (n *Node) usable() int {
+// usableEndpoints returns how many endpoints an entry may use.
+func (n *Node) usableEndpoints() int {
 	count := 0
-	for _, e := range n.state().Endpoints {
+	for _, e := range n.readState().Endpoints {
 		if e.Usable {
 			count++
 		}
@@ -89,7 +89,7 @@
 	system, _ := strconv.ParseInt(fields[stime], 10, 64)
 	pages, _ := strconv.ParseInt(fields[rss], 10, 64)
 	u.CPU = time.Time{}.Add(time.Duration(user+system) * time.Second / ticksPerSecond)
-	u.Resident = pages * int64(os.Getpagesize())
+	u.ResidentBytes = pages * int64(os.Getpagesize())
 	body, err := n.Dump()
 	if err != nil {
 		return u, err
--- a/internal/rig/member_test.go
+++ b/internal/rig/vmlist_test.go
@@ -9,12 +9,12 @@
 	"github.com/traildrift/traildrift/internal/store"
 )
 
-// TestLeavingInList lists VMs as leaving while they have runs: what runs there
+// TestLeavingVMs lists VMs as leaving while they have runs: what runs there
 // is answered whole, and nothing new goes there.
-func TestLeavingInList(t *testing.T) {
-	f := startFleet(t, Options{Entries: 1, Pools: slowRegister("1500ms"), Entry: "listEvery: 100ms\n"})
+func TestLeavingVMs(t *testing.T) {
+	f := startFleet(t, Options{Entries: 1, Pools: slowServicePools("1500ms"), EntrySettings: "listEvery: 100ms\n"})
 	running := send(f, 0, note("", "running"))
-	guard := lodged(t, f, "running")
+	guard := waitForCall(t, f, "running")
 	long := chat("history", "long", true)
 	long.Chat.MaxTokens = 600
 	stream := send(f, 0, long)
@@ -25,9 +25,9 @@
 			engine = vm
 		}
 	}
-	f.SetState(guard.VM.Name, store.VMLeaving)
-	f.SetState(engine, store.VMLeaving)
-	waitFor(t, "the end of new work there", func() bool { return f.Entries[0].usable() == 4 })
+	f.SetVMState(guard.VM.Name, store.VMLeaving)
+	f.SetVMState(engine, store.VMLeaving)
+	waitFor(t, "the end of new work there", func() bool { return f.Entries[0].usableEndpoints() == 4 })
 	for range 10 {
 		expect(t, "meanwhile", <-send(f, 0, chat("history", "lot", false)), "whole")
 	}
@@ -36,11 +36,11 @@
 	}
 	expect(t, "a call that ran at a leaving VM", <-running, "whole")
 	expect(t, "a stream from a leaving VM", <-stream, "whole")
-	expectLodged(t, f, "running", 1)
+	expectCalls(t, f, "running", 1)
 }
 
-// TestLateList keeps serving while the VM list still shows VMs that are gone.
-func TestLateList(t *testing.T) {
+// TestStaleVMList keeps serving while the VM list still shows VMs that are gone.
+func TestStaleVMList(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(2)})
 	for _, n := range f.Guards {
 		if n.VM.Name == "deedwriter-1" || n.VM.Name == "register-5" {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -18,11 +18,11 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// requestWithin is the deadline of each request.
-const requestWithin = 4 * time.Second
+// requestTimeout is the deadline of each request.
+const requestTimeout = 4 * time.Second
 
-// told is everything that callers heard about one piece of work.
-type told struct {
+// outcomes is everything that callers heard about one piece of work.
+type outcomes struct {
 	// key is the caller's key; empty without one.
 	key string
 	// request is the request ID of the last whole answer.
@@ -32,24 +32,24 @@
 	whole, notRun, unsure, noAnswer int
 }
 
-// account gathers what callers heard, by the body or prompt of the work.
-type account struct {
+// tally gathers what callers heard, by the body or prompt of the work.
+type tally struct {
 	mu sync.Mutex
 	// notes may not be repeated, chats may.
-	notes, chats map[string]*told
+	notes, chats map[string]*outcomes
 	// errors counts failures by kind and run state.
 	errors map[string]int
 	sent   int
 	wrong  []string
 }
 
-func (a *account) add(m map[string]*told, work, key string, got drive.Answer, err error) {
+func (a *tally) add(m map[string]*outcomes, work, key string, got drive.Answer, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sent++
 	t := m[work]
 	if t == nil {
-		t = &told{key: key}
+		t = &outcomes{key: key}
 		m[work] = t
 	}
 	switch {
@@ -78,22 +78,22 @@
 
 // caller sends requests one after the other until the deadline.
 type caller struct {
-	f   *rig.Fleet
-	rnd *rand.Rand
-	acc *account
-	n   int
+	f     *rig.Fleet
+	rnd   *rand.Rand
+	tally *tally
+	id    int
 }
 
 func (c *caller) run(until time.Time) {
 	for i := 0; time.Now().Before(until); i++ {
-		work := fmt.Sprintf("work %d %d", c.n, i)
+		work := fmt.Sprintf("work %d %d", c.id, i)
 		switch c.rnd.IntN(4) {
 		case 0:
 			c.chat(work)
 		case 1:
 			c.note(work, "")
 		case 2:
-			c.note(work, fmt.Sprintf("key %d %d", c.n, i))
+			c.note(work, fmt.Sprintf("key %d %d", c.id, i))
 		default:
 			c.note(work, c.ticket())
 		}
@@ -101,17 +101,17 @@
 	}
 }
 
-func (c *caller) any() *drive.Caller {
+func (c *caller) anyEntry() *drive.Caller {
 	return c.f.Caller(c.rnd.IntN(len(c.f.Entries)), soakKey)
 }
 
 func (c *caller) chat(work string) {
 	ask := drive.Ask{
 		Chat:     fakes.ChatRequest{Model: "tags", Messages: []fakes.Message{{Role: "user", Content: work}}, MaxTokens: 1 + c.rnd.IntN(30), Stream: c.rnd.IntN(2) == 0},
-		Deadline: time.Now().Add(2 * requestWithin),
+		Deadline: time.Now().Add(2 * requestTimeout),
 	}
-	got, err := c.any().Do(ask)
-	c.acc.add(c.acc.chats, work, "", got, err)
+	got, err := c.anyEntry().Do(ask)
+	c.tally.add(c.tally.chats, work, "", got, err)
 }
 
 // note sends work that may not be repeated; with a key, several times and to
@@ -123,16 +123,16 @@
 	}
 	var wg sync.WaitGroup
 	for range times {
-		ask := drive.Ask{Path: "/svc/notes/lodge", Body: work, Header: map[string]string{}, Deadline: time.Now().Add(2 * requestWithin)}
+		ask := drive.Ask{Path: "/svc/notes/lodge", Body: work, Header: map[string]string{}, Deadline: time.Now().Add(2 * requestTimeout)}
 		if key != "" {
 			ask.Header["Idempotency-Key"] = key
 		}
-		to := c.any()
+		to := c.anyEntry()
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			got, err := to.Do(ask)
-			c.acc.add(c.acc.notes, work, key, got, err)
+			c.tally.add(c.tally.notes, work, key, got, err)
 		}()
 		if c.rnd.IntN(2) == 0 {
 			wg.Wait()
@@ -143,7 +143,7 @@
 
 // ticket asks for a ticket; without one the work goes without a key.
 func (c *caller) ticket() string {
-	got, err := c.any().Do(drive.Ask{Path: "/v1/tickets", Deadline: time.Now().Add(requestWithin)})
+	got, err := c.anyEntry().Do(drive.Ask{Path: "/v1/tickets", Deadline: time.Now().Add(requestTimeout)})
 	if err != nil {
 		return ""
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -29,21 +29,21 @@
 	withdrawn bool
 }
 
-// kind is one kind of fault: it begins and returns how to end it.
-type kind struct {
+// faultKind is one faultKind of fault: it begins and returns how to end it.
+type faultKind struct {
 	name  string
 	begin func(in *injector) (end func())
 }
 
-var kinds = []kind{
+var faultKinds = []faultKind{
 	{"entryKilled", func(in *injector) func() { return in.kill(in.f.Entries[in.rnd.IntN(len(in.f.Entries))]) }},
 	{"guardKilled", func(in *injector) func() { return in.kill(in.f.Guards[in.rnd.IntN(len(in.f.Guards))]) }},
 	{"entryFrozen", func(in *injector) func() { return freeze(in.f.Entries[in.rnd.IntN(len(in.f.Entries))]) }},
 	{"guardFrozen", func(in *injector) func() { return freeze(in.f.Guards[in.rnd.IntN(len(in.f.Guards))]) }},
-	{"linkBroken", func(in *injector) func() { in.relay().Break(); return func() {} }},
+	{"linkBroken", func(in *injector) func() { in.relay().CloseConns(); return func() {} }},
 	{"linkCut", func(in *injector) func() { r := in.relay(); r.Cut(); return r.Heal }},
-	{"answersLost", func(in *injector) func() { r := in.relay(); r.Swallow(); return func() { r.Heal(); r.Break() } }},
-	{"requestsLost", func(in *injector) func() { r := in.relay(); r.Drop(); return func() { r.Heal(); r.Break() } }},
+	{"answersLost", func(in *injector) func() { r := in.relay(); r.DropFromVM(); return func() { r.Heal(); r.CloseConns() } }},
+	{"requestsLost", func(in *injector) func() { r := in.relay(); r.DropToVM(); return func() { r.Heal(); r.CloseConns() } }},
 	{"platformDown", func(in *injector) func() { return in.platform(fakes.Faults{Down: true}) }},
 	{"platformSlow", func(in *injector) func() {
 		return in.platform(fakes.Faults{Delay: config.Span(time.Duration(in.rnd.IntN(2500)) * time.Millisecond)})
@@ -62,7 +62,7 @@
 	for time.Now().Before(until) {
 		var ends []func()
 		for range 1 + in.rnd.IntN(2) {
-			k := kinds[in.rnd.IntN(len(kinds))]
+			k := faultKinds[in.rnd.IntN(len(faultKinds))]
 			in.counts[k.name]++
 			ends = append(ends, k.begin(in))
 		}
@@ -91,12 +91,12 @@
 	return false
 }
 
-// bothHoldersKilled reports whether an entry was killed before it can have
+// bothBillersKilled reports whether an entry was killed before it can have
 // written the bill of an answer at t, and a guard before it stood in.
-func (in *injector) bothHoldersKilled(t time.Time) bool {
-	const entryHolds, guardHolds = 2 * time.Second, 4 * time.Second
-	return in.killedBetween(store.RoleEntry, t.Add(-time.Second), t.Add(entryHolds)) &&
-		in.killedBetween(store.RoleEndpoint, t.Add(-time.Second), t.Add(guardHolds))
+func (in *injector) bothBillersKilled(t time.Time) bool {
+	const entryWriteTime, guardWriteTime = 2 * time.Second, 4 * time.Second
+	return in.killedBetween(store.RoleEntry, t.Add(-time.Second), t.Add(entryWriteTime)) &&
+		in.killedBetween(store.RoleEndpoint, t.Add(-time.Second), t.Add(guardWriteTime))
 }
 
 func (in *injector) restart(n *rig.Node) {
@@ -151,7 +151,7 @@
 		e.Set(f)
 		return func() { e.Set(fakes.Faults{}) }
 	}
-	p := in.f.Plains[n.VM.Name]
+	p := in.f.Services[n.VM.Name]
 	p.Set(f)
 	return func() { p.Set(fakes.Faults{}) }
 }
@@ -169,10 +169,10 @@
 		return func() {}
 	}
 	return func() {
-		if in.f.InForce(revision, time.Now().Add(3*time.Second)) != nil {
+		if in.f.WaitRevision(revision, time.Now().Add(3*time.Second)) != nil {
 			return // a process is down or frozen
 		}
-		time.Sleep(startLag)
+		time.Sleep(maxStartDelay)
 		before := in.f.ModelRuns("mapcore@1")
 		time.Sleep(300 * time.Millisecond)
 		if after := in.f.ModelRuns("mapcore@1"); after != before {
@@ -181,12 +181,12 @@
 	}
 }
 
-// startLag is how long a run that was begun before a withdrawal may take to
+// maxStartDelay is how long a run that was begun before a withdrawal may take to
 // reach the engine.
-const startLag = 100 * time.Millisecond
+const maxStartDelay = 100 * time.Millisecond
 
-// heal ends every fault that may be left.
-func (in *injector) heal(ctx context.Context) {
+// endFaults ends every fault that may be left.
+func (in *injector) endFaults(ctx context.Context) {
 	in.f.Objects.Set(fakes.Faults{})
 	for _, r := range in.f.Relays {
 		r.Heal()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -44,70 +44,70 @@
 // Options shape a run.
 type Options struct {
 	Seed uint64
-	// For is how long faults are drawn.
-	For     config.Span
-	Callers int
-	Dir     string
-	Out     io.Writer
+	// Duration is how long faults are drawn.
+	Duration config.Span
+	Callers  int
+	Dir      string
+	Out      io.Writer
 }
 
 // run is one long run.
 type run struct {
-	o   Options
-	f   *rig.Fleet
-	acc *account
-	mu  sync.Mutex
-	bad []string
-	// excused counts whole answers without a bill whose entry and guard were
+	opts       Options
+	f          *rig.Fleet
+	tally      *tally
+	mu         sync.Mutex
+	violations []string
+	// unavoidableLosses counts whole answers without a bill whose entry and guard were
 	// both killed before either had written it.
-	excused int
+	unavoidableLosses int
 }
 
 func (r *run) report(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.bad = append(r.bad, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
 // Run does one run and returns an error that lists every violation.
 func Run(ctx context.Context, o Options) error {
-	_, _ = fmt.Fprintf(o.Out, "soak: seed %d, for %s, %d callers\n", o.Seed, o.For, o.Callers)
+	_, _ = fmt.Fprintf(o.Out, "soak: seed %d, for %s, %d callers\n", o.Seed, o.Duration, o.Callers)
 	f, err := rig.Start(rig.Options{
 		Dir: o.Dir, Zones: []string{"a", "b"}, Entries: 3, Settings: settings, Seed: o.Seed,
-		Entry: "listEvery: 500ms\nbeatEvery: 200ms\nsuspectAfter: 600ms\n",
-		Guard: "billAfter: 1s\n",
+		EntrySettings: "listEvery: 500ms\nbeatEvery: 200ms\nsuspectAfter: 600ms\n",
+		GuardSettings: "billAfter: 1s\n",
 		Pools: []rig.Pool{
 			{Name: "mapcore", Kind: "engine", Endpoints: 3, Slots: 8, Waiting: 16, Engine: fakes.EngineOptions{FirstToken: config.Span(5 * time.Millisecond), PerToken: config.Span(time.Millisecond)}},
-			{Name: "register", Kind: "service", Endpoints: 3, Slots: 8, Waiting: 16, Work: config.Span(20 * time.Millisecond)},
+			{Name: "register", Kind: "service", Endpoints: 3, Slots: 8, Waiting: 16, ServiceTime: config.Span(20 * time.Millisecond)},
 		},
 	})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	r := &run{o: o, f: f, acc: &account{notes: make(map[string]*told), chats: make(map[string]*told), errors: make(map[string]int)}}
+	r := &run{opts: o, f: f, tally: &tally{notes: make(map[string]*outcomes), chats: make(map[string]*outcomes), errors: make(map[string]int)}}
 	in := &injector{f: f, rnd: rand.New(rand.NewPCG(o.Seed, 0)), counts: make(map[string]int), kills: make(map[string][]time.Time), report: r.report}
 	r.drive(in)
-	in.heal(ctx)
-	if err := f.Ready(time.Now().Add(20 * time.Second)); err != nil {
+	in.endFaults(ctx)
+	if err := f.WaitReady(time.Now().Add(20 * time.Second)); err != nil {
 		r.report("not ready after the faults: %v", err)
 	}
 	r.checkProcesses()
 	r.checkRuns()
 	r.checkBills(ctx, in)
-	_, _ = fmt.Fprintf(o.Out, "soak: seed %d: %d answers, faults %v, failures %v, bills lost with both holders %d, violations %d\n", o.Seed, r.acc.sent, in.counts, r.acc.errors, r.excused, len(r.bad))
-	if len(r.bad) > 0 {
-		return errors.Newf("soak: seed %d: %d violations, such as %q", o.Seed, len(r.bad), r.bad[:min(len(r.bad), violationsShown)])
+	_, _ = fmt.Fprintf(o.Out, "soak: seed %d: %d answers, faults %v, failures %v, bills lost with both holders %d, violations %d\n", o.Seed, r.tally.sent, in.counts, r.tally.errors, r.unavoidableLosses, len(r.violations))
+	if len(r.violations) > 0 {
+		return errors.Newf("soak: seed %d: %d violations, such as %q", o.Seed, len(r.violations), r.violations[:min(len(r.violations), maxViolationsShown)])
 	}
 	return nil
 }
 
 // drive runs callers and faults until both have ended.
 func (r *run) drive(in *injector) {
-	until := r.o.For.After(time.Now())
+	until := r.opts.Duration.After(time.Now())
 	var wg sync.WaitGroup
-	for n := range r.o.Callers {
-		c := &caller{f: r.f, rnd: rand.New(rand.NewPCG(r.o.Seed, uint64(n+1))), acc: r.acc, n: n}
+	for n := range r.opts.Callers {
+		c := &caller{f: r.f, rnd: rand.New(rand.NewPCG(r.opts.Seed, uint64(n+1))), tally: r.tally, id: n}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -134,11 +134,11 @@
 
 // checkRuns compares what callers heard with what endpoints did.
 func (r *run) checkRuns() {
-	for _, w := range r.acc.wrong {
+	for _, w := range r.tally.wrong {
 		r.report("a wrong answer: %s", w)
 	}
-	bodies := r.f.Bodies()
-	for work, t := range r.acc.notes {
+	bodies := r.f.ServiceCalls()
+	for work, t := range r.tally.notes {
 		n := bodies[work]
 		switch {
 		case n > 1:
@@ -156,16 +156,16 @@
 	}
 }
 
-// violationsShown bounds the violations of a report.
-const violationsShown = 8
+// maxViolationsShown bounds the violations of a report.
+const maxViolationsShown = 8
 
-// billsWithin is how long the bills may take to be complete.
-const billsWithin = config.Span(15 * time.Second)
+// billsTimeout is how long the bills may take to be complete.
+const billsTimeout = config.Span(15 * time.Second)
 
 // checkBills waits until every whole answer has exactly one line, and then
 // looks for lines of work that did not run.
 func (r *run) checkBills(ctx context.Context, in *injector) {
-	deadline := billsWithin.After(time.Now())
+	deadline := billsTimeout.After(time.Now())
 	for {
 		lines, err := desk.Bills(ctx, r.f.Store, "")
 		missing, wrong := r.compareBills(lines, in)
@@ -184,20 +184,20 @@
 }
 
 func (r *run) compareBills(lines []bill.Line, in *injector) (missing, wrong []string) {
-	r.excused = 0
+	r.unavoidableLosses = 0
 	byID := make(map[string]bool, len(lines))
 	for _, l := range lines {
 		byID[l.ID] = true
 	}
-	for _, m := range []map[string]*told{r.acc.notes, r.acc.chats} {
+	for _, m := range []map[string]*outcomes{r.tally.notes, r.tally.chats} {
 		for work, t := range m {
 			id := t.request
 			if t.key != "" {
 				id = "kahurangi/" + t.key
 			}
 			if t.whole > 0 && !byID[id] {
-				if in.bothHoldersKilled(t.at) {
-					r.excused++
+				if in.bothBillersKilled(t.at) {
+					r.unavoidableLosses++
 				} else {
 					missing = append(missing, work)
 				}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -22,7 +22,7 @@
 func TestShort(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			err := Run(t.Context(), Options{Seed: seed, For: config.Span(8 * time.Second), Callers: 8, Dir: t.TempDir(), Out: os.Stdout})
+			err := Run(t.Context(), Options{Seed: seed, Duration: config.Span(8 * time.Second), Callers: 8, Dir: t.TempDir(), Out: os.Stdout})
 			if err != nil {
 				t.Error(err)
 			}
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -61,7 +61,7 @@
     "guardNeverBills": ("internal/guard/guard.go", "if now.After(u.writeAt) {", "if false {", "./internal/rig", "TestBills"),
     "ownBillForgets": ("internal/guard/bills.go", "		r.billed = true", "		r.settled = true", "./internal/guard", "TestQueryAfterGuardBilled"),
     "revisionGoesBack": ("pkg/config/snapshot.go", "if head.Revision <= s.Head.Revision {", "if false {", "./internal/spread", "TestRevisionNeverGoesBack"),
-    "guardTrustsOrders": ("internal/guard/order.go", "if fence < version || fence < g.fence {", "if false {", "./internal/rig", "TestOldOrder"),
+    "guardTrustsOrders": ("internal/guard/order.go", "if fence < version || fence < g.fence {", "if false {", "./internal/rig", "TestStaleOrder"),
     "rolloutForgetsLimit": ("pkg/roll/step.go", "|| loads >= maxLoads {", "{", "./internal/rig", "TestRollout"),
     "shareIgnored": ("pkg/route/decide.go", "case req.Draw >= c.Spec.Exposure():", "case false:", "./internal/rig", "TestRollout|TestRolloutAborted"),
     "wavesBeforeLoads": ("pkg/roll/step.go", "if !r.loaded() || len(r.Targets) == 0 ||", "if len(r.Targets) == 0 ||", "./pkg/roll", "TestInterrupted"),
@@ -70,10 +70,10 @@
     "overlapTaken": ("internal/commit/apply.go", "	if len(o.Paths) == 0 {", "	if true {", "./internal/commit", "TestRace"),
     "changeAppliedTwice": ("internal/commit/apply.go", "if applied, ok := head.Has(e.ID); ok {", "if applied, ok := head.Has(e.ID); ok && false {", "./internal/commit", "TestSameChange|TestManyOperators"),
     "mergedNotChecked": ("internal/commit/apply.go", 'if err := config.CheckNodes("(merged)", snap.Nodes()); err != nil {', 'if err := config.CheckNodes("(merged)", snap.Nodes()); err != nil && false {', "./internal/commit", "TestUnsound"),
-    "retiredDroppedAtOnce": ("internal/entry/peer.go", "	if p.inFlight > 0 {\n		return false", "	if false {\n		return false", "./internal/rig", "TestLeavingInList"),
+    "retiredDroppedAtOnce": ("internal/entry/peer.go", "	if p.inFlight > 0 {\n		return false", "	if false {\n		return false", "./internal/rig", "TestLeavingVMs"),
     "noRetryBudget": ("internal/entry/dispatch.go", "return e.limits.takeRetry(r.call.Workspace)", "return true", "./internal/rig", "TestRetryBudget"),
     "cancelForgotten": ("internal/entry/answer.go", '	if r.key == "" {\n		r.cancel()', '	if false {\n		r.cancel()', "./internal/rig", "TestCallerGone"),
-    "headerNotBounded": ("internal/entry/http.go", "ReadBufferSize:               e.settings.MaxHeader,", "ReadBufferSize:               1 << 20,", "./internal/rig", "TestDoor"),
+    "headerNotBounded": ("internal/entry/http.go", "ReadBufferSize:               e.settings.MaxHeader,", "ReadBufferSize:               1 << 20,", "./internal/rig", "TestInvalidRequests"),
     "anyAuthority": ("internal/secure/files.go", "VerifyConnection: s.verify,", "", "./internal/rig", "TestTLS"),
 }
 
