--- a/internal/rig/answer_test.go
+++ b/internal/rig/answer_test.go
@@ -18,8 +18,8 @@
 	"github.com/traildrift/traildrift/internal/fakes"
 )
 
-// TestCutAnswers cuts answers at the engine: a cut stream is resumed at its
-// offset, and one that cannot be is said not to be whole.
+// TestCutAnswers cuts answers at the engine: a cut answer is resumed at its offset, and one
+// that ends early without its end marker is reported as not whole. No run is repeated.
 func TestCutAnswers(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1)})
 	engine := f.Engines["deedwriter-1"]
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestCallerGone cancels the run of a caller that closes its connection.
+// TestCallerGone cancels the run of a caller that closes its connection during the stream.
 func TestCallerGone(t *testing.T) {
 	pools := testPools(1)
 	pools[0].Engine.PerToken = span("20ms")
@@ -61,14 +61,15 @@
 	start := time.Now()
 	waitFor(t, "the end of the run", func() bool { return running() == 0 })
 	if took := time.Since(start); took > maxPromptDelay {
-		t.Errorf("the run of a gone caller ended after %v, want at once", took)
+		t.Errorf("run of a caller that disconnected: ended after %v, want at most %v", took, maxPromptDelay)
 	}
 }
 
-// TestSlowReader gives a slow reader its whole answer and does not hold up
+// TestSlowReader sends a caller that reads slowly its whole answer, and meanwhile serves
 // others.
 func TestSlowReader(t *testing.T) {
-	// The answer takes 8 s, several times that on a busy machine: no verdict hangs on that time.
+	// The answer takes 8 s, and several times that on a busy machine. No check depends on that
+	// time.
 	settings := strings.Replace(testSettings, "answerWithin: 20s", "answerWithin: 5m", 1)
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: settings})
 	long := chat("history", "long", true)
@@ -84,7 +85,7 @@
 		expect(t, "another caller", <-send(f, 0, chat("history", "lot", true)), "whole")
 	}
 	_ = c.SetReadDeadline(stepDeadline())
-	// Without the framing of the answer: a chunk may end in the middle of an event.
+	// Read the body without the chunked framing, as a chunk may end in the middle of an event.
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -108,9 +109,9 @@
 	}
 }
 
-// TestBills folds to one line for each answered request and none for one that
-// did not run, although the platform is down, loses answers, and the entry is
-// killed before it has written.
+// TestBills expects one bill line for each answered request and none for a request that did
+// not run, although the platform is down, then loses answers, and an entry is killed before
+// it has written its bills.
 func TestBills(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1), GuardSettings: "billAfter: 500ms\n"})
 	f.Objects.Set(fakes.Faults{Down: true})
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestRetryBudget counts the attempts of each request while a pool fails: they
-// must not multiply the load.
+// TestRetryBudget fails every attempt in a pool and bounds the number of attempts, so that
+// retries do not multiply the load: 200 requests may cause at most 260 attempts.
 func TestRetryBudget(t *testing.T) {
 	pools := testPools(4)
 	f := startFleet(t, Options{Entries: 1, Pools: pools[:1]})
@@ -167,7 +168,8 @@
 	}
 }
 
-// TestSessionsOutliveEntries replaces every entry: a session keeps its version.
+// TestSessionsOutliveEntries restarts every entry and makes another version cheaper: the
+// session keeps its version.
 func TestSessionsOutliveEntries(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	open := chat("tags", "lot", false)
@@ -200,8 +202,8 @@
 	}
 }
 
-// TestDeadline answers a request whose deadline passes soon after it, whether it
-// waits in the queue or runs, and cancels the run. One that waited did not run.
+// TestDeadline answers a request soon after its deadline has passed, whether it is queued or
+// running, and cancels the run. A queued request is reported as not run.
 func TestDeadline(t *testing.T) {
 	pools := testPools(1)[:1]
 	pools[0].Slots, pools[0].Engine.Slots = 1, 1
@@ -217,12 +219,12 @@
 	waitFor(t, "the run", func() bool { return len(f.EngineRuns()) == 1 })
 	waiting := ask(500 * time.Millisecond)
 	got := <-waiting
-	expect(t, "one that waits", got, "deadlinePassed/notRun")
+	expect(t, "queued request", got, "deadlinePassed/notRun")
 	if got.took > maxPromptDelay {
 		t.Errorf("the answer took %v, want it soon after the deadline", got.took)
 	}
 	got = <-running
-	expect(t, "one that runs", got, "deadlinePassed/mayHaveRun", "notWhole/ran", "endpointLost/mayHaveRun", "deadlinePassed/ran")
+	expect(t, "running request", got, "deadlinePassed/mayHaveRun", "notWhole/ran", "endpointLost/mayHaveRun", "deadlinePassed/ran")
 	if got.took > maxPromptDelay {
 		t.Errorf("the answer took %v, want it soon after the deadline", got.took)
 	}
@@ -232,8 +234,8 @@
 	}
 }
 
-// TestOverload refuses what has no room as not run, with a time to come back,
-// and answers the rest.
+// TestOverload refuses requests beyond the capacity of slots and queue as not run, with a time
+// to retry at, and answers the rest.
 func TestOverload(t *testing.T) {
 	pools := testPools(1)[:1]
 	pools[0].Slots, pools[0].Waiting = 1, 2
@@ -248,7 +250,7 @@
 		got := <-c
 		counts[got.result]++
 		if got.result != "whole" && got.answer.RetryText == "" {
-			t.Errorf("got %s without a time to come back", got.result)
+			t.Errorf("got %s without a time to retry at", got.result)
 		}
 	}
 	if counts["whole"] < 3 || counts["whole"]+counts["overloaded/notRun"]+counts["noVersion/notRun"] != 12 {
@@ -259,9 +261,10 @@
 	}
 }
 
-// TestOutageBeyondBuffers lets an outage outlast the entry's buffers: a workload
-// that says so is refused as not run, the other is served, and every answer is
-// billed once in the end, by the guard where the entry could not hold its line.
+// TestOutageBeyondBuffers fills the entry's buffers for bill lines during an outage of the
+// platform. A workload with onBillsFull: refuse is refused as not run and the other one is
+// served. After the outage every answer is billed once, by the guard where the entry had no
+// room for the line.
 func TestOutageBeyondBuffers(t *testing.T) {
 	refusing := strings.Replace(testSettings, "history: {values: {qualityTarget: 0.9}}", "history: {values: {qualityTarget: 0.9, onBillsFull: refuse}}", 1)
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: refusing, EntrySettings: "recordsHeld: 4\n", GuardSettings: "billAfter: 300ms\n"})
@@ -271,11 +274,11 @@
 		a := chat("tags", fmt.Sprint(i), false)
 		a.Header["Traildrift-Deadline"] = time.Now().Add(2 * time.Second).Format(time.RFC3339Nano)
 		got := <-send(f, 0, a)
-		expect(t, "a workload that serves on", got, "whole")
+		expect(t, "a workload without onBillsFull: refuse", got, "whole")
 		want[got.answer.Request] = true
 	}
 	got := <-send(f, 0, chat("history", "lot", false))
-	expect(t, "a workload that refuses", got, "platformDown/notRun")
+	expect(t, "a workload with onBillsFull: refuse", got, "platformDown/notRun")
 	f.Objects.Set(fakes.Faults{})
 	waitFor(t, "every bill", func() bool {
 		lines, err := desk.Bills(t.Context(), f.Store, "")
@@ -292,7 +295,7 @@
 	}
 }
 
-// TestSessionEnds refuses a session token past its end.
+// TestSessionEnds refuses a session token after the session's lifetime of 1 s.
 func TestSessionEnds(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: strings.Replace(testSettings, "tags: {values: {qualityTarget: 0.5}}", "tags: {values: {qualityTarget: 0.5, sessionFor: 1s}}", 1)})
 	a := chat("tags", "lot", false)
--- a/internal/rig/counts.go
+++ b/internal/rig/counts.go
@@ -9,7 +9,8 @@
 	"github.com/traildrift/traildrift/internal/spread"
 )
 
-// ServiceCalls counts how often each body was really lodged, over all services.
+// ServiceCalls returns how often the services executed a call with each request body, summed
+// over all services of the fleet.
 func (f *Fleet) ServiceCalls() map[string]int {
 	out := make(map[string]int)
 	for _, p := range f.Services {
@@ -20,7 +21,8 @@
 	return out
 }
 
-// EngineRuns counts how often each run was really run, over all engines.
+// EngineRuns returns how often the engines executed each run, by run ID, summed over all
+// engines of the fleet.
 func (f *Fleet) EngineRuns() map[string]int {
 	out := make(map[string]int)
 	for _, e := range f.Engines {
@@ -31,7 +33,7 @@
 	return out
 }
 
-// ModelRuns counts the runs of a model@version that were begun.
+// ModelRuns returns how many runs of a model@version the engines started.
 func (f *Fleet) ModelRuns(model string) int {
 	n := 0
 	for _, e := range f.Engines {
@@ -40,7 +42,7 @@
 	return n
 }
 
-// Revision returns the revision that was accepted last.
+// Revision reads the newest revision of the settings from the store.
 func (f *Fleet) Revision() (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -48,7 +50,8 @@
 	return head.Revision, err
 }
 
-// GuardOfCall returns the guard whose service has lodged a body, or nil.
+// GuardOfCall returns the guard whose service executed a call with the given request body,
+// or nil if none did.
 func (f *Fleet) GuardOfCall(body string) *Node {
 	for _, n := range f.Guards {
 		if p := f.Services[n.VM.Name]; p != nil && p.Bodies()[body] > 0 {
--- a/internal/rig/crash_test.go
+++ b/internal/rig/crash_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// TestRequestThatCrashesEngines repeats a request that crashes each engine which runs it, at
-// both entries in turn: engines are left for others, what runs beside it is served, and no
-// entry sends it on once three engines have crashed under it.
+// TestRequestThatCrashesEngines repeats a request that crashes every engine that runs it, at
+// both entries in turn. Other requests must be served, and no entry may dispatch the request
+// again once three engines have crashed under it.
 //
-// Seen: on the users' platform, where routers have no guards, such a request crashed 70
-// endpoints. Cause: what a request did was forgotten with its attempt; entries forgot it as
-// the routers did. Proof: without what guards tell of crashes, eight engines of eight.
+// The test guards against forgetting which request an engine crashed under when its attempt
+// ends: routers without guards let such a request crash 70 endpoints. Without the crash
+// reports of the guards it crashes eight engines of eight here.
 func TestRequestThatCrashesEngines(t *testing.T) {
 	pools := testPools(8)
 	pools[0].Engine.CrashOn = "poison"
--- a/internal/rig/doc.go
+++ b/internal/rig/doc.go
@@ -2,7 +2,13 @@
 // SPDX-License-Identifier: BSD-3-Clause
 
 // Package rig starts small fleets of real processes on loopback for tests and
-// measurements: entries and guards as processes of their own, which can be
-// killed, frozen and stopped, and stand-ins inside the caller's process, whose
-// faults and counts are at hand. Every VM has an IP number of its own.
+// measurements.
+//
+// Each entry and each guard runs as a process of its own, which can be killed, frozen and
+// stopped. The fakes of the platform, the engines and the services (internal/fakes) run in
+// the caller's process, where faults can be set and counts be read. Every VM has its own IP
+// number in 127.0.0.0/8. A Relay in front of the link of each guard injects link faults.
+//
+// The processes of a fleet run the caller's own program, which therefore calls Main first.
+// Start starts a fleet, and Fleet.Close ends it.
 package rig
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -28,76 +28,93 @@
 
 // Pool describes the endpoints of one pool.
 type Pool struct {
-	Name      string
-	Kind      string
+	Name string
+	// Kind is "engine" or "service", as in the guard's process settings.
+	Kind string
+	// Endpoints is the number of endpoints, each with a guard.
 	Endpoints int
-	Slots     int
-	Waiting   int
-	Engine    fakes.EngineOptions
-	// ServiceTime is how long a call of a plain service takes.
+	// Slots is how many runs an endpoint executes at a time, and Waiting how many more its
+	// guard queues.
+	Slots   int
+	Waiting int
+	// Engine holds the options of the fake engines. Its Seed is ignored, and Slots of 0
+	// means the Slots of the pool.
+	Engine fakes.EngineOptions
+	// ServiceTime is how long a call to a plain service takes.
 	ServiceTime config.Span
 }
 
 // Options describe a fleet.
 type Options struct {
-	// Dir holds the files of the fleet.
+	// Dir is the folder of the process settings, keys and logs of the fleet.
 	Dir string
-	// Zones are gone through in turn; at least one.
-	Zones   []string
+	// Zones are the availability zones, assigned to the VMs in turn; at least one.
+	Zones []string
+	// Entries is the number of entries.
 	Entries int
 	Pools   []Pool
-	// Settings is the tree in force from the beginning, as YAML.
+	// Settings is the settings tree that Start puts in force, as YAML; none if empty.
 	Settings string
-	// CallerTLS says that Entry names TLS files for callers, so that readiness
-	// is asked for over TLS.
+	// CallerTLS says that EntrySettings names TLS files for callers, so that readiness is
+	// queried over TLS.
 	CallerTLS bool
-	// PartialLinks says that not every entry links to every guard.
+	// PartialLinks says that not every entry links to every guard, so that WaitReady does
+	// not wait for all links.
 	PartialLinks bool
-	// EntrySettings and GuardSettings are added to the process settings, as YAML.
+	// EntrySettings and GuardSettings are appended to the process settings of entries and
+	// guards, as YAML.
 	EntrySettings, GuardSettings string
-	Seed                         uint64
+	// Seed is the base of the seeds of the fakes that Start creates.
+	Seed uint64
 }
 
-// Fleet is a running fleet.
+// Fleet is a running fleet. Its exported fields are set by Start and not changed afterwards.
 type Fleet struct {
+	// Objects is the fake platform. Store and VMs are clients of it.
 	Objects *fakes.Objects
 	Store   *store.Client
 	VMs     *store.VMs
+	// Keys holds the link keys of the fleet.
 	Keys    *seal.Keyring
 	Entries []*Node
 	Guards  []*Node
-	// Engines, Plains and Relays are by the name of their VM.
-	Engines    map[string]*fakes.Engine
-	Services   map[string]*fakes.Plain
-	Relays     map[string]*Relay
-	Platform   netip.AddrPort
-	opts       Options
+	// Engines, Services and Relays are keyed by the name of their VM.
+	Engines  map[string]*fakes.Engine
+	Services map[string]*fakes.Plain
+	Relays   map[string]*Relay
+	// Platform is the address of the fake platform.
+	Platform netip.AddrPort
+	opts     Options
+	// firstIP is the first IP number of the fleet's block, and lastOffset the offset of the
+	// last one that was assigned.
 	firstIP    netip.Addr
 	lastOffset byte
-	keyFile    string
-	servers    []*fakes.Served
-	vms        []store.VM
+	// keyFile is the path of the key file that all processes read.
+	keyFile string
+	servers []*fakes.Served
+	// vms is the VM list that the fake platform serves.
+	vms []store.VM
 }
 
-// fleetCount counts the fleets of this process.
-var fleetCount atomic.Uint32
+// blockCount counts the IP blocks that were tried in this process.
+var blockCount atomic.Uint32
 
-// newIPBlock returns the first IP number of a block for one fleet, of which no
-// other fleet on this machine has listened on yet.
+// newIPBlock returns the first IP number of a block for one fleet. It skips blocks whose
+// platform port is in use by another fleet on this machine.
 func newIPBlock() (netip.Addr, error) {
 	const second, third = 200, 250
 	for range second {
-		pid, n := uint32(os.Getpid()), fleetCount.Add(1)
+		pid, n := uint32(os.Getpid()), blockCount.Add(1)
 		a := netip.AddrFrom4([4]byte{127, byte(2 + (pid+n/third)%second), byte(1 + (pid/second+n)%third), 1})
 		ln, err := net.Listen("tcp", netip.AddrPortFrom(a, portPlatform).String())
 		if err == nil {
 			return a, ln.Close()
 		}
 	}
-	return netip.Addr{}, errors.New("rig: no free block of IP numbers")
+	return netip.Addr{}, errors.New("rig: found no free block of loopback IP numbers")
 }
 
-// nextIP returns the next IP number of the block.
+// nextIP assigns the next IP number of the block.
 func (f *Fleet) nextIP() netip.Addr {
 	b := f.firstIP.As4()
 	f.lastOffset++
@@ -105,7 +122,8 @@
 	return netip.AddrFrom4(b)
 }
 
-// Start starts a fleet and waits until its entries are ready.
+// Start starts a fleet and waits until it is ready, as WaitReady does. On an error nothing of
+// the fleet keeps running.
 func Start(o Options) (*Fleet, error) {
 	block, err := newIPBlock()
 	if err != nil {
@@ -155,7 +173,7 @@
 	return f.WaitReady(time.Now().Add(startTimeout))
 }
 
-// startTimeout bounds the start of a fleet.
+// startTimeout bounds the wait for readiness in Start, and each access to the settings.
 const startTimeout = 20 * time.Second
 
 func (f *Fleet) serve(addr netip.AddrPort, handle fasthttp.RequestHandler) (net.Listener, error) {
@@ -182,7 +200,8 @@
 	return err
 }
 
-// Apply puts settings in force and returns their revision.
+// Apply writes a settings tree, given as YAML, to the store whatever revision is there, and
+// returns the new revision. WaitRevision waits until it is in force.
 func (f *Fleet) Apply(text, author string) (int64, error) {
 	file, err := config.ParseFile("rig", []byte(text))
 	if err != nil {
@@ -194,7 +213,8 @@
 	return c.Revision, err
 }
 
-// WaitRevision waits until every live VM's process has the revision.
+// WaitRevision waits until the process of every live VM reports the revision. It returns an
+// error that names the other VMs if the deadline passes first.
 func (f *Fleet) WaitRevision(revision int64, deadline time.Time) error {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -269,7 +289,7 @@
 	return n.Start()
 }
 
-// SetVMState changes the state of a VM in the VM list.
+// SetVMState changes the state of the named VM in the VM list, such as to store.VMLeaving.
 func (f *Fleet) SetVMState(vm, state string) {
 	for i := range f.vms {
 		if f.vms[i].Name == vm {
@@ -279,7 +299,9 @@
 	f.Objects.SetVMs(f.vms)
 }
 
-// WaitReady waits until every entry is ready and may use every running guard.
+// WaitReady waits until every running entry is ready and has as many usable endpoints as
+// guards are running (not with Options.PartialLinks). It returns an error if the deadline
+// passes first.
 func (f *Fleet) WaitReady(deadline time.Time) error {
 	want := 0
 	for _, n := range f.Guards {
@@ -296,7 +318,7 @@
 		}
 		for n.usableEndpoints() < want && !f.opts.PartialLinks {
 			if time.Now().After(deadline) {
-				return errors.Newf("%s may use %d of %d guards", n.VM.Name, n.usableEndpoints(), want)
+				return errors.Newf("rig: %s has %d usable endpoints of %d by the deadline", n.VM.Name, n.usableEndpoints(), want)
 			}
 			time.Sleep(readyPollInterval)
 		}
@@ -304,16 +326,16 @@
 	return nil
 }
 
-// readyPollInterval is how often an entry is asked for its links.
+// readyPollInterval is the interval at which WaitReady reads an entry's usable endpoints.
 const readyPollInterval = 20 * time.Millisecond
 
-// Caller returns a caller of the numbered entry.
+// Caller returns a caller of Entries[i] that sends the API key.
 func (f *Fleet) Caller(i int, key string) *drive.Caller {
 	return f.caller(f.Entries[i], key, false)
 }
 
-// TLSCaller returns a caller of the numbered entry that uses TLS and takes
-// any certificate.
+// TLSCaller returns a caller of Entries[i] that uses TLS, sends the API key and accepts any
+// certificate.
 func (f *Fleet) TLSCaller(i int, key string) *drive.Caller {
 	return f.caller(f.Entries[i], key, true)
 }
@@ -326,15 +348,15 @@
 	return c
 }
 
-// EndpointAddr returns where the engine or service beside a guard listens.
+// EndpointAddr returns the address of the engine or service on a guard's VM.
 func (f *Fleet) EndpointAddr(n *Node) netip.AddrPort {
 	return netip.AddrPortFrom(n.Operators.Addr(), portEndpoint)
 }
 
-// Nodes returns every VM of the fleet.
+// Nodes returns every VM of the fleet, the entries before the guards.
 func (f *Fleet) Nodes() []*Node { return append(append([]*Node(nil), f.Entries...), f.Guards...) }
 
-// Close kills every process and ends the stand-ins.
+// Close kills every process and closes the relays and the fakes.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes() {
 		n.Kill()
--- a/internal/rig/invalid_test.go
+++ b/internal/rig/invalid_test.go
@@ -27,7 +27,8 @@
 	"github.com/traildrift/traildrift/internal/proc"
 )
 
-// sendRaw sends bytes to an entry and returns what comes back until it closes.
+// sendRaw sends bytes to an entry and returns its answer, read until the entry closes the
+// connection.
 func sendRaw(t *testing.T, f *Fleet, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Entries[0].Callers.String())
@@ -41,8 +42,8 @@
 	return string(got)
 }
 
-// TestInvalidRequests lets no one in who should not be, and nothing that is too large, too
-// slow or broken.
+// TestInvalidRequests refuses requests without authorisation and requests that are too large,
+// too slow or malformed. None of them may run.
 func TestInvalidRequests(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), EntrySettings: "maxBody: 1000\nmaxHeader: 2000\nreadWithin: 300ms\n"})
 	ask := func(key string, a drive.Ask) string {
@@ -73,7 +74,7 @@
 	start := time.Now()
 	sendRaw(t, f, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Slow: ")
 	if took := time.Since(start); took > maxPromptDelay {
-		t.Errorf("slow headers were waited for %v, want less than 8s", took)
+		t.Errorf("slow headers: connection closed after %v, want less than 8s", took)
 	}
 	if got := sendRaw(t, f, "no HTTP at all\r\n\r\n"); !strings.Contains(got, "400") {
 		t.Errorf("no HTTP: got %q, want a status 400", got)
@@ -83,7 +84,7 @@
 	}
 }
 
-// authority signs certificates for a test.
+// authority is a certificate authority.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -124,7 +125,7 @@
 	return cert, key
 }
 
-// issue writes a certificate and its key under the names of files.
+// issue writes a certificate for name and its key to file.crt and file.key.
 func (a *authority) issue(t *testing.T, file, name string) {
 	t.Helper()
 	cert, key := a.sign(t, name, false)
@@ -143,8 +144,8 @@
 	}
 }
 
-// TestTLS serves callers and links over TLS, takes a new certificate without a
-// restart, and lets no peer in whose certificate another authority signed.
+// TestTLS serves callers and links over TLS, loads a new certificate without a restart, and
+// rejects a peer whose certificate was signed by another authority.
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
 	a := newAuthority(t, dir, "ca")
@@ -187,6 +188,7 @@
 	}
 }
 
+// waitFor polls ok and fails the test if it is not true within the step deadline.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := stepDeadline(); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -194,10 +196,10 @@
 			return
 		}
 	}
-	t.Fatalf("%s did not come", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// TestSecrets finds no secret in logs and dumps.
+// TestSecrets checks that no key appears in a log or a state dump, at log level debug.
 func TestSecrets(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), EntrySettings: "logLevel: debug\n", GuardSettings: "logLevel: debug\n"})
 	expect(t, "chat", <-send(f, 0, chat("history", "lot", false)), "whole")
@@ -222,14 +224,14 @@
 		}
 		for _, s := range secrets {
 			if bytes.Contains(dump, s) || strings.Contains(n.Log(), string(s)) {
-				t.Errorf("%s shows a secret in its log or dump", n.VM.Name)
+				t.Errorf("%s: log or dump contains a secret", n.VM.Name)
 			}
 		}
 	}
 }
 
-// TestProcessSettings names file, line, key and what is allowed, and starts
-// nothing.
+// TestProcessSettings checks that the error for a wrong process settings file names the line,
+// the key and the allowed values.
 func TestProcessSettings(t *testing.T) {
 	const good = "vm: e\navailabilityZone: a\nlisten: 127.0.0.1:1\nlink: 127.0.0.1:2\noperators: 127.0.0.1:3\nplatform: 127.0.0.1:4\nkeys: k\n"
 	tests := []struct{ name, old, new, want string }{
@@ -253,8 +255,8 @@
 	}
 }
 
-// TestRefusedCallerMayFinishSending sends the rest of a request after its refusal:
-// a reset would break callers that are still sending, and lose them the answer.
+// TestRefusedCallerMayFinishSending sends the rest of a request after its refusal. A reset of
+// the connection would make callers that are still sending fail before they read the answer.
 func TestRefusedCallerMayFinishSending(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), EntrySettings: "maxHeader: 2000\n"})
 	c, err := net.Dial("tcp", f.Entries[0].Callers.String())
@@ -268,11 +270,11 @@
 	}
 	got, err := io.ReadAll(c)
 	if err != nil || !bytes.Contains(got, []byte("tooLarge")) {
-		t.Errorf("answer: got %q, %v; want tooLarge and an orderly end", got, err)
+		t.Errorf("answer: got %q, %v; want tooLarge and end of file", got, err)
 	}
 	for range 2 {
 		if _, err := io.WriteString(c, strings.Repeat("x", 1000)); err != nil {
-			t.Errorf("rest of the request: got %v, want it taken", err)
+			t.Errorf("rest of the request: got %v, want no write error", err)
 		}
 	}
 }
--- a/internal/rig/keys_test.go
+++ b/internal/rig/keys_test.go
@@ -15,14 +15,16 @@
 	"github.com/traildrift/traildrift/internal/fakes"
 )
 
-// slowServicePools has calls that take long enough for a fault to hit them.
+// slowServicePools returns two endpoints for each pool, with service calls that take long
+// enough for a fault to occur during them.
 func slowServicePools(work string) []Pool {
 	pools := testPools(2)
 	pools[2].ServiceTime = span(work)
 	return pools
 }
 
-// result is an answer as the tests compare it: "whole", or kind/run.
+// result returns the outcome of a request as tests compare it: "whole", the kind and run state
+// of an error as kind/run, "noAnswer", or the defect of a wrong answer.
 func result(a drive.Answer, err error) string {
 	switch {
 	case a.Err != nil:
@@ -36,14 +38,15 @@
 	}
 }
 
-// outcome is a request under way.
+// outcome is the outcome of a request; took is the time until it was received.
 type outcome struct {
 	answer drive.Answer
 	result string
 	took   time.Duration
 }
 
-// send sends a request in the background.
+// send sends a request to an entry in the background and returns a channel that receives its
+// outcome.
 func send(f *Fleet, entry int, a drive.Ask) <-chan outcome {
 	out := make(chan outcome, 1)
 	go func() {
@@ -54,7 +57,8 @@
 	return out
 }
 
-// waitForCall waits until a body was waitForCall and returns its guard.
+// waitForCall waits until a service has executed the call with the given body and returns its
+// guard.
 func waitForCall(t *testing.T, f *Fleet, body string) *Node {
 	t.Helper()
 	for deadline := stepDeadline(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -62,10 +66,11 @@
 			return n
 		}
 	}
-	t.Fatalf("%q was not lodged", body)
+	t.Fatalf("timed out waiting for the service call %q", body)
 	return nil
 }
 
+// expect fails the test unless the outcome is one of those wanted.
 func expect(t *testing.T, what string, got outcome, want ...string) {
 	t.Helper()
 	for _, w := range want {
@@ -76,18 +81,18 @@
 	t.Errorf("%s: got %s (%v), want %v", what, got.result, got.answer.Err, want)
 }
 
+// expectCalls fails the test unless services executed the call with the given body that often.
 func expectCalls(t *testing.T, f *Fleet, body string, want int) {
 	t.Helper()
 	if got := f.ServiceCalls()[body]; got != want {
-		t.Errorf("%q was lodged %d times, want %d", body, got, want)
+		t.Errorf("service calls of %q: got %d, want %d", body, got, want)
 	}
 }
 
-// keyKinds are the two kinds of key that allow one run only.
+// keyKinds are the two kinds of idempotency key: the caller's own key and a ticket.
 var keyKinds = []string{"own", "ticket"}
 
-// newKey returns a fresh key of a kind, a ticket being that of the numbered
-// entry.
+// newKey returns a new key of a kind; a ticket is issued by the given entry.
 func newKey(t *testing.T, f *Fleet, kind string, entry int) string {
 	t.Helper()
 	if kind == "own" {
@@ -106,8 +111,9 @@
 	return out.Ticket
 }
 
-// TestRepeats sends one key many times to both entries at once: one run, and
-// every caller gets its answer, also later. Another body is refused.
+// TestRepeats sends requests with the same key to both entries at the same time: the service
+// runs one of them, and every caller gets its answer, also later. A request with the same key
+// and another body is refused.
 func TestRepeats(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("100ms")})
 	for _, kind := range keyKinds {
@@ -137,8 +143,9 @@
 	}
 }
 
-// TestEntryKilled kills the entry that runs a request: a repeat elsewhere hears
-// at once that it may have run, for good, and it never runs again.
+// TestEntryKilled kills the entry that holds the run of a key. A repeat at another entry is
+// answered at once that the request may have run, and so are all later repeats. The request
+// never runs again.
 func TestEntryKilled(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	keys := map[string]string{}
@@ -172,7 +179,8 @@
 	}
 }
 
-// TestEntryFrozen freezes the entry that runs a request past every timeout.
+// TestEntryFrozen freezes the entry that holds the run of a key, until the repeat at another
+// entry has been answered.
 func TestEntryFrozen(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	for _, kind := range keyKinds {
@@ -184,9 +192,9 @@
 	}
 }
 
-// expectFrozen checks what callers hear of an entry that is frozen, which is thawed then: the
-// repeat at the other entry that the run may have run, at once; the first caller and a later
-// repeat the one run's answer.
+// expectFrozen checks the answers while an entry is frozen, and then thaws it. The repeat at
+// the other entry is answered at once that the request may have run. The first caller and a
+// later repeat get the answer of the one run.
 func expectFrozen(t *testing.T, f *Fleet, key, kind string, repeat, lost <-chan outcome) {
 	t.Helper()
 	got := <-repeat
@@ -200,9 +208,9 @@
 	expectCalls(t, f, kind, 1)
 }
 
-// TestEntryFrozenWhileFollowed freezes the entry that runs a request after another
-// entry began to follow the run there: the repeat's caller hears at once that it may
-// have run, as if the entry had been frozen before.
+// TestEntryFrozenWhileFollowed freezes the entry that holds the run of a key after another
+// entry has begun to follow that run. The repeat is answered at once that the request may have
+// run, as if the entry had been frozen before.
 func TestEntryFrozenWhileFollowed(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("5s")})
 	for _, kind := range keyKinds {
@@ -216,7 +224,7 @@
 	}
 }
 
-// waitForFollower waits until another entry follows a run of an entry.
+// waitForFollower waits until another entry follows a run that n holds.
 func waitForFollower(t *testing.T, n *Node) {
 	t.Helper()
 	for deadline := stepDeadline(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -224,11 +232,11 @@
 			return
 		}
 	}
-	t.Fatalf("nobody follows a run of %s", n.VM.Name)
+	t.Fatalf("timed out waiting for a follower of a run of %s", n.VM.Name)
 }
 
-// TestGuardKilled kills the guard while the service works: the caller hears that
-// it may have run, and no repeat runs it again.
+// TestGuardKilled kills the guard during the service call: the answer says that the request
+// may have run, and no repeat runs it again.
 func TestGuardKilled(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	for _, kind := range append(keyKinds, "none") {
@@ -250,7 +258,8 @@
 	}
 }
 
-// TestLinkCut breaks the link between entry and guard at different moments.
+// TestLinkCut interrupts the links between entries and guards, or loses messages on them, at
+// different points of a request. Each request is answered and runs once.
 func TestLinkCut(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("200ms")})
 	each := func(do func(*Relay)) {
@@ -293,9 +302,9 @@
 	}
 }
 
-// TestPlatformDown takes the platform away: own keys are refused as not run at
-// once, tickets and everything else go on. Lost answers and a slow platform are
-// settled.
+// TestPlatformDown stops the platform: requests with the caller's own key are refused at once
+// as not run, while tickets and all other requests are served. If the platform loses its answer
+// to a write or answers too slowly, the claim is settled later, and the request runs once.
 func TestPlatformDown(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	ticket := newKey(t, f, "ticket", 0)
@@ -314,19 +323,19 @@
 	expect(t, "own key, the write's answer lost", <-send(f, 0, note("lost", "lost")), "whole")
 	expect(t, "repeated elsewhere", <-send(f, 1, note("lost", "lost")), "whole")
 	expectCalls(t, f, "lost", 1)
-	for i := range 100 { // every bucket of the claim log was read by then
+	for i := range 100 { // enough keys to read every bucket of the claim log
 		expect(t, "own key", <-send(f, 0, note(fmt.Sprint("warm", i), "warm")), "whole")
 	}
 	f.Objects.Set(fakes.Faults{Delay: span("3s")})
 	got = <-send(f, 0, note("slow", "slow"))
 	expect(t, "own key, platform too slow", got, "platformDown/notRun")
 	f.Objects.Set(fakes.Faults{})
-	time.Sleep(1500 * time.Millisecond) // the late write has taken effect by then
+	time.Sleep(1500 * time.Millisecond) // until the delayed write has taken effect
 	expect(t, "repeated after a claim in doubt", <-send(f, 1, note("slow", "slow")), "whole")
 	expectCalls(t, f, "slow", 1)
 }
 
-// TestTickets refuses tickets that are forged or another workspace's.
+// TestTickets refuses forged tickets and tickets of another workspace.
 func TestTickets(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1)})
 	key := newKey(t, f, "ticket", 0)
@@ -338,12 +347,12 @@
 	other := strings.Split(string(foreign.Body), `"`)[3]
 	expect(t, "another workspace's", <-send(f, 0, note(other, "foreign")), "keyInvalid/notRun")
 	if got := len(f.ServiceCalls()); got != 0 {
-		t.Errorf("lodged: got %d, want 0", got)
+		t.Errorf("service calls: got %d, want 0", got)
 	}
 }
 
-// TestPlannedStop stops an entry with a stream on it, and guards under load:
-// nothing is cut off.
+// TestPlannedStop stops an entry that has a stream and a run with a follower, and then guards
+// under load. Every request is answered whole.
 func TestPlannedStop(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("200ms")})
 	var wg sync.WaitGroup
@@ -400,8 +409,8 @@
 	}
 }
 
-// TestBucketServer freezes the entry that serves some of the claim log's
-// buckets: claims are entered without it, and it adds none later.
+// TestBucketServer freezes the entry that serves some buckets of the claim log. The other
+// entry writes the claims itself, and the thawed entry adds none later.
 func TestBucketServer(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	key := func(i int) string { return fmt.Sprint("key ", i) }
@@ -417,8 +426,8 @@
 	}
 }
 
-// TestGuardSilent cuts the link to the guard for good while the service works:
-// the caller hears in a few seconds that the request may have run.
+// TestGuardSilent cuts the link to the guard permanently during the service call: the answer
+// says within a few seconds that the request may have run.
 func TestGuardSilent(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: slowServicePools("100ms")})
 	lost := send(f, 0, note("", "silent"))
@@ -428,12 +437,12 @@
 	expectCalls(t, f, "silent", 1)
 }
 
-// TestKilledBeforeDispatch kills an entry while its claim is on its way. Whether
-// the claim takes effect after its owner's death, and then the key is spent, or
-// never, and then a repeat runs: at most one run.
+// TestKilledBeforeDispatch kills an entry while the write of its claim is delayed. If the
+// claim takes effect after the entry has died, the key is used up; if it never does, a repeat
+// runs. Either way the request runs at most once.
 func TestKilledBeforeDispatch(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
-	for i := range 20 { // every bucket of the claim log was read by then
+	for i := range 20 { // enough keys to read every bucket of the claim log
 		expect(t, "own key", <-send(f, 0, note(fmt.Sprint("warm", i), "warm")), "whole")
 	}
 	f.Objects.Set(fakes.Faults{Delay: span("700ms")})
@@ -447,6 +456,6 @@
 	time.Sleep(100 * time.Millisecond)
 	expect(t, "repeated", <-send(f, 1, note("spent", "spent")), "keyUnsettled/mayHaveRun", "whole")
 	if got := f.ServiceCalls()["spent"]; got > 1 {
-		t.Errorf("lodged %d times, want at most once", got)
+		t.Errorf("service calls: got %d, want at most 1", got)
 	}
 }
--- a/internal/rig/main.go
+++ b/internal/rig/main.go
@@ -16,21 +16,23 @@
 	"github.com/traildrift/traildrift/internal/store"
 )
 
-// Environment variables that make a program of the rig's caller become a
-// process of the fleet.
+// Environment variables of a process of a fleet.
 const (
+	// envRole is the role of the process and envFile the path of its process settings. If
+	// envRole is set, Main runs that role.
 	envRole = "TRAILDRIFT_RIG_ROLE"
 	envFile = "TRAILDRIFT_RIG_FILE"
-	// envProfile names a folder for processor profiles, one a process.
+	// envProfile names a folder in which each process writes a CPU profile; none if empty.
 	envProfile = "TRAILDRIFT_RIG_PROFILE"
-	// envOtherProgram names a program of another revision that calls Main, and envOtherRole the role
-	// whose processes run it: see scripts/mixed.sh.
+	// envOtherProgram is the path of a program built from another revision that calls Main,
+	// and envOtherRole the role whose processes run it: see scripts/mixed.sh.
 	envOtherProgram = "TRAILDRIFT_RIG_OTHER"
 	envOtherRole    = "TRAILDRIFT_RIG_OTHER_ROLE"
 )
 
-// Main runs the process that the environment asks for and exits; it returns
-// at once where it asks for none. Programs that start fleets call it first.
+// Main runs the role that the environment names and exits the process, with code 1 on an
+// error. It returns at once if the environment names no role. A program that starts fleets
+// must call it first, since Node.Start runs that same program.
 func Main() {
 	role := os.Getenv(envRole)
 	if role == "" {
@@ -44,7 +46,8 @@
 	os.Exit(0)
 }
 
-// startProfile takes a processor startProfile of the first seconds, if asked for.
+// startProfile starts a CPU profile of the first profileDuration if envProfile is set. The
+// process runs without a profile if that fails.
 func startProfile(role string) {
 	dir := os.Getenv(envProfile)
 	if dir == "" {
@@ -57,7 +60,6 @@
 	time.AfterFunc(profileDuration, pprof.StopCPUProfile)
 }
 
-// profileDuration is how long a profile is taken.
 const profileDuration = 12 * time.Second
 
 func runRole(role, file string) error {
--- a/internal/rig/node.go
+++ b/internal/rig/node.go
@@ -16,7 +16,8 @@
 	"github.com/traildrift/traildrift/internal/store"
 )
 
-// Ports that every VM of a fleet uses on its own IP number.
+// Ports on the IP number of each VM. The fake platform listens on portPlatform of the first
+// IP number of the block. The VM list names portRelay as the link of a guard.
 const (
 	portCallers   = 8000
 	portLink      = 8001
@@ -26,18 +27,24 @@
 	portRelay     = 8005
 )
 
-// Node is one VM of a fleet, with its process.
+// Node is one VM of a fleet and its process. Its methods must not be called concurrently.
 type Node struct {
-	VM           store.VM
-	Callers      netip.AddrPort
+	// VM is the VM as it was first entered into the VM list.
+	VM store.VM
+	// Callers is the address that an entry serves callers on; invalid for a guard.
+	Callers netip.AddrPort
+	// Operators is the address of the operators' listener.
 	Operators    netip.AddrPort
 	settingsFile string
 	logFile      string
-	cmd          *exec.Cmd
-	exited       chan error
+	// cmd is nil before the first start and after the end of the process.
+	cmd *exec.Cmd
+	// exited receives the result of the process once.
+	exited chan error
 }
 
-// Start starts the process.
+// Start starts the process, which appends its output to the log file. The kernel kills it if
+// the caller's process dies.
 func (n *Node) Start() error {
 	out, err := os.OpenFile(n.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -63,15 +70,17 @@
 	return nil
 }
 
-// Pid returns the process's ID.
+// Pid returns the ID of the running process.
 func (n *Node) Pid() int { return n.cmd.Process.Pid }
 
-// Running reports whether the process was started and has not ended.
+// Running reports whether the process was started and has not exited. A frozen process counts
+// as running.
 func (n *Node) Running() bool {
 	return n.cmd != nil && len(n.exited) == 0
 }
 
-// Kill ends the process at once.
+// Kill kills the process with SIGKILL and waits until it has exited. It does nothing if the
+// process is not running.
 func (n *Node) Kill() {
 	if !n.Running() {
 		return
@@ -81,14 +90,14 @@
 	n.cmd = nil
 }
 
-// Freeze halts the process as a paused VM would be.
+// Freeze suspends the process with SIGSTOP, as when its VM is paused.
 func (n *Node) Freeze() { _ = n.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (n *Node) Thaw() { _ = n.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Stop asks for a planned stop and returns how the process ended; one that has
-// not ended by the deadline is killed.
+// Stop requests a planned stop with SIGTERM and returns the exit error of the process. A
+// process that has not exited by the deadline is killed, and Stop returns an error.
 func (n *Node) Stop(deadline time.Time) error {
 	if !n.Running() {
 		return nil
@@ -102,11 +111,11 @@
 		return err
 	case <-t.C:
 		n.Kill()
-		return errors.Newf("%s did not stop in time", n.VM.Name)
+		return errors.Newf("rig: %s did not stop by the deadline and was killed", n.VM.Name)
 	}
 }
 
-// Log returns what the process has logged so far.
+// Log returns the output of all processes of the VM so far, or "" if it cannot be read.
 func (n *Node) Log() string {
 	text, _ := os.ReadFile(filepath.Clean(n.logFile))
 	return string(text)
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -9,22 +9,24 @@
 	"sync"
 )
 
-// Relay stands before a VM's link so that tests can cut it.
+// Relay forwards TCP connections to the link port of a VM and injects link faults. Its
+// methods may be called concurrently.
 type Relay struct {
 	ln     net.Listener
 	target string
 	mu     sync.Mutex
-	// conns holds both sides of every relayed connection.
+	// conns holds both sides of every forwarded connection.
 	conns map[net.Conn]struct{}
-	// cut refuses new connections while the link is cut.
+	// cut says that new connections are closed at once.
 	cut bool
-	// dropToVM loses what goes to the VM, dropFromVM what comes back.
+	// dropToVM and dropFromVM say that data in that direction is discarded.
 	dropToVM, dropFromVM bool
 }
 
-// NewRelay relays connections of ln to an address.
-func NewRelay(ln net.Listener, to string) *Relay {
-	r := &Relay{ln: ln, target: to, conns: make(map[net.Conn]struct{})}
+// NewRelay returns a relay that forwards the connections of ln to the address target, until
+// Close.
+func NewRelay(ln net.Listener, target string) *Relay {
+	r := &Relay{ln: ln, target: target, conns: make(map[net.Conn]struct{})}
 	go r.serve()
 	return r
 }
@@ -61,15 +63,16 @@
 	<-done
 }
 
-// directionWriter writes towards one side, unless that way is lost.
+// directionWriter writes to one side of a connection, or discards the data while the relay
+// drops that direction.
 type directionWriter struct {
 	r *Relay
 	c net.Conn
-	// drop is one of the relay's flags.
+	// drop points to the relay's flag for this direction, guarded by the relay's mutex.
 	drop *bool
 }
 
-// Write drops or writes p.
+// Write writes p, or discards it and reports success.
 func (b *directionWriter) Write(p []byte) (int, error) {
 	b.r.mu.Lock()
 	lost := *b.drop
@@ -100,7 +103,7 @@
 	}
 }
 
-// CloseConns closes every connection; new ones are taken.
+// CloseConns closes every connection. New connections are accepted.
 func (r *Relay) CloseConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +112,7 @@
 	}
 }
 
-// Cut closes every connection and refuses new ones until Heal.
+// Cut closes every connection, and closes new ones at once until Heal.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	r.cut = true
@@ -117,21 +120,21 @@
 	r.CloseConns()
 }
 
-// DropToVM loses what goes over the link to the VM until Heal.
+// DropToVM discards the data sent to the VM until Heal. Connections stay open.
 func (r *Relay) DropToVM() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropToVM = true
 }
 
-// DropFromVM drops what comes back over the link until Heal.
+// DropFromVM discards the data sent by the VM until Heal. Connections stay open.
 func (r *Relay) DropFromVM() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropFromVM = true
 }
 
-// Heal lets connections through again.
+// Heal ends Cut, DropToVM and DropFromVM. The discarded data stays lost.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +143,7 @@
 	r.dropFromVM = false
 }
 
-// Close ends the relay.
+// Close stops listening and closes every connection.
 func (r *Relay) Close() {
 	_ = r.ln.Close()
 	r.Cut()
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -23,8 +23,8 @@
 // testKey is the API key of the workspace in testSettings.
 const testKey = "rig-key"
 
-// testSettings are the settings of most tests: a dear and a cheap model and a
-// service whose calls may not be repeated.
+// testSettings are the settings of most tests: an expensive and a cheap model, and a service
+// with a workload whose calls may not be repeated (notes) and one whose calls may (fetch).
 var testSettings = `
 models:
   deedwriter:
@@ -53,7 +53,7 @@
       hints: {}
 `
 
-// testPools has n endpoints of each pool.
+// testPools returns two pools of engines and one of services, with n endpoints each.
 func testPools(n int) []Pool {
 	engine := fakes.EngineOptions{FirstToken: span("10ms"), PerToken: span("2ms")}
 	return []Pool{
@@ -63,6 +63,7 @@
 	}
 }
 
+// span parses a duration and panics on an error.
 func span(text string) config.Span {
 	var s config.Span
 	if err := s.UnmarshalText([]byte(text)); err != nil {
@@ -71,7 +72,8 @@
 	return s
 }
 
-// startFleet starts a fleet that ends with the test.
+// startFleet starts a fleet and closes it at the end of the test. If the test failed, it logs
+// the output of every process.
 func startFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	o.Dir = t.TempDir()
@@ -100,7 +102,7 @@
 	return f
 }
 
-// chat is a request of the given workload.
+// chat returns a chat request of the given workload.
 func chat(workload, text string, streamed bool) drive.Ask {
 	return drive.Ask{
 		Chat:     fakes.ChatRequest{Model: workload, Messages: []fakes.Message{{Role: "user", Content: text}}, MaxTokens: 8, Stream: streamed},
@@ -109,7 +111,8 @@
 	}
 }
 
-// note is a request that may not be repeated.
+// note returns a service call that may not be repeated, with an idempotency key unless key is
+// empty.
 func note(key, text string) drive.Ask {
 	a := drive.Ask{Path: "/svc/notes/lodge", Body: text, Header: map[string]string{}, Deadline: stepDeadline()}
 	if key != "" {
@@ -118,10 +121,10 @@
 	return a
 }
 
-// stepDeadline bounds a step of a test.
+// stepDeadline returns the deadline of a step of a test that starts now.
 func stepDeadline() time.Time { return time.Now().Add(20 * time.Second) }
 
-// maxPromptDelay is how long an answer that is given at once may take. It is no
-// measure of speed, which a busy machine would change, but tells an answer at
-// once from one that is held back until the deadlines of these requests, 20 s.
+// maxPromptDelay is how long an answer that is sent at once may take. It distinguishes such an
+// answer from one that is delayed until the deadline of the request, 20 s. It is no bound on
+// speed, as a busy machine makes answers slower.
 const maxPromptDelay = 8 * time.Second
--- a/internal/rig/rollout_test.go
+++ b/internal/rig/rollout_test.go
@@ -15,14 +15,14 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// rolloutSettings are settings with a version that is not open yet, and cheaper than
-// the one that serves.
+// rolloutSettings are settings with a second version that has share 0 and costs less than the
+// version that serves.
 var rolloutSettings = strings.Replace(testSettings, `"1": {pool: mapcore, cost: 2, quality: 0.8}`,
 	`"1": {pool: mapcore, cost: 2, quality: 0.8}
       "2": {pool: mapcore, cost: 1, quality: 0.8, share: 0}`, 1)
 
-// startRolloutFleet starts a fleet whose mapcore engines have version 1 and fetch
-// the weights of others from a store that bears two at a time.
+// startRolloutFleet starts a fleet whose mapcore engines have loaded version 1 and fetch the
+// weights of other versions from a weight store that allows two fetches at a time.
 func startRolloutFleet(t *testing.T) (*Fleet, *fakes.Weights) {
 	t.Helper()
 	w := fakes.NewWeights(2, span("300ms"))
@@ -34,6 +34,7 @@
 	return f, w
 }
 
+// startRollout starts a roll-out of version 2 with the given shares of its waves.
 func startRollout(t *testing.T, f *Fleet, waves ...float64) {
 	t.Helper()
 	err := rolls.Update(t.Context(), f.Store, func(b *roll.Board) error {
@@ -45,7 +46,7 @@
 	}
 }
 
-// rollout returns the newest roll-out on the board.
+// rollout returns the newest roll-out on the board, or the zero value if there is none.
 func rollout(f *Fleet, t *testing.T) roll.Rollout {
 	b, _, err := rolls.Read(t.Context(), f.Store)
 	if err != nil || len(b.Rollouts) == 0 {
@@ -54,10 +55,10 @@
 	return b.Rollouts[len(b.Rollouts)-1]
 }
 
-// TestRollout rolls a version out while both entries that drive it are killed at
-// different moments, and the platform loses answers: it ends, the weight store
-// is never asked for more than it bears, serving goes on, and no request goes to
-// the version before it is open.
+// TestRollout rolls a version out while the two entries that drive the roll-out are killed in
+// turn and the platform loses answers. The roll-out completes, the weight store never gets
+// more than two fetches at a time, requests are served throughout, and the version gets no
+// request while its share is 0.
 func TestRollout(t *testing.T) {
 	f, w := startRolloutFleet(t)
 	expect(t, "before", <-send(f, 0, chat("tags", "lot", false)), "whole")
@@ -78,7 +79,7 @@
 			t.Fatal(err)
 		}
 		if i == 40 {
-			t.Fatalf("the roll-out does not end: %+v", rollout(f, t))
+			t.Fatalf("the roll-out has not completed: %+v", rollout(f, t))
 		}
 	}
 	f.Objects.Set(fakes.Faults{})
@@ -96,8 +97,8 @@
 	})
 }
 
-// TestRolloutAborted aborts a roll-out in its first wave: the version is
-// withdrawn and gets no new work.
+// TestRolloutAborted aborts a roll-out in its first wave: the version is withdrawn and gets no
+// new runs.
 func TestRolloutAborted(t *testing.T) {
 	f, _ := startRolloutFleet(t)
 	startRollout(t, f, 0.3, 1)
@@ -136,8 +137,8 @@
 	}
 }
 
-// TestStaleOrder refuses an order whose fence is not the newest, also at a guard
-// that was just started, before an engine that does not check.
+// TestStaleOrder sends an order with an outdated fencing token to a guard that has just been
+// restarted, in front of an engine that does not check the token. The guard refuses it.
 func TestStaleOrder(t *testing.T) {
 	f, _ := startRolloutFleet(t)
 	startRollout(t, f, 1)
--- a/internal/rig/session_names_test.go
+++ b/internal/rig/session_names_test.go
@@ -13,13 +13,12 @@
 	"github.com/traildrift/traildrift/internal/fakes"
 )
 
-// TestNamedSessions races the first use of session names at entries that choose
-// differently, since a change of price is under way: each name keeps one
-// version. While the platform is down a new name gets a token only, and the
-// answer says so.
+// TestNamedSessions races the first uses of session names at two entries that may choose
+// different versions, as a change of price is being distributed. Each name keeps one version.
+// While the platform is down a new name gets a token only, and the answer says so.
 func TestNamedSessions(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(2)})
-	dearer := strings.Replace(testSettings, `"1": {pool: mapcore, cost: 2`, `"1": {pool: mapcore, cost: 20`, 1)
+	costlier := strings.Replace(testSettings, `"1": {pool: mapcore, cost: 2`, `"1": {pool: mapcore, cost: 20`, 1)
 	named := func(entry int, name string) drive.Answer {
 		a := chat("tags", "lot", false)
 		a.Header["Traildrift-Session"] = name
@@ -29,7 +28,7 @@
 		}
 		return got
 	}
-	seen := raceSessionNames(t, f, named, dearer)
+	seen := raceSessionNames(t, f, named, costlier)
 	for name, versions := range seen {
 		if len(versions) != 1 {
 			t.Errorf("%s: got models %v, want one", name, versions)
@@ -48,9 +47,9 @@
 	}
 }
 
-// raceSessionNames uses each of ten names four times, at both entries, and returns the
-// models that each was served by.
-func raceSessionNames(t *testing.T, f *Fleet, named func(int, string) drive.Answer, dearer string) map[string]map[string]bool {
+// raceSessionNames uses each of ten names four times at the same time, at both entries, and
+// returns the models that served each name.
+func raceSessionNames(t *testing.T, f *Fleet, named func(int, string) drive.Answer, costlier string) map[string]map[string]bool {
 	t.Helper()
 	var mu sync.Mutex
 	seen := map[string]map[string]bool{}
@@ -69,7 +68,7 @@
 			seen[name][got.Model] = true
 		}()
 		if i == 20 {
-			if _, err := f.Apply(dearer, "test"); err != nil {
+			if _, err := f.Apply(costlier, "test"); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/rig/session_test.go
+++ b/internal/rig/session_test.go
@@ -14,7 +14,7 @@
 	"github.com/traildrift/traildrift/internal/golden"
 )
 
-// volatileParts are the parts of an answer that differ from run to run.
+// volatileParts are the parts of an answer that differ from run to run, and their replacements.
 var volatileParts = []struct {
 	re   *regexp.Regexp
 	with string
@@ -24,6 +24,7 @@
 	{regexp.MustCompile(`tds1\.[\w.-]+`), "TOKEN"},
 }
 
+// normalise replaces the volatile parts of text.
 func normalise(text string) string {
 	for _, c := range volatileParts {
 		text = c.re.ReplaceAllString(text, c.with)
@@ -31,8 +32,9 @@
 	return text
 }
 
-// TestSession holds a whole session through real processes against its golden
-// file: chats, a session, a service, refusals, explanation and bills.
+// TestSession compares the answers of real processes with a golden file: chats, a session, a
+// service call, refusals and an explanation. It then checks the planned stops and the number of
+// bill lines.
 func TestSession(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	var out bytes.Buffer
--- a/internal/rig/settings_test.go
+++ b/internal/rig/settings_test.go
@@ -17,7 +17,7 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// settingRows returns a row for each key of a process settings struct.
+// settingRows returns the row of docs/SETTINGS.md for each key of a process settings struct.
 func settingRows(t reflect.Type) []string {
 	var rows []string
 	for i := range t.NumField() {
@@ -35,7 +35,7 @@
 	return rows
 }
 
-// TestSettingsPage holds docs/SETTINGS.md to the code.
+// TestSettingsPage checks that docs/SETTINGS.md has exactly the rows that the code defines.
 func TestSettingsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
--- a/internal/rig/spread_test.go
+++ b/internal/rig/spread_test.go
@@ -12,9 +12,9 @@
 	"github.com/traildrift/traildrift/internal/fakes"
 )
 
-// TestChangesUnderFaults puts a change in force everywhere although watches end
-// silently or go back in time, the platform is slow or loses answers, or links
-// are cut; afterwards no process has gone back.
+// TestChangesUnderFaults applies changes of the settings while watches end silently or return
+// old versions, the platform is slow or loses answers, links break, or an entry restarts. Each
+// change gets in force at every process, and no process returns to an older revision.
 func TestChangesUnderFaults(t *testing.T) {
 	f := startFleet(t, Options{Entries: 3, Pools: testPools(2), EntrySettings: "listEvery: 500ms\n"})
 	tests := []struct {
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestFrozenEntry freezes an entry while a district is withdrawn from service:
-// it must not decide under the old revision once it goes on.
+// TestFrozenEntry freezes an entry while a workload is disabled. The thawed entry must not
+// decide by the old revision.
 func TestFrozenEntry(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	f.Entries[0].Freeze()
@@ -77,7 +77,7 @@
 		u, err := f.Entries[1].Usage()
 		return err == nil && u.Revision == 2
 	})
-	time.Sleep(3500 * time.Millisecond) // longer than settings count as heard of
+	time.Sleep(3500 * time.Millisecond) // longer than a confirmation of the settings is valid
 	waiting := send(f, 0, chat("tags", "lot", false))
 	time.Sleep(50 * time.Millisecond)
 	f.Entries[0].Thaw()
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestOutage takes the platform away: the settings in force stay so, and a change
-// after the outage reaches everyone.
+// TestOutage stops the platform: the settings stay in force, and a change after the outage
+// reaches every process.
 func TestOutage(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	f.Objects.Set(fakes.Faults{Down: true})
--- a/internal/rig/usage.go
+++ b/internal/rig/usage.go
@@ -17,25 +17,26 @@
 	"github.com/traildrift/traildrift/internal/desk"
 )
 
-// Usage is what a process has used since its start.
+// Usage is the resource usage of a process since its start.
 type Usage struct {
-	// CPU is user and system time, as the end of a span that began at the
-	// zero time.
+	// CPU is the user and system time, as the zero time plus that duration.
 	CPU time.Time
 	// ResidentBytes is the memory in bytes.
 	ResidentBytes int64
-	// Mallocs counts allocations.
+	// Mallocs is the number of heap allocations.
 	Mallocs uint64
 	// LinkBytes and LinkMessages count what the links carried, both ways.
 	LinkBytes, LinkMessages int64
-	Revision                int64
-	Violations              int64
+	// Revision is the revision of the settings in force.
+	Revision int64
+	// Violations is the number of broken invariants that the process counted.
+	Violations int64
 }
 
-// Dump returns the process's dump.
+// Dump returns the state dump of the process, as JSON.
 func (n *Node) Dump() ([]byte, error) { return desk.Fetch(n.Operators, "", "/debug/state") }
 
-// entryState is what tests read of an entry's dump.
+// entryState holds the fields of an entry's state dump that the rig reads.
 type entryState struct {
 	Followers int `json:"followers"`
 	Endpoints []struct {
@@ -43,7 +44,7 @@
 	} `json:"endpoints"`
 }
 
-// readState returns an entry's readState; the zero value if it does not answer.
+// readState reads an entry's state, and returns the zero value if the entry does not answer.
 func (n *Node) readState() entryState {
 	body, err := n.Dump()
 	if err != nil {
@@ -58,7 +59,7 @@
 	return d.Role
 }
 
-// usableEndpoints returns how many endpoints an entry may use.
+// usableEndpoints returns how many endpoints an entry can use now.
 func (n *Node) usableEndpoints() int {
 	count := 0
 	for _, e := range n.readState().Endpoints {
@@ -69,10 +70,10 @@
 	return count
 }
 
-// ticksPerSecond is the kernel's unit of processor time (USER_HZ).
+// ticksPerSecond is USER_HZ, the clock ticks per second of the times in /proc/PID/stat.
 const ticksPerSecond = 100
 
-// Usage reads what the process has used from the kernel and its dump.
+// Usage reads the resource usage of the process from /proc/PID/stat and its state dump.
 func (n *Node) Usage() (Usage, error) {
 	u := Usage{}
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.Pid()))
@@ -83,7 +84,7 @@
 	fields := strings.Fields(rest)
 	const utime, stime, rss = 11, 12, 21
 	if len(fields) <= rss {
-		return u, errors.New("rig: /proc/PID/stat is not as expected")
+		return u, errors.New("rig: /proc/PID/stat has too few fields")
 	}
 	user, _ := strconv.ParseInt(fields[utime], 10, 64)
 	system, _ := strconv.ParseInt(fields[stime], 10, 64)
--- a/internal/rig/vmlist_test.go
+++ b/internal/rig/vmlist_test.go
@@ -9,8 +9,8 @@
 	"github.com/traildrift/traildrift/internal/store"
 )
 
-// TestLeavingVMs lists VMs as leaving while they have runs: what runs there
-// is answered whole, and nothing new goes there.
+// TestLeavingVMs marks VMs as leaving in the VM list while they have runs: these runs are
+// answered whole, and no new run is sent there.
 func TestLeavingVMs(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: slowServicePools("1500ms"), EntrySettings: "listEvery: 100ms\n"})
 	running := send(f, 0, note("", "running"))
@@ -39,7 +39,7 @@
 	expectCalls(t, f, "running", 1)
 }
 
-// TestStaleVMList keeps serving while the VM list still shows VMs that are gone.
+// TestStaleVMList serves requests while the VM list still contains VMs whose guards are gone.
 func TestStaleVMList(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(2)})
 	for _, n := range f.Guards {
