--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -18,31 +18,36 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// requestTimeout is the deadline of each request.
+// requestTimeout bounds a request for a ticket. Other requests have a deadline of twice that.
 const requestTimeout = 4 * time.Second
 
-// outcomes is everything that callers heard about one piece of work.
+// outcomes holds the outcomes of all requests for one work item, that is for one request body
+// or prompt. Reports of violations print the struct with its field names.
 type outcomes struct {
-	// key is the caller's key; empty without one.
+	// key is the idempotency key, the caller's own or a ticket; empty without one.
 	key string
 	// request is the request ID of the last whole answer.
 	request string
-	// at is when the last whole answer came.
+	// at is the time at which the last whole answer was received. The counts are of whole
+	// answers, errors with run state notRun, other errors, and requests without an answer.
 	at                              time.Time
 	whole, notRun, unsure, noAnswer int
 }
 
-// tally gathers what callers heard, by the body or prompt of the work.
+// tally collects the outcomes of all requests. Its methods may be called concurrently.
 type tally struct {
 	mu sync.Mutex
-	// notes may not be repeated, chats may.
+	// notes and chats hold the outcomes by work item. Notes may not be repeated, chats may.
 	notes, chats map[string]*outcomes
 	// errors counts failures by kind and run state.
 	errors map[string]int
-	sent   int
-	wrong  []string
+	// sent is the number of requests that have ended, with or without an answer.
+	sent int
+	// wrong describes the answers whose content was wrong.
+	wrong []string
 }
 
+// add records the outcome of one request for a work item in m, which is notes or chats.
 func (a *tally) add(m map[string]*outcomes, work, key string, got drive.Answer, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,7 +71,7 @@
 	case got.Bad != "":
 		a.wrong = append(a.wrong, fmt.Sprintf("%s: %s", work, got.Bad))
 	case got.Status != fasthttp.StatusOK:
-		// The service's own answer, passed on; what it did is its own affair.
+		// An error status of the service itself, passed on: the run state is not known.
 		a.errors[fmt.Sprint("status ", got.Status)]++
 		t.unsure++
 	default:
@@ -76,7 +81,7 @@
 	}
 }
 
-// caller sends requests one after the other until the deadline.
+// caller sends requests for one work item after the other until the deadline.
 type caller struct {
 	f     *rig.Fleet
 	rnd   *rand.Rand
@@ -101,6 +106,7 @@
 	}
 }
 
+// anyEntry returns a caller of a random entry.
 func (c *caller) anyEntry() *drive.Caller {
 	return c.f.Caller(c.rnd.IntN(len(c.f.Entries)), soakKey)
 }
@@ -114,8 +120,8 @@
 	c.tally.add(c.tally.chats, work, "", got, err)
 }
 
-// note sends work that may not be repeated; with a key, several times and to
-// several entries, at once and one after the other.
+// note sends a service call that may not be repeated. With a key it sends the call one to three
+// times, to random entries, some at the same time and some one after the other.
 func (c *caller) note(work, key string) {
 	times := 1
 	if key != "" {
@@ -141,7 +147,8 @@
 	wg.Wait()
 }
 
-// ticket asks for a ticket; without one the work goes without a key.
+// ticket requests a ticket, and returns "" if none was issued. The call is then sent without a
+// key.
 func (c *caller) ticket() string {
 	got, err := c.anyEntry().Do(drive.Ask{Path: "/v1/tickets", Deadline: time.Now().Add(requestTimeout)})
 	if err != nil {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -15,21 +15,21 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// injector draws faults and puts them in force.
+// injector draws faults and injects them. It is used by one goroutine at a time.
 type injector struct {
 	f   *rig.Fleet
 	rnd *rand.Rand
-	// counts says how often each kind was drawn.
+	// counts holds how often each kind of fault was drawn, by name.
 	counts map[string]int
-	// broken collects what went wrong with the faults themselves.
+	// report records a violation that the injector found.
 	report func(format string, args ...any)
-	// kills says when a process of each role was killed.
+	// kills holds the times at which processes were killed, by role.
 	kills map[string][]time.Time
-	// withdrawn says that mapcore@1 is withdrawn at the moment.
+	// withdrawn says that mapcore@1 is withdrawn in the settings applied last.
 	withdrawn bool
 }
 
-// faultKind is one faultKind of fault: it begins and returns how to end it.
+// faultKind is a kind of fault. begin injects the fault and returns the function that ends it.
 type faultKind struct {
 	name  string
 	begin func(in *injector) (end func())
@@ -57,7 +57,7 @@
 	{"plannedStop", func(in *injector) func() { return in.stop(in.f.Guards[in.rnd.IntN(len(in.f.Guards))]) }},
 }
 
-// run draws faults until the deadline, at most two at a time.
+// run injects faults until the deadline, one or two at a time.
 func (in *injector) run(until time.Time) {
 	for time.Now().Before(until) {
 		var ends []func()
@@ -74,6 +74,7 @@
 	}
 }
 
+// kill kills a process and records the time; the returned function restarts the process.
 func (in *injector) kill(n *rig.Node) func() {
 	in.kills[n.VM.Role] = append(in.kills[n.VM.Role], time.Now())
 	n.Kill()
@@ -91,14 +92,16 @@
 	return false
 }
 
-// bothBillersKilled reports whether an entry was killed before it can have
-// written the bill of an answer at t, and a guard before it stood in.
+// bothBillersKilled reports whether both writers of the bill line of an answer at t may have
+// been lost: an entry killed by entryWriteTime, before it has surely written the line, and a
+// guard killed by guardWriteTime, before it has surely written the line in the entry's place.
 func (in *injector) bothBillersKilled(t time.Time) bool {
 	const entryWriteTime, guardWriteTime = 2 * time.Second, 4 * time.Second
 	return in.killedBetween(store.RoleEntry, t.Add(-time.Second), t.Add(entryWriteTime)) &&
 		in.killedBetween(store.RoleEndpoint, t.Add(-time.Second), t.Add(guardWriteTime))
 }
 
+// restart starts the process of a VM unless it is running.
 func (in *injector) restart(n *rig.Node) {
 	if n.Running() {
 		return
@@ -108,6 +111,7 @@
 	}
 }
 
+// freeze freezes a process if it is running; the returned function thaws it.
 func freeze(n *rig.Node) func() {
 	if !n.Running() {
 		return func() {}
@@ -120,7 +124,8 @@
 	}
 }
 
-// stop asks for a planned stop while requests run.
+// stop starts a planned stop while requests run. The returned function waits for its end and
+// restarts the process.
 func (in *injector) stop(n *rig.Node) func() {
 	if !n.Running() {
 		return func() {}
@@ -136,15 +141,19 @@
 	}
 }
 
+// relay returns the relay of a random guard.
 func (in *injector) relay() *rig.Relay {
 	return in.f.Relays[in.f.Guards[in.rnd.IntN(len(in.f.Guards))].VM.Name]
 }
 
+// platform sets faults of the fake platform; the returned function ends them.
 func (in *injector) platform(f fakes.Faults) func() {
 	in.f.Objects.Set(f)
 	return func() { in.f.Objects.Set(fakes.Faults{}) }
 }
 
+// engine sets faults of the engine or service of a random guard; the returned function ends
+// them.
 func (in *injector) engine(f fakes.Faults) func() {
 	n := in.f.Guards[in.rnd.IntN(len(in.f.Guards))]
 	if e := in.f.Engines[n.VM.Name]; e != nil {
@@ -156,8 +165,9 @@
 	return func() { p.Set(fakes.Faults{}) }
 }
 
-// withdraw withdraws mapcore@1, or serves it again. Once the change is in force
-// everywhere the version gets no new run.
+// withdraw withdraws mapcore@1, or reinstates it if it is withdrawn. The function returned for
+// a withdrawal waits until it is in force everywhere, and reports a violation if the version
+// still gets new runs. It checks nothing if that takes over 3 s.
 func (in *injector) withdraw() func() {
 	in.withdrawn = !in.withdrawn
 	text := settings
@@ -170,7 +180,7 @@
 	}
 	return func() {
 		if in.f.WaitRevision(revision, time.Now().Add(3*time.Second)) != nil {
-			return // a process is down or frozen
+			return // A process is down or frozen.
 		}
 		time.Sleep(maxStartDelay)
 		before := in.f.ModelRuns("mapcore@1")
@@ -181,11 +191,12 @@
 	}
 }
 
-// maxStartDelay is how long a run that was begun before a withdrawal may take to
-// reach the engine.
+// maxStartDelay is how long a run that was dispatched before a withdrawal may take to reach the
+// engine.
 const maxStartDelay = 100 * time.Millisecond
 
-// endFaults ends every fault that may be left.
+// endFaults ends the faults of the platform and the relays and restarts the processes that do
+// not run.
 func (in *injector) endFaults(ctx context.Context) {
 	in.f.Objects.Set(fakes.Faults{})
 	for _, r := range in.f.Relays {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -41,35 +41,42 @@
       notes: {serves: register, values: {repeatable: false}}
 `
 
-// Options shape a run.
+// Options are the options of a soak test.
 type Options struct {
+	// Seed determines the faults, the requests and the behaviour of the fakes. Their timing
+	// still differs from run to run.
 	Seed uint64
-	// Duration is how long faults are drawn.
+	// Duration is how long callers send requests and faults are injected.
 	Duration config.Span
-	Callers  int
-	Dir      string
-	Out      io.Writer
+	// Callers is the number of concurrent callers.
+	Callers int
+	// Dir is the folder for the files of the fleet.
+	Dir string
+	// Out receives one line at the start and one with the counts at the end.
+	Out io.Writer
 }
 
-// run is one long run.
+// run is the state of one soak test.
 type run struct {
 	opts       Options
 	f          *rig.Fleet
 	tally      *tally
 	mu         sync.Mutex
 	violations []string
-	// unavoidableLosses counts whole answers without a bill whose entry and guard were
-	// both killed before either had written it.
+	// unavoidableLosses is the number of whole answers without a bill line for which an entry
+	// and a guard were both killed before either can be sure to have written it.
 	unavoidableLosses int
 }
 
+// report records a violation. It may be called concurrently.
 func (r *run) report(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// Run does one run and returns an error that lists every violation.
+// Run runs one soak test. It returns an error if the fleet does not start, or if there are
+// violations: their number and the first maxViolationsShown of them.
 func Run(ctx context.Context, o Options) error {
 	_, _ = fmt.Fprintf(o.Out, "soak: seed %d, for %s, %d callers\n", o.Seed, o.Duration, o.Callers)
 	f, err := rig.Start(rig.Options{
@@ -102,7 +109,7 @@
 	return nil
 }
 
-// drive runs callers and faults until both have ended.
+// drive runs the callers and the injector for the duration of the test.
 func (r *run) drive(in *injector) {
 	until := r.opts.Duration.After(time.Now())
 	var wg sync.WaitGroup
@@ -118,7 +125,7 @@
 	wg.Wait()
 }
 
-// checkProcesses asks every process for broken invariants.
+// checkProcesses reports each process that does not answer or has counted broken invariants.
 func (r *run) checkProcesses() {
 	for _, n := range r.f.Nodes() {
 		u, err := n.Usage()
@@ -132,7 +139,7 @@
 	}
 }
 
-// checkRuns compares what callers heard with what endpoints did.
+// checkRuns compares the answers that callers received with the runs of the endpoints.
 func (r *run) checkRuns() {
 	for _, w := range r.tally.wrong {
 		r.report("a wrong answer: %s", w)
@@ -156,14 +163,14 @@
 	}
 }
 
-// maxViolationsShown bounds the violations of a report.
+// maxViolationsShown is how many violations the error of Run quotes.
 const maxViolationsShown = 8
 
-// billsTimeout is how long the bills may take to be complete.
+// billsTimeout bounds the wait for the last bill line after the faults have ended.
 const billsTimeout = config.Span(15 * time.Second)
 
-// checkBills waits until every whole answer has exactly one line, and then
-// looks for lines of work that did not run.
+// checkBills waits until every whole answer has a bill line, and then reports the lines for
+// work items that did not run.
 func (r *run) checkBills(ctx context.Context, in *injector) {
 	deadline := billsTimeout.After(time.Now())
 	for {
@@ -183,6 +190,8 @@
 	}
 }
 
+// compareBills returns the work items that have a whole answer and no bill line, and a
+// description of each bill line for a work item that was always reported as not run.
 func (r *run) compareBills(lines []bill.Line, in *injector) (missing, wrong []string) {
 	r.unavoidableLosses = 0
 	byID := make(map[string]bool, len(lines))
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// TestShort is the long run, short, from fixed seeds.
+// TestShort runs short soak tests with fixed seeds.
 func TestShort(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
