--- a/internal/gauge/capacity.go
+++ b/internal/gauge/capacity.go
@@ -18,7 +18,9 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Capacity measures the slopes that docs/CAPACITY.md is worked out from.
+// Capacity measures the slopes from which docs/CAPACITY.md is computed and prints them to out:
+// the use of idle processes by links, entries and settings nodes, and CPU time by request rate.
+// The files of its fleets go into subfolders of dir.
 func Capacity(ctx context.Context, out io.Writer, dir string) error {
 	steps := []func(context.Context, io.Writer, string) error{idleByLinks, idleByEntries, cpuByRate, memoryByNodes}
 	for i, step := range steps {
@@ -33,18 +35,22 @@
 	return nil
 }
 
-// settleDuration is how long a fleet rests before it is measured, measureDuration how
-// long it is measured.
+// settleDuration is how long a fleet is idle before an idle measurement, and measureDuration
+// how long each measurement takes.
 const (
 	settleDuration  = 3 * time.Second
 	measureDuration = 10 * time.Second
 )
 
-// idleUse is an idle fleet's use per second and process, by role.
+// idleUse is the mean resource use of the idle processes of one role.
 type idleUse struct {
+	// cpu is in cores, bytes and messages are those of links per second, and resident is the
+	// resident memory in MiB.
 	cpu, bytes, messages, resident float64
 }
 
+// measureIdle measures an idle fleet. It returns the use by role and the platform's calls per
+// second by kind.
 func measureIdle(ctx context.Context, f *rig.Fleet) (entry, guard idleUse, calls map[string]float64, err error) {
 	tasks.Pause(ctx, time.Now().Add(settleDuration))
 	before, err := usages(f)
@@ -78,6 +84,8 @@
 	return
 }
 
+// startFleet starts a fleet with one pool of engines and the settings text, in which every entry
+// links to every guard.
 func startFleet(dir string, entries, guards int, text string) (*rig.Fleet, error) {
 	return rig.Start(rig.Options{
 		Dir: dir, Zones: []string{"a", "b", "c"}, Entries: entries, Settings: text, Seed: 1,
@@ -86,12 +94,14 @@
 	})
 }
 
+// subdir creates the subfolder of dir for the fleet of size n.
 func subdir(dir string, n int) (string, error) {
 	sub := filepath.Join(dir, fmt.Sprint(n))
 	return sub, os.Mkdir(sub, 0o700)
 }
 
-// idleByLinks measures an idle entry and guard against the number of links.
+// idleByLinks measures an idle entry as a function of its number of links, and prints the use
+// of an idle guard beside it.
 func idleByLinks(ctx context.Context, out io.Writer, dir string) error {
 	var cpu, bytes, messages, resident []Point
 	for _, n := range []int{4, 16, 48, 96} {
@@ -122,8 +132,8 @@
 	return nil
 }
 
-// idleByEntries measures an idle guard, and the platform's calls and the time of a
-// change, against the number of idleByEntries.
+// idleByEntries measures an idle guard, the platform's calls and the time until a change is in
+// force as functions of the number of entries.
 func idleByEntries(ctx context.Context, out io.Writer, dir string) error {
 	var cpu, bytes, resident, lists []Point
 	for _, n := range []int{2, 8, 24, 48} {
@@ -157,10 +167,11 @@
 	return nil
 }
 
-// changesMeasured is how many changes the time to spread is taken from.
+// changesMeasured is the number of changes that measurePropagation applies.
 const changesMeasured = 15
 
-// measurePropagation measures the time from accepted to in force in the last process.
+// measurePropagation prints the mean and the longest time from the acceptance of a change of
+// the settings until it is in force in the last process.
 func measurePropagation(out io.Writer, f *rig.Fleet, processes int) error {
 	var sum, worst float64
 	for i := range changesMeasured {
@@ -181,7 +192,8 @@
 	return nil
 }
 
-// cpuByRate measures processor time against the rate of requests and of tokens.
+// cpuByRate measures the CPU time of an entry and a guard as a function of the request rate,
+// for answers of 1 and of 100 tokens.
 func cpuByRate(ctx context.Context, out io.Writer, dir string) error {
 	f, err := startFleet(dir, 1, 1, settings)
 	if err != nil {
@@ -205,6 +217,8 @@
 	return nil
 }
 
+// measureLoad sends requests at a rate and returns the points of the entry and of the guard:
+// requests sent per second, and CPU time in percent of a core.
 func measureLoad(ctx context.Context, out io.Writer, f *rig.Fleet, perSecond float64, words int) ([2]Point, error) {
 	var ps [2]Point
 	before, err := usages(f)
@@ -230,7 +244,8 @@
 	return ps, nil
 }
 
-// memoryByNodes measures the memory of an idle entry against the size of the settings.
+// memoryByNodes measures the memory of an idle entry as a function of the number of nodes of
+// the settings.
 func memoryByNodes(ctx context.Context, out io.Writer, dir string) error {
 	var resident []Point
 	for _, n := range []int{10, 400, 1600} {
@@ -254,7 +269,7 @@
 	return nil
 }
 
-// settingsOfNodes returns settings of about n nodes.
+// settingsOfNodes returns settings with about n nodes, as YAML.
 func settingsOfNodes(n int) string {
 	var b strings.Builder
 	b.WriteString(strings.TrimRight(settings, "\n") + "\n")
--- a/internal/gauge/claims.go
+++ b/internal/gauge/claims.go
@@ -18,15 +18,16 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// platformDelay is what the stand-in platform adds to each call, as the users'
-// platform answers in milliseconds.
+// platformDelay is the delay that the fake platform adds to each call, as a real platform takes
+// milliseconds to answer.
 const platformDelay = config.Span(3 * time.Millisecond)
 
-// claimRates are the rates of requests that may not be repeated, a second.
+// claimRates are the measured rates of requests that may not be repeated, in requests/s.
 var claimRates = []float64{1, 10, 100, 400}
 
-// Claims measures requests that may not be repeated, without a key, with a
-// ticket and with the caller's own key, and what the platform sees of them.
+// Claims measures the latency of requests that may not be repeated, without a key, with a
+// ticket and with the caller's own key, and the platform calls and bytes that they cause. It
+// prints the results to out. The files of its fleets go into subfolders of dir.
 func Claims(ctx context.Context, out io.Writer, dir string) error {
 	for _, kind := range []string{"no key", "ticket", "own key"} {
 		sub := filepath.Join(dir, kind)
@@ -49,7 +50,8 @@
 	return nil
 }
 
-// measureClaims runs one rate of one kind.
+// measureClaims sends requests with one kind of key at one rate and prints the result. With
+// tickets the measurement begins once all tickets have been issued.
 func measureClaims(ctx context.Context, out io.Writer, f *rig.Fleet, kind string, perSecond float64) {
 	var callers []*drive.Caller
 	for i := range f.Entries {
@@ -83,7 +85,8 @@
 		float64(after["put"]-before["put"])/n, float64(bytesAfter-bytesBefore)/n)
 }
 
-// keySource returns the key of the n-th request; tickets are taken beforehand.
+// keySource returns a function that returns the key of the n-th request. Tickets, count of
+// them, are requested beforehand and reused after count requests.
 func keySource(callers []*drive.Caller, kind string, count int) func(n int) string {
 	if kind != "ticket" {
 		run := time.Now().UnixNano()
--- a/internal/gauge/doc.go
+++ b/internal/gauge/doc.go
@@ -1,7 +1,11 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package gauge measures the project's own processes on one machine: the added
-// latency of the path, and the slopes that docs/CAPACITY.md is worked out
-// from. Every run is bounded in time and goes to loopback only.
+// Package gauge measures real processes of traildrift on one machine: the latency that entry
+// and guard add to a call (Path), the cost of requests that may not be repeated (Claims), the
+// effect of failures on callers (Recovery), and the slopes from which docs/CAPACITY.md is
+// computed (Capacity).
+//
+// Each function starts fleets of its own (internal/rig), prints its results and closes the
+// fleets. Every measurement is bounded in time and uses loopback only.
 package gauge
--- a/internal/gauge/fit.go
+++ b/internal/gauge/fit.go
@@ -9,20 +9,21 @@
 	"math"
 )
 
-// Point is one measured point of a slope.
+// Point is one measurement: Y is the value measured at X.
 type Point struct {
 	X, Y float64
 }
 
-// Fit is a least-squares line through points.
+// Fit is a straight line fitted by least squares. Slope is in units of Y per unit of X, and
+// Intercept in units of Y.
 type Fit struct {
 	Slope, Intercept float64
-	// StdError is the standard error of the slope; 0 for two points.
+	// StdError is the standard error of Slope; 0 for two points.
 	StdError float64
 }
 
-// FitLine fits a line through at least two points of different X (ordinary
-// least squares).
+// FitLine fits a line by ordinary least squares. There must be at least two points with
+// different X.
 func FitLine(ps []Point) Fit {
 	n := float64(len(ps))
 	var sx, sy, sxx, sxy float64
@@ -47,7 +48,7 @@
 	return f
 }
 
-// writeFit prints a slope with its points.
+// writeFit prints the fitted slope and intercept of y, a quantity of name, per x, and the points.
 func writeFit(w io.Writer, name, x, y string, ps []Point) {
 	f := FitLine(ps)
 	_, _ = fmt.Fprintf(w, "%s: %s per %s %.6g +- %.2g, at none %.6g; points", name, y, x, f.Slope, f.StdError, f.Intercept)
--- a/internal/gauge/path.go
+++ b/internal/gauge/path.go
@@ -17,10 +17,10 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// gaugeKey is the API key of the measuring workspace.
+// gaugeKey is the API key of the workspace in settings.
 const gaugeKey = "gauge-key"
 
-// settings are those of a measured fleet.
+// settings are the settings of the measured fleets.
 var settings = `
 models:
   m:
@@ -38,6 +38,7 @@
       once: {serves: s, values: {repeatable: false}}
 `
 
+// chatAsk returns the n-th chat request, for an answer of words tokens.
 func chatAsk(n, words int, streamed bool, model string) drive.Ask {
 	return drive.Ask{
 		Chat: fakes.ChatRequest{
@@ -50,9 +51,9 @@
 	}
 }
 
-// Path measures the added latency of entry and guard over a direct call to the
-// stand-in engine in the same run, the rate, allocations and processor time
-// per request, and the memory of idle processes.
+// Path measures the latency that entry and guard add to a direct call to the fake engine in
+// the same run, the rate of requests, the allocations and CPU time per request, and the memory
+// of idle processes. It prints the results to out. The files of its fleet go into dir.
 func Path(out io.Writer, dir string) error {
 	f, err := rig.Start(rig.Options{
 		Dir: dir, Zones: []string{"a"}, Entries: 1, Settings: settings, Seed: 1,
@@ -69,6 +70,7 @@
 	return measureRates(out, f)
 }
 
+// writeIdleMemory prints the resident memory of each idle process.
 func writeIdleMemory(out io.Writer, f *rig.Fleet) error {
 	for _, n := range f.Nodes() {
 		u, err := n.Usage()
@@ -80,12 +82,14 @@
 	return nil
 }
 
+// megabytes converts bytes to MiB.
 func megabytes(n int64) float64 { return float64(n) / (1 << 20) }
 
-// latencyRequests is how many calls of each kind the latency is taken from.
+// latencyRequests is the number of calls by which each latency is measured.
 const latencyRequests = 3000
 
-// measureLatency calls the engine directly and through the path by turns.
+// measureLatency calls the engine directly and through entry and guard in turn, and prints the
+// quantiles of both latencies and their differences.
 func measureLatency(out io.Writer, f *rig.Fleet) {
 	through := f.Caller(0, gaugeKey)
 	direct := drive.NewCaller(f.EndpointAddr(f.Guards[0]), "")
@@ -111,8 +115,8 @@
 	}
 }
 
-// runWorkers send one request after the other until the deadline, and return how
-// many were answered right.
+// runWorkers starts n workers, each of which sends one request after the other until the
+// deadline, and returns the number of correct answers. Worker w sends requests w, w+n, w+2n.
 func runWorkers(c *drive.Caller, n int, until time.Time, next func(i int) drive.Ask) int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -139,6 +143,8 @@
 // rateDuration is how long each rate is measured.
 const rateDuration = 4 * time.Second
 
+// measureRates prints the rate that 64 concurrent requests reach, for answers of 1 and of 100
+// tokens, with the CPU time and allocations per request of each process.
 func measureRates(out io.Writer, f *rig.Fleet) error {
 	for _, shape := range []struct {
 		name    string
@@ -168,6 +174,7 @@
 	return nil
 }
 
+// usages reads the usage of every process, in the order of Fleet.Nodes.
 func usages(f *rig.Fleet) ([]rig.Usage, error) {
 	var out []rig.Usage
 	for _, n := range f.Nodes() {
--- a/internal/gauge/recovery.go
+++ b/internal/gauge/recovery.go
@@ -16,25 +16,29 @@
 	"github.com/traildrift/traildrift/internal/tasks"
 )
 
-// recoveryRate is the rate of requests while processes are killed, a second.
+// recoveryRate is the rate of requests during the steps of Recovery, in requests/s.
 const recoveryRate = 200
 
-// answerCounts gathers answers that were not whole, and when the last one came.
+// answerCounts counts the answers of a step.
 type answerCounts struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// count counts the answers that were not whole, by kind, and last is the time at which
+	// the last of them was received; zero if there was none.
 	count map[string]int
 	last  time.Time
+	// whole counts the whole answers.
 	whole int
-	// late counts whole answers that took longer than lateAfter, slowest is
-	// the longest that one took, in seconds.
+	// late counts the whole answers that took longer than lateThreshold, and maxSeconds is
+	// the longest time that a whole answer took, in seconds.
 	late       int
 	maxSeconds float64
 }
 
-// lateThreshold is when an answer counts as late; without a fault they take a few
-// milliseconds.
+// lateThreshold is the latency above which an answer counts as late. Without a fault answers
+// take a few milliseconds.
 const lateThreshold = 250 * time.Millisecond
 
+// add counts one answer.
 func (f *answerCounts) add(_ string, a drive.Answer, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,7 +61,7 @@
 	f.last = time.Now()
 }
 
-// reset returns what was gathered since the last call.
+// reset returns the counts since the last call and sets them to zero.
 func (f *answerCounts) reset() *answerCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,9 +71,10 @@
 	return out
 }
 
-// Recovery kills, freezes and stops one process after the other under load, and
-// measures what callers notice: failed answers, and the time to the last one.
-// Callers of a killed entry move to the others, as a balancer makes them.
+// Recovery kills, freezes and stops one process after the other under load. For each step it
+// prints the numbers of whole, late and failed answers and the time until the last failure.
+// All callers use the two entries that are not killed, as a load balancer moves the callers of
+// a killed entry to the others. The files of its fleet go into dir.
 func Recovery(ctx context.Context, out io.Writer, dir string) error {
 	f, err := rig.Start(rig.Options{
 		Dir: dir, Zones: []string{"a", "b", "c"}, Entries: 3, Settings: settings, Seed: 1,
@@ -135,12 +140,14 @@
 	return nil
 }
 
-// stepDuration is how long each step is watched.
+// stepDuration is the length of each step, of which the first second is not counted. It also
+// bounds a planned stop.
 const stepDuration = 8 * time.Second
 
-// outageDuration is how long a process is killed or frozen.
+// outageDuration is how long a process stays killed or frozen.
 const outageDuration = 2 * time.Second
 
+// killAndRestart returns a step that kills a process and restarts it after outageDuration.
 func killAndRestart(ctx context.Context, n *rig.Node) func() error {
 	return func() error {
 		n.Kill()
@@ -149,6 +156,7 @@
 	}
 }
 
+// freezeAndThaw returns a step that freezes a process for outageDuration.
 func freezeAndThaw(ctx context.Context, n *rig.Node) func() error {
 	return func() error {
 		n.Freeze()
@@ -158,6 +166,7 @@
 	}
 }
 
+// stopAndRestart returns a step that stops a process as planned and restarts it.
 func stopAndRestart(n *rig.Node) func() error {
 	return func() error {
 		if err := n.Stop(time.Now().Add(stepDuration)); err != nil {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -18,7 +18,8 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// requestTimeout bounds a request for a ticket. Other requests have a deadline of twice that.
+// requestTimeout is answerWithin in settings, the time after which a request's deadline passes at
+// the entry. Callers wait that long for a ticket and twice as long for other answers.
 const requestTimeout = 4 * time.Second
 
 // outcomes holds the outcomes of all requests for one work item, that is for one request body
