--- a/internal/gauge/doc.go
+++ b/internal/gauge/doc.go
@@ -6,6 +6,7 @@
 // effect of failures on callers (Recovery), and the slopes from which docs/CAPACITY.md is
 // computed (Capacity).
 //
-// Each function starts fleets of its own (internal/rig), prints its results and closes the
-// fleets. Every measurement is bounded in time and uses loopback only.
+// Each of them starts fleets of its own (internal/rig), prints its results and closes the
+// fleets. Every measurement is bounded in time and uses loopback only. FitLine computes the
+// slopes, as a Fit of the measured Points.
 package gauge
--- a/internal/rig/answer_test.go
+++ b/internal/rig/answer_test.go
@@ -61,7 +61,7 @@
 	start := time.Now()
 	waitFor(t, "the end of the run", func() bool { return running() == 0 })
 	if took := time.Since(start); took > maxPromptDelay {
-		t.Errorf("run of a caller that disconnected: ended after %v, want at most %v", took, maxPromptDelay)
+		t.Errorf("run of a caller that disconnected: ended after %v, want less than 8s", took)
 	}
 }
 
--- a/internal/rig/keys_test.go
+++ b/internal/rig/keys_test.go
@@ -384,7 +384,7 @@
 	time.Sleep(300 * time.Millisecond)
 	long := chat("history", "long", true)
 	long.Chat.MaxTokens = 300
-	cut := send(f, 0, long)
+	stream := send(f, 0, long)
 	ticket := newKey(t, f, "ticket", 0)
 	held := send(f, 0, note(ticket, "held"))
 	waitForCall(t, f, "held")
@@ -393,7 +393,7 @@
 	if err := f.Entries[0].Stop(stepDeadline()); err != nil {
 		t.Errorf("stop of an entry: got %v, want nil", err)
 	}
-	expect(t, "a stream at the stopping entry", <-cut, "whole")
+	expect(t, "a stream at the stopping entry", <-stream, "whole")
 	expect(t, "a ticket's request at the stopping entry", <-held, "whole")
 	expect(t, "one that joined it from another entry", <-joined, "whole")
 	for _, g := range []*Node{f.Guards[0], f.Guards[2], f.Guards[4]} {
--- a/internal/rig/node.go
+++ b/internal/rig/node.go
@@ -27,7 +27,7 @@
 	portRelay     = 8005
 )
 
-// Node is one VM of a fleet and its process. Its methods must not be called concurrently.
+// Node is one VM of a fleet and its process.
 type Node struct {
 	// VM is the VM as it was first entered into the VM list.
 	VM store.VM
@@ -37,7 +37,7 @@
 	Operators    netip.AddrPort
 	settingsFile string
 	logFile      string
-	// cmd is nil before the first start and after the end of the process.
+	// cmd is nil before the first start and after Kill or Stop.
 	cmd *exec.Cmd
 	// exited receives the result of the process once.
 	exited chan error
