--- a/internal/gauge/capacity.go
+++ b/internal/gauge/capacity.go
@@ -18,9 +18,11 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Capacity measures the slopes that docs/CAPACITY.md is worked out from.
+// Capacity measures the slopes from which docs/CAPACITY.md is computed and prints them to out:
+// the use of idle processes by links, entries and settings nodes, and CPU time by request rate.
+// The files of its fleets go into subfolders of dir.
 func Capacity(ctx context.Context, out io.Writer, dir string) error {
-	steps := []func(context.Context, io.Writer, string) error{control, entries, load, tree}
+	steps := []func(context.Context, io.Writer, string) error{idleByLinks, idleByEntries, cpuByRate, memoryByNodes}
 	for i, step := range steps {
 		sub := filepath.Join(dir, fmt.Sprint(i))
 		if err := os.Mkdir(sub, 0o700); err != nil {
@@ -33,27 +35,31 @@
 	return nil
 }
 
-// settleFor is how long a fleet rests before it is measured, measureFor how
-// long it is measured.
+// settleDuration is how long a fleet is idle before an idle measurement, and measureDuration
+// how long each measurement takes.
 const (
-	settleFor  = 3 * time.Second
-	measureFor = 10 * time.Second
+	settleDuration  = 3 * time.Second
+	measureDuration = 10 * time.Second
 )
 
-// quiet is an idle fleet's use per second and process, by role.
-type quiet struct {
+// idleUse is the mean resource use of the idle processes of one role.
+type idleUse struct {
+	// cpu is in cores, bytes and messages are those of links per second, and resident is the
+	// resident memory in MiB.
 	cpu, bytes, messages, resident float64
 }
 
-func measureQuiet(ctx context.Context, f *rig.Fleet) (entry, guard quiet, calls map[string]float64, err error) {
-	tasks.Pause(ctx, time.Now().Add(settleFor))
+// measureIdle measures an idle fleet. It returns the use by role and the platform's calls per
+// second by kind.
+func measureIdle(ctx context.Context, f *rig.Fleet) (entry, guard idleUse, calls map[string]float64, err error) {
+	tasks.Pause(ctx, time.Now().Add(settleDuration))
 	before, err := usages(f)
 	if err != nil {
 		return
 	}
 	callsBefore, _ := f.Objects.Calls()
 	start := time.Now()
-	tasks.Pause(ctx, time.Now().Add(measureFor))
+	tasks.Pause(ctx, time.Now().Add(measureDuration))
 	after, err := usages(f)
 	if err != nil {
 		return
@@ -73,37 +79,41 @@
 		q.cpu += after[i].CPU.Sub(before[i].CPU).Seconds() / seconds / n
 		q.bytes += float64(after[i].LinkBytes-before[i].LinkBytes) / seconds / n
 		q.messages += float64(after[i].LinkMessages-before[i].LinkMessages) / seconds / n
-		q.resident += megabytes(after[i].Resident) / n
+		q.resident += megabytes(after[i].ResidentBytes) / n
 	}
 	return
 }
 
-func fleet(dir string, entries, guards int, text string) (*rig.Fleet, error) {
+// startFleet starts a fleet with one pool of engines and the settings text, in which every entry
+// links to every guard.
+func startFleet(dir string, entries, guards int, text string) (*rig.Fleet, error) {
 	return rig.Start(rig.Options{
 		Dir: dir, Zones: []string{"a", "b", "c"}, Entries: entries, Settings: text, Seed: 1,
-		Entry: "linksPerPool: 1000\n",
-		Pools: []rig.Pool{{Name: "m", Kind: "engine", Endpoints: guards, Slots: 64, Waiting: 256}},
+		EntrySettings: "linksPerPool: 1000\n",
+		Pools:         []rig.Pool{{Name: "m", Kind: "engine", Endpoints: guards, Slots: 64, Waiting: 256}},
 	})
 }
 
+// subdir creates the subfolder of dir for the fleet of size n.
 func subdir(dir string, n int) (string, error) {
 	sub := filepath.Join(dir, fmt.Sprint(n))
 	return sub, os.Mkdir(sub, 0o700)
 }
 
-// control measures an idle entry and guard against the number of links.
-func control(ctx context.Context, out io.Writer, dir string) error {
+// idleByLinks measures an idle entry as a function of its number of links, and prints the use
+// of an idle guard beside it.
+func idleByLinks(ctx context.Context, out io.Writer, dir string) error {
 	var cpu, bytes, messages, resident []Point
 	for _, n := range []int{4, 16, 48, 96} {
 		sub, err := subdir(dir, n)
 		if err != nil {
 			return err
 		}
-		f, err := fleet(sub, 1, n, settings)
+		f, err := startFleet(sub, 1, n, settings)
 		if err != nil {
 			return err
 		}
-		e, g, calls, err := measureQuiet(ctx, f)
+		e, g, calls, err := measureIdle(ctx, f)
 		f.Close()
 		if err != nil {
 			return err
@@ -122,22 +132,22 @@
 	return nil
 }
 
-// entries measures an idle guard, and the platform's calls and the time of a
-// change, against the number of entries.
-func entries(ctx context.Context, out io.Writer, dir string) error {
+// idleByEntries measures an idle guard, the platform's calls and the time until a change is in
+// force as functions of the number of entries.
+func idleByEntries(ctx context.Context, out io.Writer, dir string) error {
 	var cpu, bytes, resident, lists []Point
 	for _, n := range []int{2, 8, 24, 48} {
 		sub, err := subdir(dir, n)
 		if err != nil {
 			return err
 		}
-		f, err := fleet(sub, n, 4, settings)
+		f, err := startFleet(sub, n, 4, settings)
 		if err != nil {
 			return err
 		}
-		_, g, calls, err := measureQuiet(ctx, f)
+		_, g, calls, err := measureIdle(ctx, f)
 		if err == nil {
-			err = spreadTimes(out, f, n+4)
+			err = measurePropagation(out, f, n+4)
 		}
 		f.Close()
 		if err != nil {
@@ -157,11 +167,12 @@
 	return nil
 }
 
-// changesMeasured is how many changes the time to spread is taken from.
+// changesMeasured is the number of changes that measurePropagation applies.
 const changesMeasured = 15
 
-// spreadTimes measures the time from accepted to in force in the last process.
-func spreadTimes(out io.Writer, f *rig.Fleet, processes int) error {
+// measurePropagation prints the mean and the longest time from the acceptance of a change of
+// the settings until it is in force in the last process.
+func measurePropagation(out io.Writer, f *rig.Fleet, processes int) error {
 	var sum, worst float64
 	for i := range changesMeasured {
 		text := strings.Replace(settings, "answerWithin: 30s", fmt.Sprintf("answerWithin: %ds", 31+i), 1)
@@ -170,7 +181,7 @@
 			return err
 		}
 		start := time.Now()
-		if err := f.InForce(revision, start.Add(20*time.Second)); err != nil {
+		if err := f.WaitRevision(revision, start.Add(20*time.Second)); err != nil {
 			return err
 		}
 		s := time.Since(start).Seconds()
@@ -181,9 +192,10 @@
 	return nil
 }
 
-// load measures processor time against the rate of requests and of tokens.
-func load(ctx context.Context, out io.Writer, dir string) error {
-	f, err := fleet(dir, 1, 1, settings)
+// cpuByRate measures the CPU time of an entry and a guard as a function of the request rate,
+// for answers of 1 and of 100 tokens.
+func cpuByRate(ctx context.Context, out io.Writer, dir string) error {
+	f, err := startFleet(dir, 1, 1, settings)
 	if err != nil {
 		return err
 	}
@@ -191,7 +203,7 @@
 	for _, words := range []int{1, 100} {
 		var cpu [2][]Point
 		for _, perSecond := range []float64{50, 150, 450} {
-			ps, err := loaded(ctx, out, f, perSecond, words)
+			ps, err := measureLoad(ctx, out, f, perSecond, words)
 			if err != nil {
 				return err
 			}
@@ -205,7 +217,9 @@
 	return nil
 }
 
-func loaded(ctx context.Context, out io.Writer, f *rig.Fleet, perSecond float64, words int) ([2]Point, error) {
+// measureLoad sends requests at a rate and returns the points of the entry and of the guard:
+// requests sent per second, and CPU time in percent of a core.
+func measureLoad(ctx context.Context, out io.Writer, f *rig.Fleet, perSecond float64, words int) ([2]Point, error) {
 	var ps [2]Point
 	before, err := usages(f)
 	if err != nil {
@@ -214,8 +228,8 @@
 	start := time.Now()
 	l := drive.Load{
 		Callers:           []*drive.Caller{f.Caller(0, gaugeKey)},
-		Mix:               []drive.MixEntry{{Name: fmt.Sprintf("%d tokens", words), Weight: 1, NewRequest: func(n int) drive.Request { return ask(n, words, true, "chat") }}},
-		ArrivalsPerSecond: perSecond, Until: start.Add(measureFor), Seed: 1, MaxInFlight: 2000,
+		Mix:               []drive.MixEntry{{Name: fmt.Sprintf("%d tokens", words), Weight: 1, NewRequest: func(n int) drive.Request { return chatAsk(n, words, true, "chat") }}},
+		ArrivalsPerSecond: perSecond, Until: start.Add(measureDuration), Seed: 1, MaxInFlight: 2000,
 	}
 	results := l.Run(ctx)
 	seconds := time.Since(start).Seconds()
@@ -230,19 +244,20 @@
 	return ps, nil
 }
 
-// tree measures the memory of an idle entry against the size of the settings.
-func tree(ctx context.Context, out io.Writer, dir string) error {
+// memoryByNodes measures the memory of an idle entry as a function of the number of nodes of
+// the settings.
+func memoryByNodes(ctx context.Context, out io.Writer, dir string) error {
 	var resident []Point
 	for _, n := range []int{10, 400, 1600} {
 		sub, err := subdir(dir, n)
 		if err != nil {
 			return err
 		}
-		f, err := fleet(sub, 1, 1, treeOf(n))
+		f, err := startFleet(sub, 1, 1, settingsOfNodes(n))
 		if err != nil {
 			return err
 		}
-		e, g, _, err := measureQuiet(ctx, f)
+		e, g, _, err := measureIdle(ctx, f)
 		f.Close()
 		if err != nil {
 			return err
@@ -254,8 +269,8 @@
 	return nil
 }
 
-// treeOf returns settings of about n nodes.
-func treeOf(n int) string {
+// settingsOfNodes returns settings with about n nodes, as YAML.
+func settingsOfNodes(n int) string {
 	var b strings.Builder
 	b.WriteString(strings.TrimRight(settings, "\n") + "\n")
 	for w := 0; w*10 < n; w++ {
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -9,22 +9,24 @@
 	"sync"
 )
 
-// Relay stands before a VM's link so that tests can cut it.
+// Relay forwards TCP connections to the link port of a VM and injects link faults. Its
+// methods may be called concurrently.
 type Relay struct {
-	ln net.Listener
-	to string
-	mu sync.Mutex
-	// conns holds both sides of every relayed connection.
+	ln     net.Listener
+	target string
+	mu     sync.Mutex
+	// conns holds both sides of every forwarded connection.
 	conns map[net.Conn]struct{}
-	// closed refuses new connections while the link is cut.
-	closed bool
-	// drop loses what goes to the VM, swallow what comes back.
-	drop, swallow bool
+	// cut says that new connections are closed at once.
+	cut bool
+	// dropToVM and dropFromVM say that data in that direction is discarded.
+	dropToVM, dropFromVM bool
 }
 
-// NewRelay relays connections of ln to an address.
-func NewRelay(ln net.Listener, to string) *Relay {
-	r := &Relay{ln: ln, to: to, conns: make(map[net.Conn]struct{})}
+// NewRelay returns a relay that forwards the connections of ln to the address target, until
+// Close.
+func NewRelay(ln net.Listener, target string) *Relay {
+	r := &Relay{ln: ln, target: target, conns: make(map[net.Conn]struct{})}
 	go r.serve()
 	return r
 }
@@ -35,44 +37,45 @@
 		if err != nil {
 			return
 		}
-		go r.relay(c)
+		go r.forward(c)
 	}
 }
 
-func (r *Relay) relay(c net.Conn) {
+func (r *Relay) forward(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	up, err := net.Dial("tcp", r.to)
+	up, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
 	defer func() { _ = up.Close() }()
-	if !r.enter(c, up) {
+	if !r.addConns(c, up) {
 		return
 	}
-	defer r.leave(c, up)
+	defer r.removeConns(c, up)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, _ = io.Copy(&sideWriter{r, up, &r.drop}, c)
+		_, _ = io.Copy(&directionWriter{r, up, &r.dropToVM}, c)
 		_ = up.Close()
 	}()
-	_, _ = io.Copy(&sideWriter{r, c, &r.swallow}, up)
+	_, _ = io.Copy(&directionWriter{r, c, &r.dropFromVM}, up)
 	_ = c.Close()
 	<-done
 }
 
-// sideWriter writes towards one side, unless that way is lost.
-type sideWriter struct {
+// directionWriter writes to one side of a connection, or discards the data while the relay
+// drops that direction.
+type directionWriter struct {
 	r *Relay
 	c net.Conn
-	// lost is one of the relay's flags.
-	lost *bool
+	// drop points to the relay's flag for this direction, guarded by the relay's mutex.
+	drop *bool
 }
 
-// Write drops or writes p.
-func (b *sideWriter) Write(p []byte) (int, error) {
+// Write writes p, or discards it and reports success.
+func (b *directionWriter) Write(p []byte) (int, error) {
 	b.r.mu.Lock()
-	lost := *b.lost
+	lost := *b.drop
 	b.r.mu.Unlock()
 	if lost {
 		return len(p), nil
@@ -80,10 +83,10 @@
 	return b.c.Write(p)
 }
 
-func (r *Relay) enter(conns ...net.Conn) bool {
+func (r *Relay) addConns(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed {
+	if r.cut {
 		return false
 	}
 	for _, c := range conns {
@@ -92,7 +95,7 @@
 	return true
 }
 
-func (r *Relay) leave(conns ...net.Conn) {
+func (r *Relay) removeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -100,8 +103,8 @@
 	}
 }
 
-// Break closes every connection; new ones are taken.
-func (r *Relay) Break() {
+// CloseConns closes every connection. New connections are accepted.
+func (r *Relay) CloseConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -109,38 +112,38 @@
 	}
 }
 
-// Cut closes every connection and refuses new ones until Heal.
+// Cut closes every connection, and closes new ones at once until Heal.
 func (r *Relay) Cut() {
 	r.mu.Lock()
-	r.closed = true
+	r.cut = true
 	r.mu.Unlock()
-	r.Break()
+	r.CloseConns()
 }
 
-// Drop loses what goes over the link to the VM until Heal.
-func (r *Relay) Drop() {
+// DropToVM discards the data sent to the VM until Heal. Connections stay open.
+func (r *Relay) DropToVM() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drop = true
+	r.dropToVM = true
 }
 
-// Swallow drops what comes back over the link until Heal.
-func (r *Relay) Swallow() {
+// DropFromVM discards the data sent by the VM until Heal. Connections stay open.
+func (r *Relay) DropFromVM() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.swallow = true
+	r.dropFromVM = true
 }
 
-// Heal lets connections through again.
+// Heal ends Cut, DropToVM and DropFromVM. The discarded data stays lost.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.closed = false
-	r.drop = false
-	r.swallow = false
+	r.cut = false
+	r.dropToVM = false
+	r.dropFromVM = false
 }
 
-// Close ends the relay.
+// Close stops listening and closes every connection.
 func (r *Relay) Close() {
 	_ = r.ln.Close()
 	r.Cut()
--- a/internal/rig/rollout_test.go
+++ b/internal/rig/rollout_test.go
@@ -15,25 +15,26 @@
 	"github.com/traildrift/traildrift/pkg/roll"
 )
 
-// rolling are settings with a version that is not open yet, and cheaper than
-// the one that serves.
-var rolling = strings.Replace(testSettings, `"1": {pool: mapcore, cost: 2, quality: 0.8}`,
+// rolloutSettings are settings with a second version that has share 0 and costs less than the
+// version that serves.
+var rolloutSettings = strings.Replace(testSettings, `"1": {pool: mapcore, cost: 2, quality: 0.8}`,
 	`"1": {pool: mapcore, cost: 2, quality: 0.8}
       "2": {pool: mapcore, cost: 1, quality: 0.8, share: 0}`, 1)
 
-// startRolling starts a fleet whose mapcore engines have version 1 and fetch
-// the weights of others from a store that bears two at a time.
-func startRolling(t *testing.T) (*Fleet, *fakes.WeightStore) {
+// startRolloutFleet starts a fleet whose mapcore engines have loaded version 1 and fetch the
+// weights of other versions from a weight store that allows two fetches at a time.
+func startRolloutFleet(t *testing.T) (*Fleet, *fakes.WeightStore) {
 	t.Helper()
 	w := fakes.NewWeightStore(2, span("300ms"))
 	pools := testPools(4)[1:2]
 	pools[0].Engine.Versions = []string{"mapcore@1"}
 	pools[0].Engine.FetchWeights = w.Fetch
 	pools[0].Engine.Unfenced = true
-	f := startFleet(t, Options{Entries: 2, Pools: pools, Settings: rolling, Zones: []string{"a"}})
+	f := startFleet(t, Options{Entries: 2, Pools: pools, Settings: rolloutSettings, Zones: []string{"a"}})
 	return f, w
 }
 
+// startRollout starts a roll-out of version 2 with the given shares of its waves.
 func startRollout(t *testing.T, f *Fleet, waves ...float64) {
 	t.Helper()
 	err := rolls.Update(t.Context(), f.Store, func(b *roll.Board) error {
@@ -45,7 +46,7 @@
 	}
 }
 
-// rollout returns the newest roll-out on the board.
+// rollout returns the newest roll-out on the board, or the zero value if there is none.
 func rollout(f *Fleet, t *testing.T) roll.Rollout {
 	b, _, err := rolls.Read(t.Context(), f.Store)
 	if err != nil || len(b.Rollouts) == 0 {
@@ -54,12 +55,12 @@
 	return b.Rollouts[len(b.Rollouts)-1]
 }
 
-// TestRollout rolls a version out while both entries that drive it are killed at
-// different moments, and the platform loses answers: it ends, the weight store
-// is never asked for more than it bears, serving goes on, and no request goes to
-// the version before it is open.
+// TestRollout rolls a version out while the two entries that drive the roll-out are killed in
+// turn and the platform loses answers. The roll-out completes, the weight store never gets
+// more than two fetches at a time, requests are served throughout, and the version gets no
+// request while its share is 0.
 func TestRollout(t *testing.T) {
-	f, w := startRolling(t)
+	f, w := startRolloutFleet(t)
 	expect(t, "before", <-send(f, 0, chat("tags", "lot", false)), "whole")
 	if got := f.ModelRuns("mapcore@2"); got != 0 {
 		t.Errorf("runs of a version with share 0: got %d, want 0", got)
@@ -74,16 +75,16 @@
 		if err := n.Start(); err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Ready(soon()); err != nil {
+		if err := f.WaitReady(stepDeadline()); err != nil {
 			t.Fatal(err)
 		}
 		if i == 40 {
-			t.Fatalf("the roll-out does not end: %+v", rollout(f, t))
+			t.Fatalf("the roll-out has not completed: %+v", rollout(f, t))
 		}
 	}
 	f.Objects.Set(fakes.Faults{})
-	if most, refused := w.Stats(); most > 2 || refused != 0 {
-		t.Errorf("weight store: got %d at a time and %d refusals, want at most 2 and none", most, refused)
+	if maxAtOnce, refused := w.Stats(); maxAtOnce > 2 || refused != 0 {
+		t.Errorf("weight store: got %d at a time and %d refusals, want at most 2 and none", maxAtOnce, refused)
 	}
 	for vm, e := range f.Engines {
 		if got := strings.Join(e.Loaded(), " "); got != "mapcore@1 mapcore@2" {
@@ -96,10 +97,10 @@
 	})
 }
 
-// TestRolloutAborted aborts a roll-out in its first wave: the version is
-// withdrawn and gets no new work.
+// TestRolloutAborted aborts a roll-out in its first wave: the version is withdrawn and gets no
+// new runs.
 func TestRolloutAborted(t *testing.T) {
-	f, _ := startRolling(t)
+	f, _ := startRolloutFleet(t)
 	startRollout(t, f, 0.3, 1)
 	if err := rolls.Update(t.Context(), f.Store, func(b *roll.Board) error {
 		b.Rollouts[0].HoldSeconds = 600
@@ -124,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.InForce(revision, soon()); err != nil {
+	if err := f.WaitRevision(revision, stepDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	before := f.ModelRuns("mapcore@2")
@@ -136,10 +137,10 @@
 	}
 }
 
-// TestOldOrder refuses an order whose fence is not the newest, also at a guard
-// that was just started, before an engine that does not check.
-func TestOldOrder(t *testing.T) {
-	f, _ := startRolling(t)
+// TestStaleOrder sends an order with an outdated fencing token to a guard that has just been
+// restarted, in front of an engine that does not check the token. The guard refuses it.
+func TestStaleOrder(t *testing.T) {
+	f, _ := startRolloutFleet(t)
 	startRollout(t, f, 1)
 	old, err := rolls.Version(t.Context(), f.Store)
 	if err != nil {
--- a/internal/rig/spread_test.go
+++ b/internal/rig/spread_test.go
@@ -12,15 +12,15 @@
 	"github.com/traildrift/traildrift/internal/fakes"
 )
 
-// TestChangesUnderFaults puts a change in force everywhere although watches end
-// silently or go back in time, the platform is slow or loses answers, or links
-// are cut; afterwards no process has gone back.
+// TestChangesUnderFaults applies changes of the settings while watches end silently or return
+// old versions, the platform is slow or loses answers, links break, or an entry restarts. Each
+// change gets in force at every process, and no process returns to an older revision.
 func TestChangesUnderFaults(t *testing.T) {
-	f := startFleet(t, Options{Entries: 3, Pools: testPools(2), Entry: "listEvery: 500ms\n"})
+	f := startFleet(t, Options{Entries: 3, Pools: testPools(2), EntrySettings: "listEvery: 500ms\n"})
 	tests := []struct {
-		name  string
-		fault fakes.Faults
-		hit   func()
+		name   string
+		fault  fakes.Faults
+		inject func()
 	}{
 		{"none", fakes.Faults{}, nil},
 		{"watches end silently", fakes.Faults{SilentWatch: true}, nil},
@@ -29,7 +29,7 @@
 		{"answers lost", fakes.Faults{ResponseLossRate: 0.4}, nil},
 		{"links broken", fakes.Faults{}, func() {
 			for _, r := range f.Relays {
-				r.Break()
+				r.CloseConns()
 			}
 		}},
 		{"an entry killed and started", fakes.Faults{}, func() {
@@ -42,15 +42,15 @@
 	last := int64(0)
 	for i, tt := range tests {
 		f.Objects.Set(tt.fault)
-		if tt.hit != nil {
-			tt.hit()
+		if tt.inject != nil {
+			tt.inject()
 		}
 		revision, err := f.Apply(strings.Replace(testSettings, "answerWithin: 20s", fmt.Sprintf("answerWithin: %ds", 21+i), 1), "test")
 		if err != nil {
 			t.Fatalf("%s: %v", tt.name, err)
 		}
 		start := time.Now()
-		if err := f.InForce(revision, soon()); err != nil {
+		if err := f.WaitRevision(revision, stepDeadline()); err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 		}
 		t.Logf("%s: in force everywhere after %v", tt.name, time.Since(start))
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestFrozenEntry freezes an entry while a district is withdrawn from service:
-// it must not decide under the old revision once it goes on.
+// TestFrozenEntry freezes an entry while a workload is disabled. The thawed entry must not
+// decide by the old revision.
 func TestFrozenEntry(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	f.Entries[0].Freeze()
@@ -77,7 +77,7 @@
 		u, err := f.Entries[1].Usage()
 		return err == nil && u.Revision == 2
 	})
-	time.Sleep(3500 * time.Millisecond) // longer than settings count as heard of
+	time.Sleep(3500 * time.Millisecond) // longer than a confirmation of the settings is valid
 	waiting := send(f, 0, chat("tags", "lot", false))
 	time.Sleep(50 * time.Millisecond)
 	f.Entries[0].Thaw()
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestOutage takes the platform away: the settings in force stay so, and a change
-// after the outage reaches everyone.
+// TestOutage stops the platform: the settings stay in force, and a change after the outage
+// reaches every process.
 func TestOutage(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	f.Objects.Set(fakes.Faults{Down: true})
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.InForce(revision, soon()); err != nil {
+	if err := f.WaitRevision(revision, stepDeadline()); err != nil {
 		t.Error(err)
 	}
 }
