--- a/cmd/tdfake/main.go
+++ b/cmd/tdfake/main.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Command tdfake holds small stand-ins for the systems that traildrift meets,
-// and the measuring caller. It serves tests, the demo and measurements only.
+// Command tdfake serves small fakes of the systems that traildrift connects to, sends load to
+// entries, and runs measurements, soak runs and simulated experiments. It is for tests, the demo
+// and measurements only.
 package main
 
 import (
@@ -107,7 +108,7 @@
 	}
 }
 
-// serve answers until a signal.
+// serve serves handle on addr until SIGTERM or SIGINT.
 func serve(addr netip.AddrPort, handle fasthttp.RequestHandler) error {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -120,8 +121,8 @@
 	return s.Close()
 }
 
-// vmsEvery is how often the file of the VM list is read.
-const vmsEvery = 200 * time.Millisecond
+// vmListInterval is the interval at which the file of the VM list is read again.
+const vmListInterval = 200 * time.Millisecond
 
 func (a *objectsArgs) run() error {
 	o := fakes.NewObjects(a.Seed)
@@ -130,7 +131,7 @@
 			return err
 		}
 		go func() {
-			for range time.Tick(vmsEvery) {
+			for range time.Tick(vmListInterval) {
 				if err := readVMs(o, a.VMs); err != nil {
 					fmt.Fprintln(os.Stderr, err)
 				}
@@ -164,8 +165,8 @@
 	What string `arg:"positional,required" help:"path, claims, recovery or capacity"`
 }
 
-// measureMost bounds a whole measurement.
-const measureMost = 15 * time.Minute
+// measureTimeout is the timeout of a whole measurement.
+const measureTimeout = 15 * time.Minute
 
 func (a *measureArgs) run() error {
 	dir, err := os.MkdirTemp("", "tdfake")
@@ -173,7 +174,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	ctx, cancel := context.WithTimeout(context.Background(), measureMost)
+	ctx, cancel := context.WithTimeout(context.Background(), measureTimeout)
 	defer cancel()
 	switch a.What {
 	case "path":
@@ -199,11 +200,11 @@
 	Seed      uint64           `arg:"--seed" default:"1" help:"seed of the arrivals"`
 }
 
-// loadUnder bounds the requests under way.
-const loadUnder = 2000
+// loadMaxInFlight is the maximum number of requests in flight.
+const loadMaxInFlight = 2000
 
 func (a *loadArgs) run() error {
-	l := drive.Load{PerSecond: a.PerSecond, Until: a.For.After(time.Now()), Seed: a.Seed, Most: loadUnder}
+	l := drive.Load{ArrivalsPerSecond: a.PerSecond, Until: a.For.After(time.Now()), Seed: a.Seed, MaxInFlight: loadMaxInFlight}
 	for _, addr := range a.Entries {
 		if !addr.Addr().IsLoopback() {
 			return errors.Newf("%s is not on loopback", addr)
@@ -211,8 +212,8 @@
 		l.Callers = append(l.Callers, drive.NewCaller(addr, a.Key))
 	}
 	for _, streamed := range []bool{false, true} {
-		l.Mix = append(l.Mix, drive.Share{Name: fmt.Sprintf("%s, streamed %v", a.Model, streamed), Weight: 1, Make: func(n int) drive.Ask {
-			return drive.Ask{
+		l.Mix = append(l.Mix, drive.MixEntry{Name: fmt.Sprintf("%s, streamed %v", a.Model, streamed), Weight: 1, NewRequest: func(n int) drive.Request {
+			return drive.Request{
 				Chat:     fakes.ChatRequest{Model: a.Model, Messages: []fakes.Message{{Role: "user", Content: fmt.Sprint("load ", n)}}, MaxTokens: a.Words, Stream: streamed},
 				Deadline: time.Now().Add(time.Minute),
 			}
@@ -238,7 +239,7 @@
 		if err != nil {
 			return err
 		}
-		err = soak.Run(context.Background(), soak.Options{Seed: a.Seed + uint64(i), For: a.For, Callers: a.Callers, Dir: dir, Out: os.Stdout})
+		err = soak.Run(context.Background(), soak.Options{Seed: a.Seed + uint64(i), Duration: a.For, Callers: a.Callers, Dir: dir, Out: os.Stdout})
 		if err != nil {
 			return errors.Wrapf(err, "files are in %s", dir)
 		}
--- a/internal/acct/plots.go
+++ b/internal/acct/plots.go
@@ -20,7 +20,8 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// WritePlots draws the account's plots as SVG files in a folder; Finish comes before.
+// WritePlots writes the plots as SVG files to an existing directory. Call Finish before. It
+// overwrites files of the same name and returns the first error, wrapped.
 func (a *Account) WritePlots(dir string) error {
 	for _, p := range []struct {
 		file, title, x, y string
@@ -44,12 +45,12 @@
 }
 
 func (a *Account) drawHeads(p *plot.Plot) error {
-	xy, most := plotter.XYs{}, 0.0
-	for _, k := range a.headKeys() {
-		h := a.heads[k]
+	xy, limit := plotter.XYs{}, 0.0
+	for _, k := range a.headTimeKeys() {
+		h := a.headTimes[k]
 		for i := range h.actual {
-			xy = append(xy, plotter.XY{X: h.foretold[i], Y: h.actual[i]})
-			most = max(most, h.foretold[i], h.actual[i])
+			xy = append(xy, plotter.XY{X: h.predicted[i], Y: h.actual[i]})
+			limit = max(limit, h.predicted[i], h.actual[i])
 		}
 	}
 	dots, err := plotter.NewScatter(xy)
@@ -57,18 +58,18 @@
 		return err
 	}
 	dots.Radius = vg.Points(1)
-	even, err := plotter.NewLine(plotter.XYs{{}, {X: most, Y: most}})
+	diagonal, err := plotter.NewLine(plotter.XYs{{}, {X: limit, Y: limit}})
 	if err != nil {
 		return err
 	}
-	p.Add(plotter.NewGrid(), dots, even)
+	p.Add(plotter.NewGrid(), dots, diagonal)
 	return nil
 }
 
 func (a *Account) drawLateness(p *plot.Plot) error {
 	bySecond := make(map[int]float64)
-	for k, r := range a.rows {
-		if k.main.served() {
+	for k, r := range a.missRows {
+		if k.mainCause.served() {
 			bySecond[k.second] += float64(r.OverMs) / 1000
 		}
 	}
@@ -85,7 +86,8 @@
 	return drawSeconds(p, bySecond)
 }
 
-// drawSeconds draws a sum for each second; seconds without one have none.
+// drawSeconds draws sums by second as steps, from the first second with a sum to the last; seconds
+// without one count as 0. Without sums it draws nothing.
 func drawSeconds(p *plot.Plot, sums map[int]float64) error {
 	if len(sums) == 0 {
 		return nil
@@ -105,7 +107,7 @@
 }
 
 func (a *Account) drawLoad(p *plot.Plot) error {
-	counts := slices.Sorted(maps.Values(a.load))
+	counts := slices.Sorted(maps.Values(a.attemptCounts))
 	slices.Reverse(counts)
 	values := make(plotter.Values, len(counts))
 	for i, n := range counts {
--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package claims writes the claim log to the platform: many claims in one
-// conditional update while the update before is in flight.
+// Package claims reads and writes the claim log on the platform; see pkg/claim for its
+// structure. Claims that arrive while an update of their bucket is in flight are written
+// together by the next conditional update.
 package claims
 
 import (
@@ -26,267 +27,288 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Kind is the kind of the slices' objects.
+// Kind is the kind of the objects that hold slices.
 const Kind = "claims"
 
 const (
-	// ErrNotWritten says that the claim is not in the log and will not be.
+	// ErrNotWritten reports that the claim is not in the log and will not be.
 	ErrNotWritten fault.Const = "claims: the platform did not take the claim"
-	// ErrDoubt says that the claim may be in the log, now or later.
-	ErrDoubt fault.Const = "claims: the claim may have been taken"
+	// ErrOutcomeUnknown reports that the claim may be in the log or may yet appear
+	// there.
+	ErrOutcomeUnknown fault.Const = "claims: the claim may have been taken"
 )
 
 const (
-	// Buckets is how many buckets there are; it must be the same in every
-	// process of a fleet.
+	// Buckets is the number of buckets of the log. It must be the same in all processes
+	// of a fleet, as it determines the bucket of each key.
 	Buckets = 4
-	// writeGap is the least time between two updates of a bucket, so that all
-	// buckets together make at most 200 writes a second. The first claim after
-	// a quiet time does not wait.
-	writeGap = config.Span(20 * time.Millisecond)
-	// opsMost bounds the claims that wait for one bucket.
-	opsMost = 4096
-	// batchMost bounds the claims of one update.
-	batchMost = 256
-	// callWithin bounds one call to the platform.
-	callWithin = 2 * time.Second
+	// minWriteInterval is the minimum time between two updates of a bucket. It limits
+	// the updates of all buckets together to 200 per second. A claim that arrives after
+	// an idle period is written at once.
+	minWriteInterval = config.Span(20 * time.Millisecond)
+	// maxQueuedClaims is the maximum number of claims in the queue of a bucket.
+	maxQueuedClaims = 4096
+	// maxBatchClaims is the maximum number of claims that are handled together.
+	maxBatchClaims = 256
+	// callTimeout is the timeout of a write to the platform, and of all reads that
+	// bring a bucket up to date.
+	callTimeout = 2 * time.Second
 )
 
-// KeyOf returns the hash that names a workspace's key in the log.
+// KeyOf returns the key of a claim record: a hash of the workspace and of the key that
+// the caller sent, as 32 hexadecimal digits.
 func KeyOf(workspace, key string) string {
 	h := sha256.Sum256([]byte(workspace + "\x00" + key))
 	return hex.EncodeToString(h[:16])
 }
 
-// BucketOf returns the bucket of a hashed key.
+// BucketOf returns the index of the bucket of a key that KeyOf returned, 0 to Buckets-1.
 func BucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
 
-// Log is a process's access to the claim log. Use New.
+// Log reads and writes the claim log for one process. It must be created with New.
 type Log struct {
 	log     *zap.Logger
 	store   *store.Client
 	buckets [Buckets]*bucket
-	// Writes, Reads and Claims count the platform's calls and what they
-	// carried; Bytes the bytes written.
+	// Writes and Reads count the write and read calls to the platform, Claims the claims
+	// in successful writes, Bytes the bytes of the bodies of all write calls.
 	Writes, Reads, Claims, Bytes atomic.Int64
 }
 
-// op is one claim that waits for the log.
-type op struct {
+// pendingClaim is a claim whose caller waits for the result.
+type pendingClaim struct {
 	ctx    context.Context
 	record claim.Record
-	// tried says that a write with the record was sent and not refused: from
-	// then on its absence proves nothing while that write may be in flight.
-	tried bool
-	done  chan result
+	// maybeWritten says that a write with the record was sent and did not fail with
+	// store.ErrDown. From then on the record may appear in the log later, as the write
+	// may still be in flight.
+	maybeWritten bool
+	// done has capacity 1 and receives the result.
+	done chan result
 }
 
+// result is the result of a claim: the record that holds the key, or an error.
 type result struct {
-	held claim.Record
-	err  error
+	winner claim.Record
+	err    error
 }
 
+// bucket is the state of one bucket. Only the goroutine of Run uses the fields other than
+// n and queue.
 type bucket struct {
-	n   int
-	ops chan *op
-	// read is only used by the bucket's goroutine.
-	read claim.Bucket
-	// listed says that the bucket was read once as a whole.
+	// n is the index of the bucket.
+	n     int
+	queue chan *pendingClaim
+	// local is the local copy of the bucket.
+	local claim.Bucket
+	// listed says that local has been initialized from a listing of all slices.
 	listed bool
-	// nextWrite is when the bucket may be updated again.
+	// nextWrite is the earliest time of the next update.
 	nextWrite time.Time
-	// fresh says that read was in step with the platform at the last call.
-	fresh bool
+	// upToDate says that the last call read local from the platform or wrote it there;
+	// it is reset when a write fails.
+	upToDate bool
 }
 
-// New returns a log; Run must be started before Claim.
+// New returns the claim log that is stored at c. Run must run for each bucket for claims
+// to be handled.
 func New(l *zap.Logger, c *store.Client) *Log {
 	out := &Log{log: l, store: c}
 	for i := range out.buckets {
-		out.buckets[i] = &bucket{n: i, ops: make(chan *op, opsMost)}
+		out.buckets[i] = &bucket{n: i, queue: make(chan *pendingClaim, maxQueuedClaims)}
 	}
 	return out
 }
 
-// Claim enters a claim and returns the one that stands for its key: the
-// caller's own if it won. The error is ErrNotWritten or ErrDoubt.
+// Claim appends a claim to the log if its key is free and returns the claim that holds
+// the key afterwards: r itself, or the one of another process. The error is ErrNotWritten
+// if the platform does not answer or the queue is full, or ErrOutcomeUnknown if the
+// platform does not answer after a write or ctx is done first.
 func (l *Log) Claim(ctx context.Context, r claim.Record) (claim.Record, error) {
-	o := &op{ctx: ctx, record: r, done: make(chan result, 1)}
+	p := &pendingClaim{ctx: ctx, record: r, done: make(chan result, 1)}
 	select {
-	case l.buckets[BucketOf(r.Key)].ops <- o:
+	case l.buckets[BucketOf(r.Key)].queue <- p:
 	default:
 		return claim.Record{}, ErrNotWritten
 	}
 	select {
-	case res := <-o.done:
-		return res.held, res.err
+	case res := <-p.done:
+		return res.winner, res.err
 	case <-ctx.Done():
-		return claim.Record{}, ErrDoubt
+		return claim.Record{}, ErrOutcomeUnknown
 	}
 }
 
-// Run serves one bucket until ctx is done.
+// Run handles the claims on bucket n until ctx is done, and returns nil. Only one
+// goroutine may run it for a bucket.
 func (l *Log) Run(ctx context.Context, n int) error {
 	b := l.buckets[n]
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case o := <-b.ops:
+		case p := <-b.queue:
 			tasks.Pause(ctx, b.nextWrite)
-			l.commit(ctx, b, b.gather(o))
-			b.nextWrite = writeGap.After(time.Now())
+			l.commit(ctx, b, b.collectBatch(p))
+			b.nextWrite = minWriteInterval.After(time.Now())
 		}
 	}
 }
 
-// gather takes everything that waits, up to the size of a batch.
-func (b *bucket) gather(first *op) []*op {
-	ops := []*op{first}
-	for len(ops) < batchMost {
+// collectBatch returns first and the claims in the queue, at most maxBatchClaims.
+func (b *bucket) collectBatch(first *pendingClaim) []*pendingClaim {
+	batch := []*pendingClaim{first}
+	for len(batch) < maxBatchClaims {
 		select {
-		case o := <-b.ops:
-			ops = append(ops, o)
+		case p := <-b.queue:
+			batch = append(batch, p)
 		default:
-			return ops
+			return batch
 		}
 	}
-	return ops
+	return batch
 }
 
-// commit settles every op: won, held by another, not written or in doubt.
-func (l *Log) commit(ctx context.Context, b *bucket, ops []*op) {
-	for len(ops) > 0 {
-		ops = giveUp(ops)
-		if !b.fresh {
+// commit handles claims until each has a result: it reads the bucket if the local copy is
+// out of date, answers the claims on held keys and writes the others. After a lost race
+// or a write of unknown outcome it starts again; if the platform does not answer, all
+// that are left fail.
+func (l *Log) commit(ctx context.Context, b *bucket, pending []*pendingClaim) {
+	for len(pending) > 0 {
+		pending = dropCanceled(pending)
+		if !b.upToDate {
 			if err := l.refresh(ctx, b); err != nil {
-				l.fail(ops, err)
+				l.failAll(pending, err)
 				return
 			}
 		}
-		ops = b.settle(ops)
-		if len(ops) == 0 {
+		pending = b.answerDecided(pending)
+		if len(pending) == 0 {
 			return
 		}
-		if err := l.write(ctx, b, ops); err != nil {
-			b.fresh = false
+		if err := l.write(ctx, b, pending); err != nil {
+			b.upToDate = false
 			if errors.Is(err, store.ErrUnavailable) {
-				l.fail(ops, err)
+				l.failAll(pending, err)
 				return
 			}
 		}
 	}
 }
 
-// giveUp drops the ops whose caller waits no more.
-func giveUp(ops []*op) []*op {
-	var left []*op
-	for _, o := range ops {
-		if o.ctx.Err() != nil {
-			o.done <- result{err: ErrDoubt}
+// dropCanceled returns the claims whose context is not done. The others get
+// ErrOutcomeUnknown.
+func dropCanceled(pending []*pendingClaim) []*pendingClaim {
+	var remaining []*pendingClaim
+	for _, p := range pending {
+		if p.ctx.Err() != nil {
+			p.done <- result{err: ErrOutcomeUnknown}
 			continue
 		}
-		left = append(left, o)
+		remaining = append(remaining, p)
 	}
-	return left
+	return remaining
 }
 
-// fail answers ops while the platform does not answer. A claim that no write
-// has carried is certainly not in the log.
-func (l *Log) fail(ops []*op, err error) {
-	l.log.Warn("claims: The platform does not answer.", zap.Int("claims", len(ops)), logs.Err(err))
-	for _, o := range ops {
-		if o.tried {
-			o.done <- result{err: ErrDoubt}
+// failAll fails claims because the platform does not answer. A claim that no write has
+// included is certainly not in the log and gets ErrNotWritten, the others
+// ErrOutcomeUnknown.
+func (l *Log) failAll(pending []*pendingClaim, err error) {
+	l.log.Warn("claims: The platform does not answer; claims have failed.", zap.Int("claims", len(pending)), logs.Err(err))
+	for _, p := range pending {
+		if p.maybeWritten {
+			p.done <- result{err: ErrOutcomeUnknown}
 		} else {
-			o.done <- result{err: ErrNotWritten}
+			p.done <- result{err: ErrNotWritten}
 		}
 	}
 }
 
-// settle answers the ops whose key has a claim, the own one or another's, and
-// returns those that still have to be written. Of several ops on one key only
-// the first is written in a batch.
-func (b *bucket) settle(ops []*op) []*op {
-	var left []*op
-	for _, o := range ops {
-		held, ok := b.read.Get(o.record.Key)
-		if ok && !b.read.CanAppend(o.record) {
-			o.done <- result{held: held}
+// answerDecided answers the claims whose key is held, by themselves or by another claim,
+// according to the local copy. It returns the others, which have to be written.
+func (b *bucket) answerDecided(pending []*pendingClaim) []*pendingClaim {
+	var remaining []*pendingClaim
+	for _, p := range pending {
+		held, ok := b.local.Get(p.record.Key)
+		if ok && !b.local.CanAppend(p.record) {
+			p.done <- result{winner: held}
 			continue
 		}
-		left = append(left, o)
+		remaining = append(remaining, p)
 	}
-	return left
+	return remaining
 }
 
-// write sends one update with the first op of each key.
-func (l *Log) write(ctx context.Context, b *bucket, ops []*op) error {
-	seen := make(map[string]bool)
+// write writes one update with the first pending claim on each key. The other claims on
+// the key are answered once it is written. If the update fails, the local copy does not
+// change.
+func (l *Log) write(ctx context.Context, b *bucket, pending []*pendingClaim) error {
+	seenKeys := make(map[string]bool)
 	var added []claim.Record
-	var carried []*op
-	for _, o := range ops {
-		if !seen[o.record.Key] && b.read.CanAppend(o.record) {
-			seen[o.record.Key] = true
-			added = append(added, o.record)
-			carried = append(carried, o)
+	var sent []*pendingClaim
+	for _, p := range pending {
+		if !seenKeys[p.record.Key] && b.local.CanAppend(p.record) {
+			seenKeys[p.record.Key] = true
+			added = append(added, p.record)
+			sent = append(sent, p)
 		}
 	}
 	if !assert.That(len(added) > 0, "claimBatchIsNotEmpty") {
 		return store.ErrUnavailable
 	}
-	slice, version, records, body := b.read.EncodeAppend(added)
-	call, cancel := context.WithTimeout(ctx, callWithin)
+	slice, version, records, body := b.local.EncodeAppend(added)
+	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	l.Writes.Add(1)
 	l.Bytes.Add(int64(len(body)))
 	next, err := l.store.Put(call, Kind, sliceName(b.n, slice), version, body)
-	for _, o := range carried {
-		o.tried = o.tried || !errors.Is(err, store.ErrUnavailable)
+	for _, p := range sent {
+		p.maybeWritten = p.maybeWritten || !errors.Is(err, store.ErrUnavailable)
 	}
 	if err != nil {
 		return err
 	}
 	assert.That(next > version, "objectVersionsGrow")
 	l.Claims.Add(int64(len(added)))
-	b.read.ApplyWritten(slice, next, records)
+	b.local.ApplyWritten(slice, next, records)
 	return nil
 }
 
-// refresh reads the last known slice again and every slice after it; the first
-// time, all slices in one call.
+// refresh brings the local copy up to date: it reads the last slice of the copy again and
+// all slices after it. The first time, it lists all slices before. Its errors are marked
+// as store.ErrDown.
 func (l *Log) refresh(ctx context.Context, b *bucket) error {
-	call, cancel := context.WithTimeout(ctx, callWithin)
+	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if !b.listed {
 		if err := l.list(call, b); err != nil {
 			return errors.Mark(err, store.ErrUnavailable)
 		}
 	}
-	slice, _ := b.read.NextSlice()
+	slice, _ := b.local.NextSlice()
 	for {
 		l.Reads.Add(1)
 		o, err := l.store.Get(call, Kind, sliceName(b.n, slice))
 		if errors.Is(err, store.ErrNotFound) {
-			b.fresh = true
+			b.upToDate = true
 			return nil
 		}
 		if err != nil {
 			return errors.Mark(err, store.ErrUnavailable)
 		}
-		if err := b.read.ApplyRead(slice, o.Version, o.Value); err != nil {
+		if err := b.local.ApplyRead(slice, o.Version, o.Value); err != nil {
 			return errors.Mark(err, store.ErrUnavailable)
 		}
-		next, version := b.read.NextSlice()
+		next, version := b.local.NextSlice()
 		if version != 0 {
-			b.fresh = true
+			b.upToDate = true
 			return nil
 		}
 		slice = next
 	}
 }
 
-// list reads every slice of a bucket.
+// list reads all slices of a bucket in one call. It returns an error if one is missing.
 func (l *Log) list(ctx context.Context, b *bucket) error {
 	l.Reads.Add(1)
 	objects, err := l.store.List(ctx, Kind, fmt.Sprintf("%02d-", b.n))
@@ -297,7 +319,7 @@
 		if o.Name != sliceName(b.n, i) {
 			return errors.Newf("claims: slice %d of bucket %d is missing", i, b.n)
 		}
-		if err := b.read.ApplyRead(i, o.Version, o.Value); err != nil {
+		if err := b.local.ApplyRead(i, o.Version, o.Value); err != nil {
 			return err
 		}
 	}
--- a/internal/commit/apply_test.go
+++ b/internal/commit/apply_test.go
@@ -28,8 +28,8 @@
   b: {keyHashes: [], workloads: {y: {}}}
 `
 
-// start serves a stand-in platform with the tree as revision 1.
-func start(t *testing.T) (*fakes.Objects, *store.Client) {
+// startPlatform serves a fake platform that has tree as revision 1.
+func startPlatform(t *testing.T) (*fakes.Objects, *store.Client) {
 	t.Helper()
 	o := fakes.NewObjects(1)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,6 +46,7 @@
 	return o, c
 }
 
+// edit returns an edit whose nodes are those of a settings file with the given text.
 func edit(t *testing.T, id string, base int64, text string) Edit {
 	t.Helper()
 	f, err := config.ParseFile("test", []byte(text))
@@ -55,8 +56,10 @@
 	return Edit{ID: id, Author: "author of " + id, Reason: "reason of " + id, At: time.Unix(1, 0), Base: base, Nodes: f.Nodes()}
 }
 
-func with(old, now string) string { return strings.Replace(tree, old, now, 1) }
+// replaceInTree returns tree with the first occurrence of old replaced.
+func replaceInTree(old, now string) string { return strings.Replace(tree, old, now, 1) }
 
+// setting returns the value in force of a setting of a workspace.
 func setting(t *testing.T, c *store.Client, workspace, key string) string {
 	t.Helper()
 	s, err := ReadTree(t.Context(), c)
@@ -66,17 +69,18 @@
 	return s.Effective(workspace, "", "").Setting(key).Value
 }
 
-// TestRace lets changes of different paths from one base both stand, and tells
-// the second of two changes of one path who was first and why.
+// TestRace applies edits of the same base. Edits of different paths must both be in
+// force; the second edit of the same path must fail with an Overlap that names the
+// author and the reason of the first.
 func TestRace(t *testing.T) {
-	_, c := start(t)
-	if _, err := Apply(t.Context(), c, edit(t, "one", 1, with("answerWithin: 10s", "answerWithin: 20s"))); err != nil {
+	_, c := startPlatform(t)
+	if _, err := Apply(t.Context(), c, edit(t, "one", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Apply(t.Context(), c, edit(t, "two", 1, with("b: {keyHashes: []", "b: {keyHashes: [], values: {concurrency: 7}"))); err != nil {
+	if _, err := Apply(t.Context(), c, edit(t, "two", 1, replaceInTree("b: {keyHashes: []", "b: {keyHashes: [], values: {concurrency: 7}"))); err != nil {
 		t.Errorf("another path: got %v, want nil", err)
 	}
-	_, err := Apply(t.Context(), c, edit(t, "three", 1, with("answerWithin: 10s", "answerWithin: 30s")))
+	_, err := Apply(t.Context(), c, edit(t, "three", 1, replaceInTree("answerWithin: 10s", "answerWithin: 30s")))
 	var o *Overlap
 	if !errors.As(err, &o) || len(o.Changes) != 1 || o.Changes[0].Author != "author of one" || !strings.Contains(err.Error(), "reason of one") {
 		t.Errorf("the same path: got %v, want an overlap with the first change", err)
@@ -86,10 +90,10 @@
 	}
 }
 
-// TestManyOperators races operators on paths of their own while answers are
-// lost: each change is accepted exactly once, in one total order.
+// TestManyOperators applies edits of different paths concurrently while the platform
+// loses responses. Each edit must be accepted exactly once, in one total order.
 func TestManyOperators(t *testing.T) {
-	o, c := start(t)
+	o, c := startPlatform(t)
 	var text strings.Builder
 	text.WriteString(strings.TrimRight(tree, "\n") + "\n")
 	const operators = 8
@@ -99,16 +103,16 @@
 	if _, err := Apply(t.Context(), c, edit(t, "all", -1, text.String())); err != nil {
 		t.Fatal(err)
 	}
-	o.Set(fakes.Faults{LoseAnswers: 0.3})
+	o.Set(fakes.Faults{ResponseLossRate: 0.3})
 	var wg sync.WaitGroup
 	for i := range operators {
 		wg.Add(1)
-		mine := edit(t, fmt.Sprint("op", i), 2, strings.Replace(text.String(), fmt.Sprintf("w%d: {keyHashes: [], values: {concurrency: 1}", i), fmt.Sprintf("w%d: {keyHashes: [], values: {concurrency: %d}", i, 100+i), 1))
+		change := edit(t, fmt.Sprint("op", i), 2, strings.Replace(text.String(), fmt.Sprintf("w%d: {keyHashes: [], values: {concurrency: 1}", i), fmt.Sprintf("w%d: {keyHashes: [], values: {concurrency: %d}", i, 100+i), 1))
 		go func() {
 			defer wg.Done()
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			defer cancel()
-			if _, err := Apply(ctx, c, mine); err != nil {
+			if _, err := Apply(ctx, c, change); err != nil {
 				t.Errorf("operator %d: got %v, want nil", i, err)
 			}
 		}()
@@ -131,36 +135,38 @@
 	}
 }
 
-// TestSameChange does not apply a change twice whose answer was lost.
+// TestSameChange applies an edit again, as a client does that has lost the response.
+// The edit must not make a second revision.
 func TestSameChange(t *testing.T) {
-	_, c := start(t)
-	mine := edit(t, "once", 1, with("answerWithin: 10s", "answerWithin: 20s"))
-	first, err := Apply(t.Context(), c, mine)
+	_, c := startPlatform(t)
+	change := edit(t, "once", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))
+	first, err := Apply(t.Context(), c, change)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Apply(t.Context(), c, mine)
+	again, err := Apply(t.Context(), c, change)
 	if err != nil || again.Revision != first.Revision {
 		t.Errorf("the same change again: got revision %d %v, want %d", again.Revision, err, first.Revision)
 	}
 }
 
-// TestKilledTool kills the tool before each of its writes: nothing is half in
-// force, and the next change goes through.
+// TestKilledTool fails Apply before each of its writes, as if the tool was killed there.
+// Until the last write the old setting must stay in force, and the objects that were
+// left behind must not prevent the next attempt.
 func TestKilledTool(t *testing.T) {
-	_, c := start(t)
-	mine := edit(t, "killed", 1, with("answerWithin: 10s", "answerWithin: 20s"))
+	_, c := startPlatform(t)
+	change := edit(t, "killed", 1, replaceInTree("answerWithin: 10s", "answerWithin: 20s"))
 	for writes := 0; ; writes++ {
-		left := writes
-		dying := *c
-		dying.Put = func(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
-			if left == 0 {
+		remaining := writes
+		failing := *c
+		failing.Put = func(ctx context.Context, kind, name string, ifVersion int64, value []byte) (int64, error) {
+			if remaining == 0 {
 				return 0, errKilled
 			}
-			left--
+			remaining--
 			return c.Put(ctx, kind, name, ifVersion, value)
 		}
-		_, err := Apply(t.Context(), &dying, mine)
+		_, err := Apply(t.Context(), &failing, change)
 		if err == nil {
 			break
 		}
@@ -172,22 +178,22 @@
 		}
 	}
 	if got := setting(t, c, "a", "answerWithin"); got != "20s" {
-		t.Errorf("in the end: got %s, want 20s", got)
+		t.Errorf("after all writes: got %s in force, want 20s", got)
 	}
 }
 
 var errKilled = errors.New("the tool was killed")
 
-// TestUnsound refuses a change that is sound alone but not with what another
-// operator has changed meanwhile.
+// TestUnsound applies an edit that is valid with its base but not with a change that was
+// accepted since. Apply must check the merged tree and reject it.
 func TestUnsound(t *testing.T) {
-	_, c := start(t)
-	two := with(`"1": {pool: p, cost: 1, quality: 0.9}`, `"1": {pool: p, cost: 1, quality: 0.9}, "2": {pool: p, cost: 1, quality: 0.95}`)
-	if _, err := Apply(t.Context(), c, edit(t, "two versions", 1, two)); err != nil {
+	_, c := startPlatform(t)
+	twoVersions := replaceInTree(`"1": {pool: p, cost: 1, quality: 0.9}`, `"1": {pool: p, cost: 1, quality: 0.9}, "2": {pool: p, cost: 1, quality: 0.95}`)
+	if _, err := Apply(t.Context(), c, edit(t, "two versions", 1, twoVersions)); err != nil {
 		t.Fatal(err)
 	}
-	higher := strings.Replace(two, "workloads: {y: {}}", "workloads: {y: {values: {qualityTarget: 0.94}}}", 1)
-	if _, err := Apply(t.Context(), c, edit(t, "target", 2, higher)); err != nil {
+	higherTarget := strings.Replace(twoVersions, "workloads: {y: {}}", "workloads: {y: {values: {qualityTarget: 0.94}}}", 1)
+	if _, err := Apply(t.Context(), c, edit(t, "target", 2, higherTarget)); err != nil {
 		t.Fatal(err)
 	}
 	_, err := Apply(t.Context(), c, edit(t, "one version", 2, tree))
--- a/internal/desk/explain.go
+++ b/internal/desk/explain.go
@@ -22,13 +22,15 @@
 	"github.com/traildrift/traildrift/pkg/trail"
 )
 
-// ErrUnknownRequest says that no trail holds the request.
+// ErrUnknownRequest is returned by FindTrail if no trail holds the request.
 var ErrUnknownRequest = errors.New("no trail holds this request; it may be younger than a second, refused before a decision, or lost while the platform was down")
 
-// askWithin bounds one call to a process.
-const askWithin = 5 * time.Second
+// fetchTimeout is the timeout of one call to a process.
+const fetchTimeout = 5 * time.Second
 
-// Fetch reads a path of a process's operators' listener.
+// Fetch returns the body at a path of a process's operators' listener. token is sent as a bearer
+// token unless it is empty. Fetch returns an error if the process does not answer within
+// fetchTimeout or answers with a status other than 200.
 func Fetch(addr netip.AddrPort, token, path string) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -37,17 +39,19 @@
 	if token != "" {
 		req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+token)
 	}
-	if err := fasthttp.DoDeadline(req, resp, time.Now().Add(askWithin)); err != nil {
+	if err := fasthttp.DoDeadline(req, resp, time.Now().Add(fetchTimeout)); err != nil {
 		return nil, err
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return nil, errors.Newf("%s answered %d: %s", addr, resp.StatusCode(), resp.Body())
+		return nil, errors.Newf("%s answered with status %d: %s", addr, resp.StatusCode(), resp.Body())
 	}
 	return append([]byte(nil), resp.Body()...), nil
 }
 
-// FindTrail returns the record of a past request from the platform. The
-// request ID begins with the incarnation that names the batches.
+// FindTrail returns the decision record of a past request from the platform. A request ID begins
+// with the incarnation of the process that served it, and so do the names of that process's trail
+// batches; only these batches are read. FindTrail returns ErrUnknownRequest if none of them holds
+// the request.
 func FindTrail(ctx context.Context, c *store.Client, requestID string) (trail.Record, error) {
 	incarnation, _, _ := strings.Cut(requestID, "-")
 	objects, err := c.List(ctx, ledger.KindTrail, incarnation)
@@ -68,7 +72,8 @@
 	return trail.Record{}, ErrUnknownRequest
 }
 
-// Bills returns the folded bill lines of a workspace, or of all.
+// Bills returns the bill lines of a workspace, or of all workspaces if it is empty, as bill.Fold
+// merges them: one for each bill ID, sorted by ID.
 func Bills(ctx context.Context, c *store.Client, workspace string) ([]bill.Line, error) {
 	objects, err := c.List(ctx, ledger.KindBills, "")
 	if err != nil {
@@ -89,13 +94,13 @@
 	return bill.Fold(lines), nil
 }
 
-// Explain writes a trail record for a person.
+// Explain writes a decision record as text. It returns the error of w.
 func Explain(w io.Writer, r trail.Record) error {
 	p := &printer{w: w}
 	p.line("request   %s", r.RequestID)
 	p.line("for       %s", config.Path(r.Workspace, r.Workload, r.District))
 	p.line("entry     %s, settings revision %d", r.Entry, r.Revision)
-	p.line("times     arrived %s, ended %s, deadline %s", stamp(r.Arrived), stamp(r.Ended), stamp(r.Deadline))
+	p.line("times     arrived %s, ended %s, deadline %s", formatTime(r.Arrived), formatTime(r.Ended), formatTime(r.Deadline))
 	p.line("bill      %s", r.BillID)
 	if r.Key != "" {
 		p.line("key       %s", r.Key)
@@ -118,9 +123,9 @@
 	return p.err
 }
 
-func stamp(t time.Time) string { return t.UTC().Format(time.RFC3339Nano) }
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339Nano) }
 
-// printer writes lines and keeps the first error.
+// printer writes lines until the first error, which it keeps in err.
 type printer struct {
 	w   io.Writer
 	err error
@@ -132,20 +137,23 @@
 	}
 }
 
+// step writes one decision: the endpoint that was picked, and for each candidate the reason and the
+// setting that decided on it.
 func (p *printer) step(s trail.Step, settings []config.Setting) {
 	where := s.VM
 	if where == "" {
 		where = "no endpoint"
 	}
-	p.line("attempt %d at %s, revision %d: %s %s", s.Attempt, stamp(s.At), s.Revision, versionName(s.Model, s.Version), where)
+	p.line("attempt %d at %s, revision %d: %s %s", s.Attempt, formatTime(s.At), s.Revision, versionName(s.Model, s.Version), where)
 	for _, c := range s.Candidates {
-		p.line("  %-24s %-22s cost %-8v quality %-6v wait %-6.2f score %-8.3f %s", versionName(c.Model, c.Version), c.Reason, c.Cost, c.Quality, c.Wait, c.Score, why(c.Reason.Setting(), settings))
+		p.line("  %-24s %-22s cost %-8v quality %-6v wait %-6.2f score %-8.3f %s", versionName(c.Model, c.Version), c.Reason, c.Cost, c.Quality, c.Wait, c.Score, decidingSetting(c.Reason.Setting(), settings))
 	}
 	if s.Err != nil {
 		p.line("  ended: %s", s.Err)
 	}
 }
 
+// versionName returns model@version, or "(service)" for a request to a plain service.
 func versionName(model, version string) string {
 	if model == "" {
 		return "(service)"
@@ -153,8 +161,8 @@
 	return model + "@" + version
 }
 
-// why names the setting that decided, with its value and origin.
-func why(key string, settings []config.Setting) string {
+// decidingSetting returns the setting of a key with its value and origin; empty if there is none.
+func decidingSetting(key string, settings []config.Setting) string {
 	for _, s := range settings {
 		if s.Key == key {
 			return fmt.Sprintf("by %s %s from %s", s.Key, s.Value, originName(s.Origin))
--- a/internal/drive/demo.go
+++ b/internal/drive/demo.go
@@ -15,26 +15,28 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// Demo sends the demo's requests to two entries and prints the answers.
+// Demo sends the requests of the demo to two entries and prints a line for each answer.
 type Demo struct {
+	// Out receives the printed lines.
 	Out io.Writer
-	// First and Second are entries.
+	// First and Second call the two entries.
 	First, Second *Caller
-	// wrong counts answers that are not right.
+	// wrong counts the answers that differ from the expected ones.
 	wrong int
-	// explained is the request whose explanation is shown.
+	// explained is the ID of the request whose explanation the demo shows.
 	explained string
 }
 
-// within bounds each request of the demo.
-const within = 20 * time.Second
+// demoTimeout is the timeout of each request of the demo, and of the wait for both entries to
+// become ready.
+const demoTimeout = 20 * time.Second
 
-// Run sends everything and returns the ID of a request to explain. The error
-// says that answers were wrong.
+// Run sends all requests and returns the ID of a request to explain. It returns an error if an
+// entry does not become ready or if an answer differs from the expected one.
 func (d *Demo) Run() (string, error) {
-	deadline := time.Now().Add(within)
+	deadline := time.Now().Add(demoTimeout)
 	for _, c := range []*Caller{d.First, d.Second} {
-		if err := c.Ready(deadline); err != nil {
+		if err := c.WaitReady(deadline); err != nil {
 			return "", err
 		}
 	}
@@ -48,11 +50,12 @@
 	return d.explained, nil
 }
 
-func chat(model, text string, streamed bool, header ...string) Ask {
-	a := Ask{
+// chat returns a chat request with a prompt of one message; header lists names and values in turn.
+func chat(model, text string, streamed bool, header ...string) Request {
+	a := Request{
 		Chat:     fakes.ChatRequest{Model: model, Messages: []fakes.Message{{Role: "user", Content: text}}, MaxTokens: 12, Stream: streamed},
 		Header:   map[string]string{},
-		Deadline: time.Now().Add(within),
+		Deadline: time.Now().Add(demoTimeout),
 	}
 	for i := 0; i+1 < len(header); i += 2 {
 		a.Header[header[i]] = header[i+1]
@@ -60,17 +63,17 @@
 	return a
 }
 
-// expect sends a request and prints what came back. want is the kind of error
-// that is right; empty for a whole answer.
-func (d *Demo) expect(title string, c *Caller, a Ask, want fault.Kind) Answer {
+// expect sends a request and prints the answer. want is the expected kind of error; empty if a
+// complete answer is expected.
+func (d *Demo) expect(title string, c *Caller, a Request, want fault.Kind) Answer {
 	got, err := c.Do(a)
 	kind := fault.Kind("")
 	if got.Err != nil {
 		kind = got.Err.Kind
 	}
 	verdict := "ok"
-	if err != nil || got.Bad != "" || kind != want {
-		verdict = fmt.Sprintf("WRONG (%v %s %s)", err, got.Bad, kind)
+	if err != nil || got.InvalidReason != "" || kind != want {
+		verdict = fmt.Sprintf("WRONG (%v %s %s)", err, got.InvalidReason, kind)
 		d.wrong++
 	}
 	_, _ = fmt.Fprintf(d.Out, "%-46s %-5s status %d", title, verdict, got.Status)
@@ -87,7 +90,7 @@
 func (d *Demo) chats() {
 	d.expect("chat, whole, first entry", d.First, chat("boundary-history", "draft the history of lot 7", false), "")
 	a := d.expect("chat, streamed, second entry", d.Second, chat("boundary-history", "draft the history of lot 8", true), "")
-	d.explained = a.Request
+	d.explained = a.RequestID
 	d.expect("chat, parcel tags, cheap version is enough", d.First, chat("parcel-tags", "tag lot 9", false), "")
 }
 
@@ -101,7 +104,7 @@
 }
 
 func (d *Demo) services() {
-	lodge := Ask{Path: "/svc/title-notes/notes", Body: `{"title":"NA12/34","note":"mortgage discharged"}`, Deadline: time.Now().Add(within)}
+	lodge := Request{Path: "/svc/title-notes/notes", Body: `{"title":"NA12/34","note":"mortgage discharged"}`, Deadline: time.Now().Add(demoTimeout)}
 	a := d.expect("note lodged once, not repeatable", d.First, lodge, "")
 	if !strings.Contains(string(a.Body), "mortgage") {
 		_, _ = fmt.Fprintln(d.Out, "WRONG: the note is not in the answer")
@@ -112,6 +115,6 @@
 func (d *Demo) refusals() {
 	d.expect("refused: a model that is not allowed", d.First, chat("score-app", "hello", false), fault.NotAllowed)
 	d.expect("refused: a district not cut over yet", d.Second, chat("boundary-history", "hello", false, "Traildrift-District", "southland"), fault.NotCutOver)
-	stranger := NewCaller(d.First.Addr, "wrong key")
-	d.expect("refused: a wrong API key", stranger, chat("boundary-history", "hello", false), fault.Unauthorized)
+	wrongKeyCaller := NewCaller(d.First.Addr, "wrong key")
+	d.expect("refused: a wrong API key", wrongKeyCaller, chat("boundary-history", "hello", false), fault.Unauthorized)
 }
--- a/internal/emul/experiment.go
+++ b/internal/emul/experiment.go
@@ -10,94 +10,103 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Experiment is what an experiment's file describes.
+// Experiment is the content of an experiment file.
 type Experiment struct {
+	// Seeds lists the seeds; every policy is simulated once with each.
 	Seeds []uint64 `yaml:"seeds"`
-	// For is how long requests arrive, in simulated time.
-	For config.Span `yaml:"for"`
-	// PerSecond is the rate of all requests together.
-	PerSecond float64 `yaml:"perSecond"`
-	// Routers is how many processes place requests, each by what it sees itself.
+	// Duration is the simulated time during which requests arrive.
+	Duration config.Span `yaml:"for"`
+	// RequestsPerSecond is the mean arrival rate of all classes together.
+	RequestsPerSecond float64 `yaml:"perSecond"`
+	// Routers is the number of processes that place requests, each with its own view of the
+	// load.
 	Routers int `yaml:"routers"`
-	// Endpoints is how many endpoints there are.
-	Endpoints int      `yaml:"endpoints"`
-	Engine    Engine   `yaml:"engine"`
-	Models    []Model  `yaml:"models"`
-	Sorts     []Sort   `yaml:"sorts"`
-	Policies  []Policy `yaml:"policies"`
+	// Endpoints is the number of endpoints.
+	Endpoints int `yaml:"endpoints"`
+	// Engine holds the parameters that all endpoints share.
+	Engine Engine `yaml:"engine"`
+	// Models lists the models of the cascade, smallest first.
+	Models []Model `yaml:"models"`
+	// Classes lists the classes of requests that the load is drawn from.
+	Classes []Class `yaml:"sorts"`
+	// Policies lists the policies to compare, in the order of the table.
+	Policies []Policy `yaml:"policies"`
 }
 
-// Engine is what all endpoints have in common.
+// Engine holds the parameters that all endpoints share.
 type Engine struct {
-	// Slots is how many requests an endpoint works on at once.
+	// Slots is the maximum number of requests in an endpoint's batch.
 	Slots int `yaml:"slots"`
-	// Step is the time of a step, StepPerRun what each run beside adds.
+	// Step is the duration of a step, to which StepPerRun is added for each run in the batch.
 	Step       config.Span `yaml:"step"`
 	StepPerRun config.Span `yaml:"stepPerRun"`
-	// TokensPerMs is how many tokens of a prompt a model of pace 1 reads in a
-	// millisecond, Piece how many are read in one step at most.
+	// TokensPerMs is the number of prompt tokens that a model of ReadFactor 1 reads in a
+	// millisecond, ChunkTokens the maximum number that it reads in one step.
 	TokensPerMs float64 `yaml:"tokensPerMs"`
-	Piece       int     `yaml:"piece"`
-	// Kept is how many tokens of shared parts an endpoint keeps.
-	Kept int `yaml:"kept"`
+	ChunkTokens int     `yaml:"piece"`
+	// CacheTokens is the capacity of an endpoint's cache of shared prompt parts, in tokens.
+	CacheTokens int `yaml:"kept"`
 }
 
-// Model is one of the models of a cascade, which are listed smallest first.
+// Model is one model of the cascade.
 type Model struct {
 	Name string `yaml:"name"`
-	// Pace is the time to read a prompt against a model of pace 1.
-	Pace float64 `yaml:"pace"`
+	// ReadFactor is the time to read a prompt, relative to a model of ReadFactor 1.
+	ReadFactor float64 `yaml:"pace"`
 	// Quality is the share of requests that the model answers well, 0 to 1.
 	Quality float64 `yaml:"quality"`
-	// Cost is that of 1,000 tokens made; tokens read cost a quarter.
+	// Cost is the cost of 1,000 generated tokens, in the unit of Class.Value; a prompt token
+	// costs a quarter of a generated one.
 	Cost float64 `yaml:"cost"`
 }
 
-// Sort is one sort of requests.
-type Sort struct {
+// Class is a class of requests with the same distribution of sizes and the same targets.
+type Class struct {
 	Name string `yaml:"name"`
-	// Share is the sort's part of the requests, against the other sorts'.
-	Share float64 `yaml:"share"`
-	// Shared is the mean size of the part of the prompt that requests share,
-	// Things how many such parts there are, Own the mean size of the rest.
-	Shared int `yaml:"shared"`
-	Things int `yaml:"things"`
-	Own    int `yaml:"own"`
-	// Out is the mean number of tokens made, Event how many an event holds.
-	Out   int `yaml:"out"`
-	Event int `yaml:"event"`
-	// Aim is the time to the first event, Pause the longest between two, that
-	// earns full credit.
-	Aim   config.Span `yaml:"aim"`
-	Pause config.Span `yaml:"pause"`
-	// Value is what a good answer in time is worth, Late and Weak the parts of
-	// it that a late and a weak one are worth.
-	Value float64 `yaml:"value"`
-	Late  float64 `yaml:"late"`
-	Weak  float64 `yaml:"weak"`
+	// Weight is the class's share of the requests, relative to the other classes.
+	Weight float64 `yaml:"share"`
+	// SharedTokens is the mean size of the shared part of a prompt, SharedParts the number
+	// of different shared parts and OwnTokens the mean size of the rest of the prompt.
+	SharedTokens int `yaml:"shared"`
+	SharedParts  int `yaml:"things"`
+	OwnTokens    int `yaml:"own"`
+	// OutputTokens is the mean size of an answer, EventTokens the number of tokens in an
+	// event of its stream.
+	OutputTokens int `yaml:"out"`
+	EventTokens  int `yaml:"event"`
+	// TargetHead is the target for the time from arrival to the first token, TargetPause the
+	// target for the longest time between two events; an answer that exceeds either is late.
+	TargetHead  config.Span `yaml:"aim"`
+	TargetPause config.Span `yaml:"pause"`
+	// Value is the value of a good answer in time. LateFactor and WeakFactor, 0 to 1,
+	// multiply it for a late and for a weak answer.
+	Value      float64 `yaml:"value"`
+	LateFactor float64 `yaml:"late"`
+	WeakFactor float64 `yaml:"weak"`
 }
 
 // Policy is one way to place requests and to choose models.
 type Policy struct {
+	// Name is the policy's name in the table.
 	Name string `yaml:"name"`
-	// Place names one of Placements.
-	Place string `yaml:"place"`
-	// Start is the index of the first model, Straight and Step are those of
-	// sizes.Policy.
-	Start    int `yaml:"start"`
-	Straight int `yaml:"straight"`
-	Step     int `yaml:"step"`
+	// Placement is one of Placements.
+	Placement string `yaml:"place"`
+	// FirstModel is the index in Models of the model that a request is sent to first.
+	// Straight and Step are the thresholds of sizes.Policy.
+	FirstModel int `yaml:"start"`
+	Straight   int `yaml:"straight"`
+	Step       int `yaml:"step"`
 }
 
-// Check reports each key that is wrong, with what is allowed.
+// Check calls report for each invalid key, with a message that says what is allowed.
 func (x *Experiment) Check(report func(key, message string)) {
 	for _, c := range []struct {
 		key string
 		ok  bool
 	}{
-		{"seeds", len(x.Seeds) > 0}, {"for", x.For > 0}, {"perSecond", x.PerSecond > 0}, {"routers", x.Routers > 0}, {"endpoints", x.Endpoints > 0},
+		{"seeds", len(x.Seeds) > 0}, {"for", x.Duration > 0}, {"perSecond", x.RequestsPerSecond > 0}, {"routers", x.Routers > 0}, {"endpoints", x.Endpoints > 0},
 		{"engine.slots", x.Engine.Slots > 0}, {"engine.step", x.Engine.Step > 0}, {"engine.tokensPerMs", x.Engine.TokensPerMs > 0},
-		{"engine.piece", x.Engine.Piece > 0}, {"models", len(x.Models) > 0}, {"sorts", len(x.Sorts) > 0}, {"policies", len(x.Policies) > 0},
+		{"engine.piece", x.Engine.ChunkTokens > 0}, {"models", len(x.Models) > 0}, {"sorts", len(x.Classes) > 0}, {"policies", len(x.Policies) > 0},
 	} {
 		if !c.ok {
 			report(c.key, "is required and positive")
@@ -106,30 +115,30 @@
 	x.checkLists(report)
 }
 
-// checkLists checks sorts and policies.
+// checkLists checks Classes and Policies.
 func (x *Experiment) checkLists(report func(key, message string)) {
-	for i := range x.Sorts {
-		x.Sorts[i].check(fmt.Sprintf("sorts[%d]", i), report)
+	for i := range x.Classes {
+		x.Classes[i].check(fmt.Sprintf("sorts[%d]", i), report)
 	}
 	for i := range x.Policies {
 		x.Policies[i].check(fmt.Sprintf("policies[%d]", i), len(x.Models), report)
 	}
 }
 
-func (s *Sort) check(key string, report func(key, message string)) {
-	if s.Share <= 0 || s.Own <= 0 || s.Out <= 0 || s.Event <= 0 || s.Value <= 0 {
+func (s *Class) check(key string, report func(key, message string)) {
+	if s.Weight <= 0 || s.OwnTokens <= 0 || s.OutputTokens <= 0 || s.EventTokens <= 0 || s.Value <= 0 {
 		report(key, "share, own, out, event and value are positive")
 	}
-	if s.Shared > 0 && s.Things <= 0 {
+	if s.SharedTokens > 0 && s.SharedParts <= 0 {
 		report(key+".things", "is positive where parts are shared")
 	}
 }
 
 func (p *Policy) check(key string, models int, report func(key, message string)) {
-	if !slices.Contains(Placements, p.Place) {
-		report(key+".place", fmt.Sprintf("%q is not allowed; allowed: %v", p.Place, Placements))
+	if !slices.Contains(Placements, p.Placement) {
+		report(key+".place", fmt.Sprintf("%q is not allowed; allowed: %v", p.Placement, Placements))
 	}
-	if p.Start < 0 || p.Start >= models || p.Straight > p.Step {
+	if p.FirstModel < 0 || p.FirstModel >= models || p.Straight > p.Step {
 		report(key, "start names a model by its index, straight is at most step")
 	}
 }
--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -14,58 +14,62 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Result is what came of a policy. Results of several seeds are added.
+// Result is the outcome of a policy, summed over seeds.
 type Result struct {
-	// Requests counts those that arrived, Late those whose answer came late,
-	// Weak those whose model was not good enough, Dropped the answers given up
-	// for a larger model's.
+	// Requests is the number of arrivals, Late that of answers that missed a target, Weak that
+	// of answers from a model whose quality is below the request's difficulty, and Dropped
+	// that of answers given up for a larger model's.
 	Requests, Late, Weak, Dropped int
-	// Read and Kept count tokens of prompts that were read, and that were in
-	// memory.
-	Read, Kept int
-	// owed is the value of all requests, earned that of the answers, cost what
-	// the models cost.
-	owed, earned, cost float64
-	heads, streams     []time.Duration
-	// foretold and actual are the times to the head of all runs, in seconds, as far as
-	// they were foretold.
-	foretold, actual []float64
+	// TokensRead is the number of prompt tokens that were read, TokensCached that of prompt
+	// tokens found in an endpoint's cache.
+	TokensRead, TokensCached int
+	// offered is the value of all requests, earned that of the delivered answers and cost the
+	// cost of all runs, in the unit of Class.Value.
+	offered, earned, cost float64
+	// headTimes and totalTimes are the times from arrival to the first and to the last token
+	// of each delivered answer.
+	headTimes, totalTimes []time.Duration
+	// expectedSeconds and actualSeconds are the expected and actual times to the first token
+	// of the runs that had an expected time, in seconds from the run's start.
+	expectedSeconds, actualSeconds []float64
 }
 
-// heard notes how long the head of a run took, and how long it was expected to; 0 or less
-// for no expectation.
-func (r *Result) heard(foretold, actual time.Duration) {
-	if foretold > 0 {
-		r.foretold = append(r.foretold, foretold.Seconds())
-		r.actual = append(r.actual, actual.Seconds())
+// recordHead records the expected and the actual time to the first token of a run. An expected
+// time of 0 or less means that there was none; the run is then left out.
+func (r *Result) recordHead(expected, actual time.Duration) {
+	if expected > 0 {
+		r.expectedSeconds = append(r.expectedSeconds, expected.Seconds())
+		r.actualSeconds = append(r.actualSeconds, actual.Seconds())
 	}
 }
 
-// Correlation returns that of foretold and actual times to the head; not a number where
-// none was foretold.
-func (r *Result) Correlation() float64 { return stat.Correlation(r.foretold, r.actual, nil) }
+// Correlation returns the correlation of the expected and the actual times to the first token;
+// NaN if no time was expected.
+func (r *Result) Correlation() float64 {
+	return stat.Correlation(r.expectedSeconds, r.actualSeconds, nil)
+}
 
-// Worth returns the earned part of the value, less the models' cost.
-func (r *Result) Worth() float64 { return (r.earned - r.cost) / max(r.owed, 1) }
+// Worth returns the value earned less the models' cost, as a part of the value of all requests.
+func (r *Result) Worth() float64 { return (r.earned - r.cost) / max(r.offered, 1) }
 
 func (r *Result) add(o Result) {
 	r.Requests += o.Requests
 	r.Late += o.Late
 	r.Weak += o.Weak
 	r.Dropped += o.Dropped
-	r.Read += o.Read
-	r.Kept += o.Kept
-	r.owed += o.owed
+	r.TokensRead += o.TokensRead
+	r.TokensCached += o.TokensCached
+	r.offered += o.offered
 	r.earned += o.earned
 	r.cost += o.cost
-	r.heads = append(r.heads, o.heads...)
-	r.streams = append(r.streams, o.streams...)
-	r.foretold = append(r.foretold, o.foretold...)
-	r.actual = append(r.actual, o.actual...)
+	r.headTimes = append(r.headTimes, o.headTimes...)
+	r.totalTimes = append(r.totalTimes, o.totalTimes...)
+	r.expectedSeconds = append(r.expectedSeconds, o.expectedSeconds...)
+	r.actualSeconds = append(r.actualSeconds, o.actualSeconds...)
 }
 
-// Table plays all policies with all seeds and writes a table of them.
-func Table(w io.Writer, x *Experiment) error {
+// WriteTable simulates all policies with all seeds and writes a table with a row for each policy.
+func WriteTable(w io.Writer, x *Experiment) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	head := "policy\tworth\trequests\tlate\tweak\tdropped\tread\tkept\thead p50\tp99\tstream p50\tp99\t\n"
 	if _, err := io.WriteString(t, head); err != nil {
@@ -74,21 +78,22 @@
 	for i := range x.Policies {
 		var sum Result
 		for _, seed := range x.Seeds {
-			sum.add(Play(x, &x.Policies[i], seed))
+			sum.add(Simulate(x, &x.Policies[i], seed))
 		}
 		if _, err := fmt.Fprintf(t, "%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t%v\t\n", x.Policies[i].Name, sum.Worth(), sum.Requests, sum.Late, sum.Weak, sum.Dropped,
-			sum.Read, sum.Kept, quantile(sum.heads, 50), quantile(sum.heads, 99), quantile(sum.streams, 50), quantile(sum.streams, 99)); err != nil {
+			sum.TokensRead, sum.TokensCached, quantile(sum.headTimes, 50), quantile(sum.headTimes, 99), quantile(sum.totalTimes, 50), quantile(sum.totalTimes, 99)); err != nil {
 			return errors.Wrap(err, "emul")
 		}
 	}
 	return errors.Wrap(t.Flush(), "emul")
 }
 
-// quantile returns the value under which so many hundredths of a list lie.
-func quantile(list []time.Duration, hundredths int) time.Duration {
+// quantile returns the value below which the given percentage of the list lies, rounded to
+// milliseconds; 0 for an empty list. It sorts the list.
+func quantile(list []time.Duration, percent int) time.Duration {
 	if len(list) == 0 {
 		return 0
 	}
 	slices.Sort(list)
-	return list[min(len(list)*hundredths/100, len(list)-1)].Round(time.Millisecond)
+	return list[min(len(list)*percent/100, len(list)-1)].Round(time.Millisecond)
 }
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -19,18 +19,20 @@
 )
 
 const (
-	// claimWithin bounds the wait for the claim log.
-	claimWithin = config.Span(2 * time.Second)
-	// keyForget is how long the entry that ran a key remembers that it did.
-	keyForget = 24 * time.Hour
-	// claimTries bounds how often a key whose runs were closed is claimed
-	// again for one request.
-	claimTries = 4
-	// unsettledBack is when the caller of a key in doubt may ask again.
-	unsettledBack = config.Span(5 * time.Second)
+	// claimTimeout bounds the wait for the claim log.
+	claimTimeout = config.Span(2 * time.Second)
+	// keyRetention is how long the entry that ran a request remembers its key.
+	keyRetention = 24 * time.Hour
+	// maxClaimAttempts is the maximum number of claims on a key for one request, as a key
+	// whose run was closed is claimed again.
+	maxClaimAttempts = 4
+	// unsettledRetryAfter is the time after which the caller of a key with an unknown
+	// outcome may retry.
+	unsettledRetryAfter = config.Span(5 * time.Second)
 )
 
-// bodyHash is what a key binds: the request without its deadline and session.
+// bodyHash returns the hash that binds a key to its request. It covers the target and the
+// body of the call, but not its deadline, session, priority and content type.
 func bodyHash(c *wire.Call) string {
 	h := sha256.New()
 	for _, part := range []string{c.Workload, c.District, c.Model, c.Service, c.Method, c.Path} {
@@ -41,85 +43,87 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// placeClaimed claims the caller's own key in the log and starts the request,
-// or joins the run that holds the key. Repeats in this process join the first
-// before the log is asked.
-func (e *Entry) placeClaimed(call wire.Call, key string) (*request, *fault.Error) {
+// startOrJoinClaimed claims the caller's own key in the log and starts the request, or
+// joins the run that holds the key. A repeat in this process joins the first request
+// without reading the log.
+func (e *Entry) startOrJoinClaimed(call wire.Call, key string) (*request, *fault.Error) {
 	r := e.newRequest(call, key)
-	body := bodyHash(&call)
-	holder, err := e.hold(r, body, e.age()+keyForget)
+	hash := bodyHash(&call)
+	holder, err := e.reserveKey(r, hash, e.age()+keyRetention)
 	if err != nil || holder != r {
 		r.cancel()
 		return holder, err
 	}
-	if err := e.takeKey(r, body); err != nil {
+	if err := e.claimKey(r, hash); err != nil {
 		e.finish(r, 0, err)
 	}
 	return r, nil
 }
 
-// takeKey claims the key of r and starts r, or makes r follow the run that
-// holds the key elsewhere.
-func (e *Entry) takeKey(r *request, body string) *fault.Error {
+// claimKey claims the key of r and starts r, or makes r follow the run of another entry
+// that holds the key.
+func (e *Entry) claimKey(r *request, hash string) *fault.Error {
 	r.record.Key = "claimed"
 	generation := 0
-	for range claimTries {
-		held, err := e.claim(r, body, generation)
+	for range maxClaimAttempts {
+		standing, err := e.enterKeyClaim(r, hash, generation)
 		if err != nil {
 			return err
 		}
-		if held.Run == r.id {
+		if standing.Run == r.id {
 			return e.start(r)
 		}
-		if err := e.follow(r, body, &held); err != errClosed {
+		if err := e.follow(r, hash, &standing); err != errClosed {
 			return err
 		}
-		r.joined = false
-		generation = held.Generation + 1
+		r.following = false
+		generation = standing.Generation + 1
 	}
-	return e.unsettled("The key was claimed again and again.")
+	return e.keyUnsettled("The key was claimed again and again.")
 }
 
-// follow makes r follow the run that a claim names. It returns errClosed if
-// that run did not and will not run.
-func (e *Entry) follow(r *request, body string, held *claim.Record) *fault.Error {
-	if held.BodyHash != body {
+// follow makes r follow the run that a claim names. It returns errClosed if that run did
+// not run and never will.
+func (e *Entry) follow(r *request, hash string, standing *claim.Record) *fault.Error {
+	if standing.BodyHash != hash {
 		return fault.New(fault.KeyReused, fault.NotRun, "The key was used with another request.")
 	}
-	if held.Owner != e.Identity.Incarnation {
-		join := wire.Join{Incarnation: held.Owner, RunID: held.Run, Key: r.key, BodyHash: body}
-		return e.joinRemote(r, join, held.Link)
+	if standing.Owner != e.Identity.Incarnation {
+		join := wire.Join{Incarnation: standing.Owner, RunID: standing.Run, Key: r.key, BodyHash: hash}
+		return e.joinRemote(r, join, standing.Link)
 	}
-	if _, err := e.joinLocal(held.Run, body); err != nil {
+	if _, err := e.joinLocal(standing.Run, hash); err != nil {
 		return err
 	}
-	return e.unsettled("The key's run in this process is no longer held under its name.")
+	return e.keyUnsettled("The key's run in this process is no longer held under its name.")
 }
 
-func (e *Entry) unsettled(message string) *fault.Error {
-	return fault.New(fault.KeyUnsettled, fault.MayHaveRun, "%s", message).WithRetryAt(unsettledBack.After(e.Now()))
+// keyUnsettled returns the error for a key whose outcome is unknown.
+func (e *Entry) keyUnsettled(message string) *fault.Error {
+	return fault.New(fault.KeyUnsettled, fault.MayHaveRun, "%s", message).WithRetryAt(unsettledRetryAfter.After(e.Now()))
 }
 
-// claim enters the claim of r and returns the one that stands. If it fails the
-// request is refused as not run and never starts here: it stays closed, and a
-// repeat that finds the claim in the log after all is told so.
-func (e *Entry) claim(r *request, body string, generation int) (claim.Record, *fault.Error) {
+// enterKeyClaim enters the claim of r and returns the claim that stands. If it fails, the
+// request is refused as not run and never starts here. If the claim may be in the log, the
+// run stays closed in this process, and a repeat that finds the claim is told that it did
+// not run.
+func (e *Entry) enterKeyClaim(r *request, hash string, generation int) (claim.Record, *fault.Error) {
 	now := e.Now()
-	ctx, cancel := context.WithDeadline(r.ctx, given(now, r.call.Deadline, claimWithin))
+	ctx, cancel := context.WithDeadline(r.ctx, capDeadline(now, r.call.Deadline, claimTimeout))
 	defer cancel()
-	held, err := e.enterClaim(ctx, claim.Record{
+	standing, err := e.enterClaim(ctx, claim.Record{
 		Key:        claims.KeyOf(r.call.Workspace, r.key),
 		Generation: generation,
 		Run:        r.id,
-		BodyHash:   body,
+		BodyHash:   hash,
 		Owner:      e.Identity.Incarnation,
 		Link:       e.Identity.Link,
 	})
 	if err == nil {
-		return held, nil
+		return standing, nil
 	}
 	if errors.Is(err, claims.ErrNotWritten) {
-		e.keyed.drop(r.id)
+		e.keyedRuns.drop(r.id)
 	}
-	return held, fault.New(fault.PlatformDown, fault.NotRun, "The platform does not take the claim on the key.").WithRetryAt(comeBackAfter.After(e.Now()))
+	return standing, fault.New(fault.PlatformDown, fault.NotRun, "The platform does not take the claim on the key.").WithRetryAt(defaultRetryAfter.After(e.Now()))
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -17,9 +17,10 @@
 	"github.com/traildrift/traildrift/pkg/tries"
 )
 
-// run takes a request from endpoint to endpoint until it is answered.
+// run attempts a request at one endpoint after another until it is answered or may not be
+// retried.
 func (e *Entry) run(r *request) {
-	if err := e.sessionOf(r); err != nil {
+	if err := e.resolveSession(r); err != nil {
 		e.finish(r, 0, err)
 		return
 	}
@@ -27,33 +28,35 @@
 	for {
 		length, err := e.attempt(r, &tried)
 		if err == nil {
-			e.answeredWhole(r)
+			e.recordSuccess(r)
 		}
-		if err == nil || !e.again(r, err, len(tried)) {
+		if err == nil || !e.shouldRetry(r, err, len(tried)) {
 			e.finish(r, length, err)
 			return
 		}
 	}
 }
 
-// again reports whether the request goes to another endpoint after err, and pays
-// for it where the fleet has to.
-func (e *Entry) again(r *request, err *fault.Error, attempts int) bool {
+// shouldRetry reports whether the request is retried at another endpoint after err. A retry
+// that adds work to the fleet is taken from the workspace's retry budget.
+func (e *Entry) shouldRetry(r *request, err *fault.Error, attempts int) bool {
 	rules := tries.Rules{Repeatable: r.repeatable, MaxAttempts: *r.effective.Values.MaxAttempts}
-	over := r.ctx.Err() != nil || r.buf.Ended() != nil
-	switch tries.Next(rules, tries.State{Attempts: attempts, AnswerBegun: r.buf.Len() > 0, Finished: over}, err) {
+	ended := r.ctx.Err() != nil || r.buf.Ended() != nil
+	switch tries.Next(rules, tries.State{Attempts: attempts, AnswerBegun: r.buf.Len() > 0, Finished: ended}, err) {
 	case tries.Free:
 		return true
 	case tries.Paid:
-		return e.limits.retry(r.call.Workspace)
+		return e.limits.takeRetry(r.call.Workspace)
 	default:
 		return false
 	}
 }
 
-// attempt decides once and sends the request there.
+// attempt makes one routing decision and sends the request to the chosen endpoint. It adds
+// a step to the trail record, and a billed attempt unless the request did not run. It
+// returns the length of the answer in bytes.
 func (e *Entry) attempt(r *request, tried *[]string) (int, *fault.Error) {
-	if err := e.quarantined(r); err != nil {
+	if err := e.checkQuarantine(r); err != nil {
 		return 0, err
 	}
 	now := e.Now()
@@ -65,7 +68,7 @@
 	if d.Kind != "" {
 		step.Err = fault.New(d.Kind, fault.NotRun, "%s", d.Kind.Answer().Advice)
 		if d.Kind.Answer().RetryLater {
-			step.Err.WithRetryAt(comeBackAfter.After(now))
+			step.Err.WithRetryAt(defaultRetryAfter.After(now))
 		}
 		r.record.Steps = append(r.record.Steps, step)
 		return 0, step.Err
@@ -77,7 +80,7 @@
 	step.Err = reply.Err
 	r.record.Steps = append(r.record.Steps, step)
 	if reply.Err != nil && reply.Err.Run == fault.NotRun {
-		e.disown(r, step.Attempt)
+		e.removeUnbilled(r, step.Attempt)
 	} else {
 		r.attempts = append(r.attempts, bill.Attempt{
 			RunID:            r.id,
@@ -93,46 +96,49 @@
 	return reply.Length, reply.Err
 }
 
-// choose decides under the settings in force. A request that was sent back by
-// an endpoint as not run waits a little for another one to be linked again:
-// a fault that breaks one link often breaks all of a pool for a moment.
+// choose decides under the settings in force. A request that an endpoint returned as not
+// run waits up to relinkTimeout for a usable endpoint, as a fault that breaks one link
+// often breaks all links to a pool for a moment.
 func (e *Entry) choose(r *request, tried []string) (*config.Snapshot, []*peer, route.Decision, *fault.Error) {
-	until := given(e.Now(), r.call.Deadline, relinkWithin)
+	until := capDeadline(e.Now(), r.call.Deadline, relinkTimeout)
 	for {
 		now := e.Now()
 		view, list := e.peers.view(now)
 		snap := e.Holder.Current()
 		eff := snap.Effective(r.call.Workspace, r.call.Workload, r.call.District)
-		if err := e.fresh(eff, now); err != nil {
+		if err := e.checkSettingsAge(eff, now); err != nil {
 			return snap, list, route.Decision{}, err
 		}
 		d := e.decide(r, snap, eff, &view, list, tried)
 		if d.Kind != fault.NoVersion || len(tried) == 0 || !now.Before(until) || r.ctx.Err() != nil {
 			return snap, list, d, nil
 		}
-		tasks.Pause(r.ctx, relinkPoll.After(now))
+		tasks.Pause(r.ctx, relinkPollInterval.After(now))
 	}
 }
 
 const (
-	// relinkWithin is how long a request that was sent back waits for another
-	// endpoint, relinkPoll how often it looks.
-	relinkWithin = config.Span(time.Second)
-	relinkPoll   = config.Span(20 * time.Millisecond)
+	// relinkTimeout is how long a request that was returned as not run waits for a usable
+	// endpoint, relinkPollInterval the interval between checks.
+	relinkTimeout      = config.Span(time.Second)
+	relinkPollInterval = config.Span(20 * time.Millisecond)
 )
 
-// comeBackAfter is when a caller is asked to come back where nothing better is
-// known.
-const comeBackAfter = config.Span(time.Second)
+// defaultRetryAfter is the time after which a refused caller may retry, where no better
+// estimate is known.
+const defaultRetryAfter = config.Span(time.Second)
 
-// fresh refuses under stale settings where the settings say so.
-func (e *Entry) fresh(eff *config.Effective, now time.Time) *fault.Error {
+// checkSettingsAge refuses a request if the settings are older than StaleAfter and OnStale
+// says to refuse.
+func (e *Entry) checkSettingsAge(eff *config.Effective, now time.Time) *fault.Error {
 	if *eff.Values.OnStale != config.Refuse || now.Before(eff.Values.StaleAfter.After(e.Holder.ConfirmedAt())) {
 		return nil
 	}
-	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").WithRetryAt(comeBackAfter.After(now))
+	return fault.New(fault.StaleSettings, fault.NotRun, "The settings are stale.").WithRetryAt(defaultRetryAfter.After(now))
 }
 
+// decide returns the routing decision for a request. v and list describe the same endpoints
+// in the same order; those on the VMs in tried are avoided.
 func (e *Entry) decide(r *request, snap *config.Snapshot, eff *config.Effective, v *route.View, list []*peer, tried []string) route.Decision {
 	var avoid []int
 	for i, p := range list {
@@ -156,32 +162,34 @@
 	return d
 }
 
-// owe notes that the guard of p must hear when the run's bill is confirmed.
-func (e *Entry) owe(key wire.RunKey, p *peer) {
-	e.owedMu.Lock()
-	defer e.owedMu.Unlock()
-	e.owed[key] = p
+// addUnbilled records that the guard of p has to be informed once the bill line of the run
+// is confirmed.
+func (e *Entry) addUnbilled(key wire.RunKey, p *peer) {
+	e.unbilledMu.Lock()
+	defer e.unbilledMu.Unlock()
+	e.unbilled[key] = p
 }
 
-// disown forgets a run that did not run and so has no bill.
-func (e *Entry) disown(r *request, attempt int) {
-	e.owedMu.Lock()
-	defer e.owedMu.Unlock()
-	delete(e.owed, wire.RunKey{RunID: r.id, Attempt: attempt})
+// removeUnbilled removes an attempt that did not run and has no bill line.
+func (e *Entry) removeUnbilled(r *request, attempt int) {
+	e.unbilledMu.Lock()
+	defer e.unbilledMu.Unlock()
+	delete(e.unbilled, wire.RunKey{RunID: r.id, Attempt: attempt})
 }
 
-// settle tells the guards which runs are billed.
-func (e *Entry) settle(lines []bill.Line) {
-	e.owedMu.Lock()
-	defer e.owedMu.Unlock()
+// markSettled queues the confirmed runs of bill lines for the next heartbeats to their
+// guards.
+func (e *Entry) markSettled(lines []bill.Line) {
+	e.unbilledMu.Lock()
+	defer e.unbilledMu.Unlock()
 	for _, l := range lines {
 		for _, a := range l.Attempts {
 			key := wire.RunKey{RunID: a.RunID, Attempt: a.Attempt}
-			p, ok := e.owed[key]
+			p, ok := e.unbilled[key]
 			if !ok {
 				continue
 			}
-			delete(e.owed, key)
+			delete(e.unbilled, key)
 			p.mu.Lock()
 			p.settled = append(p.settled, key)
 			p.mu.Unlock()
@@ -189,7 +197,7 @@
 	}
 }
 
-// modelOf splits a model@version name.
+// modelOf splits a name of the form model@version. version is empty without @.
 func modelOf(name string) (model, version string) {
 	model, version, _ = strings.Cut(name, "@")
 	return model, version
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -32,92 +32,99 @@
 )
 
 const (
-	// maxAnswer bounds one answer, in bytes.
-	maxAnswer = 8 << 20
-	// handlersMost bounds the link messages that are handled at a time.
-	handlersMost = 4096
-	// runsMost bounds the requests under way.
-	runsMost = 20_000
-	// readyLag is how long a stopping entry still takes requests, so that
-	// the balancer can see that it is not ready.
-	readyLag = config.Span(500 * time.Millisecond)
+	// maxAnswerBytes is the maximum size of one answer, in bytes.
+	maxAnswerBytes = 8 << 20
+	// maxHandlers is the maximum number of link messages that are handled concurrently.
+	maxHandlers = 4096
+	// maxRuns is the maximum number of tasks in the worker pool: requests, joined runs and
+	// orders to guards.
+	maxRuns = 20_000
+	// drainDelay is how long a stopping entry still accepts requests, so that the load
+	// balancer can see that it is no longer ready.
+	drainDelay = config.Span(500 * time.Millisecond)
 )
 
-// Entry is one entry process. Use New.
+// Entry is one entry process. It must be created with New.
 type Entry struct {
 	*proc.Proc
 	settings Settings
-	kill     context.Context
-	killNow  context.CancelFunc
-	// startedAt is when the process began, with the monotonic clock.
-	startedAt  time.Time
-	peers      *peers
-	keyed      keyed
-	names      names
-	claims     *claims.Log
-	entryLinks entryLinks
-	// orders holds the roll-outs' orders that are under way.
-	orders sync.Map
-	limits limits
-	sinks  sinks
-	recent recent
-	bills  *ledger.Writer[bill.Line]
-	trail  *ledger.Writer[trail.Record]
-	// runs runs the requests; it is bounded.
+	// kill is done when the stop deadline has passed or Run returns; killNow cancels it.
+	kill    context.Context
+	killNow context.CancelFunc
+	// startedAt is when the process started; it holds the monotonic clock.
+	startedAt    time.Time
+	peers        *peers
+	keyedRuns    keyedRuns
+	sessionNames sessionNames
+	claims       *claims.Log
+	linkCache    linkCache
+	// activeOrders holds the roll-out orders that are being sent, as vm/model@version.
+	activeOrders sync.Map
+	limits       limits
+	sinks        sinks
+	recent       recent
+	bills        *ledger.Writer[bill.Line]
+	trail        *ledger.Writer[trail.Record]
+	// runs is the bounded worker pool that runs the requests.
 	runs *ants.Pool
-	// under counts the requests under way.
-	under atomic.Int64
-	// followers counts the other entries that follow a run of this one.
+	// inFlight is the number of tasks that were submitted to runs and have not ended.
+	inFlight atomic.Int64
+	// followers is the number of calls in which other entries follow a run of this one.
 	followers atomic.Int64
-	// seq numbers the requests of this incarnation.
+	// seq is the number of requests that this incarnation has created.
 	seq atomic.Uint64
-	// stopping says that the balancer should send no more; it never goes
-	// back.
+	// stopping is set once a planned stop has begun and is never reset. The load balancer
+	// then sees that the entry is not ready.
 	stopping atomic.Bool
-	owedMu   sync.Mutex
-	// owed holds the guards that must hear of a run's bill.
-	owed     map[wire.RunKey]*peer
+	// unbilledMu guards unbilled.
+	unbilledMu sync.Mutex
+	// unbilled holds, for each attempt that was sent and whose bill line is not confirmed
+	// yet, the peer whose guard has to be informed of the confirmation.
+	unbilled map[wire.RunKey]*peer
 	listener net.Listener
 	counts   counts
-	// quarantine holds the requests that crash endpoints.
+	// quarantine holds the requests that are suspected or known to crash endpoints.
 	quarantine quarantine
 }
 
-// counts are the entry's metrics.
+// counts holds the entry's metrics: chunks of ended attempts, callers that closed a
+// streamed answer before its end, bill lines and trail records that were dropped, and the
+// tasks in flight.
 type counts struct {
 	lateChunks, callersGone, billsLost, trailLost tally.Counter
-	under                                         tally.Gauge
+	inFlight                                      tally.Gauge
 }
 
-// New opens the listeners and builds an entry; Run starts it.
+// New opens the listeners and returns an entry that Run starts. s must have passed Check;
+// unset settings get their defaults.
 func New(s Settings) (*Entry, error) {
 	s.fill()
-	e := &Entry{settings: s, startedAt: time.Now(), owed: make(map[wire.RunKey]*peer)}
-	e.quarantine.book = poison.NewDetector()
+	e := &Entry{settings: s, startedAt: time.Now(), unbilled: make(map[wire.RunKey]*peer)}
+	e.quarantine.detector = poison.NewDetector()
 	e.peers = &peers{e: e, byVM: make(map[string]*peer)}
 	p, err := proc.New(s.Common, proc.Options{
-		Role:     store.RoleEntry,
-		Handlers: handlersMost,
-		OnMove:   func(*config.Snapshot) { e.peers.pokeAll() },
-		OnProven: func(*link.Conn) {},
-		State:    e.state,
-		Explain:  e.explain,
+		Role:             store.RoleEntry,
+		Handlers:         maxHandlers,
+		OnSettingsChange: func(*config.Snapshot) { e.peers.requestHeartbeats() },
+		OnProven:         func(*link.Conn) {},
+		State:            e.state,
+		Explain:          e.explain,
 	})
 	if err != nil {
 		return nil, err
 	}
 	e.Proc = p
-	if e.runs, err = ants.NewPool(runsMost, ants.WithNonblocking(true)); err != nil {
+	if e.runs, err = ants.NewPool(maxRuns, ants.WithNonblocking(true)); err != nil {
 		return nil, err
 	}
 	if e.listener, err = listen(s); err != nil {
 		return nil, err
 	}
 	e.bills = ledger.New(p.Log, p.Store, ledger.Options[bill.Line]{
-		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, Most: s.RecordsHeld, Every: p.Common.WriteEvery, OnWritten: e.settle,
+		Kind: ledger.KindBills, Prefix: p.Identity.Incarnation, MaxRecords: s.MaxHeldRecords, FlushInterval: p.Common.WriteEvery, OnWritten: e.markSettled,
 	})
 	e.trail = ledger.New(p.Log, p.Store, ledger.Options[trail.Record]{
-		Kind: ledger.KindTrail, Prefix: p.Identity.Incarnation, Most: s.RecordsHeld, Every: p.Common.WriteEvery, Encode: trail.Encode,
+		Kind: ledger.KindTrail, Prefix: p.Identity.Incarnation, MaxRecords: s.MaxHeldRecords, FlushInterval: p.Common.WriteEvery, Encode: trail.Encode,
 	})
 	e.claims = claims.New(p.Log, p.Store)
 	sc := p.Scope.SubScope("entry")
@@ -126,24 +133,24 @@
 		callersGone: sc.Counter("callers_gone"),
 		billsLost:   sc.Counter("bills_lost"),
 		trailLost:   sc.Counter("trail_lost"),
-		under:       sc.Gauge("under_way"),
+		inFlight:    sc.Gauge("under_way"),
 	}
 	link.HandleInline(p.Local.Mux, wire.MethodChunk, e.handleChunk)
 	link.HandleInline(p.Local.Mux, wire.MethodLoad, e.handleLoad)
 	link.Handle(p.Local.Mux, wire.MethodJoin, e.handleJoin)
 	link.Handle(p.Local.Mux, wire.MethodClaim, e.handleClaim)
-	link.Handle(p.Local.Mux, wire.MethodPing, e.handleAlive)
+	link.Handle(p.Local.Mux, wire.MethodPing, e.handlePing)
 	return e, nil
 }
 
-// listen opens the callers' listener, with TLS if the settings name files.
+// listen opens the listener for callers, with TLS if the settings name its files.
 func listen(s Settings) (net.Listener, error) {
 	plain, err := net.Listen("tcp", s.Listen.String())
 	if err != nil {
 		return nil, err
 	}
-	ln := lingering{plain}
-	if !s.TLS.Set() {
+	ln := lingerListener{plain}
+	if !s.TLS.IsSet() {
 		return ln, nil
 	}
 	source, err := secure.NewSource(s.TLS)
@@ -154,8 +161,8 @@
 	return tls.NewListener(ln, source.Server()), nil
 }
 
-// Run serves until the stages end it. It returns nil after a planned stop that
-// cut off nothing.
+// Run starts the entry and serves until the stages end it. It returns nil after a planned
+// stop that interrupted no request.
 func (e *Entry) Run(stages proc.Stages) error {
 	e.kill, e.killNow = context.WithCancel(stages.Kill)
 	defer e.killNow()
@@ -165,7 +172,7 @@
 	http := e.newHTTP()
 	e.Tasks.Go(ctx, "callers", func(context.Context) error { return http.Serve(e.listener) })
 	e.Tasks.Go(ctx, "settings", func(ctx context.Context) error { return e.Holder.Watch(ctx, e.Store, e.peers.watching) })
-	e.Tasks.Go(ctx, "peers", e.peers.follow)
+	e.Tasks.Go(ctx, "peers", e.peers.pollVMs)
 	e.Tasks.Go(ctx, "bills", e.bills.Run)
 	e.Tasks.Go(ctx, "trail", e.trail.Run)
 	e.Tasks.Go(ctx, "answers", e.sweep)
@@ -178,32 +185,34 @@
 	err := e.stop(stages.Kill, http)
 	end()
 	e.killNow()
-	e.entryLinks.closeAll()
+	e.linkCache.closeAll()
 	e.Close()
 	e.runs.Release()
 	return err
 }
 
-// stop ends an entry as planned: not ready, no new work, all answered, all
-// written.
+// stop performs a planned stop: the entry reports that it is not ready, accepts no new
+// requests, finishes those in flight, and writes all bill lines and trail records. It
+// returns an error if kill is done first.
 func (e *Entry) stop(kill context.Context, http *fasthttp.Server) error {
 	e.stopping.Store(true)
-	e.Log.Info("entry: Stopping.", zap.Int64("underWay", e.under.Load()))
-	tasks.Pause(kill, readyLag.After(time.Now()))
+	e.Log.Info("entry: Stopping.", zap.Int64("underWay", e.inFlight.Load()))
+	tasks.Pause(kill, drainDelay.After(time.Now()))
 	if err := http.ShutdownWithContext(kill); err != nil {
-		return errors.Wrapf(err, "entry: %d requests were cut off", e.under.Load())
+		return errors.Wrapf(err, "entry: stop interrupted %d requests", e.inFlight.Load())
 	}
-	for e.under.Load() > 0 {
+	for e.inFlight.Load() > 0 {
 		if kill.Err() != nil {
-			return errors.Newf("entry: %d requests were cut off", e.under.Load())
+			return errors.Newf("entry: stop interrupted %d requests", e.inFlight.Load())
 		}
-		tasks.Pause(kill, stopPoll.After(time.Now()))
+		tasks.Pause(kill, pollInterval.After(time.Now()))
 	}
-	if err := e.Quiet(kill); err != nil {
+	if err := e.Drain(kill); err != nil {
 		return err
 	}
 	return errors.CombineErrors(e.bills.Flush(kill), e.trail.Flush(kill))
 }
 
-// stopPoll is how often a stopping entry looks whether all are answered.
-const stopPoll = config.Span(20 * time.Millisecond)
+// pollInterval is the interval at which a stopping entry checks for requests in flight, and
+// at which catchUp checks for a confirmation of the settings.
+const pollInterval = config.Span(20 * time.Millisecond)
--- a/internal/fakes/plain.go
+++ b/internal/fakes/plain.go
@@ -11,38 +11,38 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Plain is a stand-in for a plain service, such as a title register. It
-// answers what it was asked and counts what it did.
+// Plain is a fake of a plain service, such as a title register. It echoes each request and counts
+// run IDs and bodies.
 type Plain struct {
-	*faultBox
-	// Work is how long a call takes.
+	*faultInjector
+	// work is the duration of a call.
 	work config.Span
 	mu   sync.Mutex
-	// runs counts how often each run ID was really run.
+	// runs counts the executions of each run ID.
 	runs map[string]int
-	// bodies counts how often each body was lodged.
+	// bodies counts the calls received with each body.
 	bodies map[string]int
 }
 
-// PlainAnswer is what the service answers.
+// PlainAnswer is the body of the service's answer: the request that it received.
 type PlainAnswer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 }
 
-// NewPlain returns a service whose calls take the given length of time.
+// NewPlain returns a service whose calls take the time work and whose faults are drawn from seed.
 func NewPlain(seed uint64, work config.Span) *Plain {
-	return &Plain{faultBox: newFaultBox(seed), work: work, runs: make(map[string]int), bodies: make(map[string]int)}
+	return &Plain{faultInjector: newFaultInjector(seed), work: work, runs: make(map[string]int), bodies: make(map[string]int)}
 }
 
-// Runs returns how often each run ID was really run.
-func (s *Plain) Runs() map[string]int { return s.copyOf(s.runs) }
+// Runs returns the number of executions of each run ID.
+func (s *Plain) Runs() map[string]int { return s.copyCounts(s.runs) }
 
-// Bodies returns how often each body was lodged.
-func (s *Plain) Bodies() map[string]int { return s.copyOf(s.bodies) }
+// Bodies returns the number of calls received with each body.
+func (s *Plain) Bodies() map[string]int { return s.copyCounts(s.bodies) }
 
-func (s *Plain) copyOf(m map[string]int) map[string]int {
+func (s *Plain) copyCounts(m map[string]int) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]int, len(m))
@@ -54,12 +54,12 @@
 
 // Handle serves one HTTP call.
 func (s *Plain) Handle(ctx *fasthttp.RequestCtx) {
-	if s.serve(ctx) {
+	if s.handleFaults(ctx) {
 		return
 	}
-	f := s.get()
+	f := s.current()
 	if f.Down {
-		ctx.Error("down", fasthttp.StatusServiceUnavailable)
+		ctx.Error("fake service: unavailable by an injected fault", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	switch string(ctx.Path()) {
@@ -74,9 +74,9 @@
 	s.runs[string(ctx.Request.Header.Peek(RunHeader))]++
 	s.bodies[string(ctx.PostBody())]++
 	s.mu.Unlock()
-	pause(s.work)
-	pause(f.Delay)
-	if s.draw(f.Fail) {
+	sleep(s.work)
+	sleep(f.Delay)
+	if s.draw(f.FailureRate) {
 		_ = ctx.Conn().Close()
 		return
 	}
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -13,15 +13,15 @@
 	"github.com/traildrift/traildrift/internal/logs"
 )
 
-// Served is a stand-in that listens.
-type Served struct {
+// Server is the HTTP server of a fake.
+type Server struct {
 	http *fasthttp.Server
 	done chan error
 }
 
-// Serve answers on ln with handle until Close.
-func Serve(ln net.Listener, handle fasthttp.RequestHandler) *Served {
-	s := &Served{
+// Serve starts a server that answers calls on ln with handle until Close.
+func Serve(ln net.Listener, handle fasthttp.RequestHandler) *Server {
+	s := &Server{
 		http: &fasthttp.Server{Handler: handle, CloseOnShutdown: true, MaxRequestBodySize: 32 << 20, Logger: logs.LibraryLogger{}},
 		done: make(chan error, 1),
 	}
@@ -29,13 +29,14 @@
 	return s
 }
 
-// Close ends the stand-in and returns what its listener ended with.
-func (s *Served) Close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
+// Close stops the server and returns the error that its accept loop ended with. It waits up to
+// 200 ms for calls in progress.
+func (s *Server) Close() error {
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = s.http.ShutdownWithContext(ctx)
 	return <-s.done
 }
 
-// closeWithin bounds the wait for calls under way, such as waiting watches.
-const closeWithin = 200 * time.Millisecond
+// closeTimeout bounds the wait for calls in progress, such as watches without a change.
+const closeTimeout = 200 * time.Millisecond
--- a/internal/fakes/weights.go
+++ b/internal/fakes/weights.go
@@ -9,44 +9,47 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// Weights is a stand-in for the weight store, which serves few at a time and
-// refuses the rest.
-type Weights struct {
-	// atOnce is how many fetches are served at a time, takes how long each is.
-	atOnce int
-	takes  config.Span
-	mu     sync.Mutex
-	under  int
-	// most is the greatest number under way so far; refused counts refusals.
-	most, refused int
+// WeightStore is a fake of the store that engines fetch weights from. It serves a limited number
+// of fetches at a time and refuses the rest.
+type WeightStore struct {
+	// capacity is the maximum number of concurrent fetches, fetchTime the duration of each.
+	capacity  int
+	fetchTime config.Span
+	mu        sync.Mutex
+	inFlight  int
+	// maxInFlight is the highest number of concurrent fetches so far, refused the number of
+	// refused ones.
+	maxInFlight, refused int
 }
 
-// NewWeights returns an idle weight store.
-func NewWeights(atOnce int, takes config.Span) *Weights {
-	return &Weights{atOnce: atOnce, takes: takes}
+// NewWeightStore returns an idle weight store that serves up to capacity concurrent fetches, each
+// of which takes fetchTime.
+func NewWeightStore(capacity int, fetchTime config.Span) *WeightStore {
+	return &WeightStore{capacity: capacity, fetchTime: fetchTime}
 }
 
-// Fetch fetches the weights of a version and reports false if it was refused.
-func (w *Weights) Fetch(string) bool {
+// Fetch emulates fetching the weights of a version: it blocks for the duration of a fetch and
+// returns true, or returns false at once if the store is at capacity.
+func (w *WeightStore) Fetch(string) bool {
 	w.mu.Lock()
-	if w.under >= w.atOnce {
+	if w.inFlight >= w.capacity {
 		w.refused++
 		w.mu.Unlock()
 		return false
 	}
-	w.under++
-	w.most = max(w.most, w.under)
+	w.inFlight++
+	w.maxInFlight = max(w.maxInFlight, w.inFlight)
 	w.mu.Unlock()
-	pause(w.takes)
+	sleep(w.fetchTime)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.under--
+	w.inFlight--
 	return true
 }
 
-// Seen returns the greatest number of fetches under way, and the refusals.
-func (w *Weights) Seen() (most, refused int) {
+// Stats returns the highest number of concurrent fetches so far and the number of refused ones.
+func (w *WeightStore) Stats() (maxInFlight, refused int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.most, w.refused
+	return w.maxInFlight, w.refused
 }
--- a/internal/gauge/claims.go
+++ b/internal/gauge/claims.go
@@ -18,15 +18,16 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// platformDelay is what the stand-in platform adds to each call, as the users'
-// platform answers in milliseconds.
+// platformDelay is the delay that the fake platform adds to each call, as a real platform takes
+// milliseconds to answer.
 const platformDelay = config.Span(3 * time.Millisecond)
 
-// claimRates are the rates of requests that may not be repeated, a second.
+// claimRates are the measured rates of requests that may not be repeated, in requests/s.
 var claimRates = []float64{1, 10, 100, 400}
 
-// Claims measures requests that may not be repeated, without a key, with a
-// ticket and with the caller's own key, and what the platform sees of them.
+// Claims measures the latency of requests that may not be repeated, without a key, with a
+// ticket and with the caller's own key, and the platform calls and bytes that they cause. It
+// prints the results to out. The files of its fleets go into subfolders of dir.
 func Claims(ctx context.Context, out io.Writer, dir string) error {
 	for _, kind := range []string{"no key", "ticket", "own key"} {
 		sub := filepath.Join(dir, kind)
@@ -35,34 +36,35 @@
 		}
 		f, err := rig.Start(rig.Options{
 			Dir: sub, Zones: []string{"a", "b"}, Entries: 4, Settings: settings, Seed: 1,
-			Pools: []rig.Pool{{Name: "s", Kind: "service", Endpoints: 2, Slots: 64, Waiting: 256, Work: config.Span(time.Millisecond)}},
+			Pools: []rig.Pool{{Name: "s", Kind: "service", Endpoints: 2, Slots: 64, Waiting: 256, ServiceTime: config.Span(time.Millisecond)}},
 		})
 		if err != nil {
 			return err
 		}
 		f.Objects.Set(fakes.Faults{Delay: platformDelay})
 		for _, perSecond := range claimRates {
-			claimLoad(ctx, out, f, kind, perSecond)
+			measureClaims(ctx, out, f, kind, perSecond)
 		}
 		f.Close()
 	}
 	return nil
 }
 
-// claimLoad runs one rate of one kind.
-func claimLoad(ctx context.Context, out io.Writer, f *rig.Fleet, kind string, perSecond float64) {
+// measureClaims sends requests with one kind of key at one rate and prints the result. With
+// tickets the measurement begins once all tickets have been issued.
+func measureClaims(ctx context.Context, out io.Writer, f *rig.Fleet, kind string, perSecond float64) {
 	var callers []*drive.Caller
 	for i := range f.Entries {
 		callers = append(callers, f.Caller(i, gaugeKey))
 	}
-	until := time.Now().Add(measureFor)
-	keys := keysFor(callers, kind, int(perSecond*measureFor.Seconds()*3/2)+20)
+	until := time.Now().Add(measureDuration)
+	keys := keySource(callers, kind, int(perSecond*measureDuration.Seconds()*3/2)+20)
 	before, bytesBefore := f.Objects.Calls()
 	start := time.Now()
 	l := drive.Load{
-		Callers: callers, PerSecond: perSecond, Until: until, Seed: uint64(perSecond), Most: 2000,
-		Mix: []drive.Share{{Name: fmt.Sprintf("%s, %g/s", kind, perSecond), Weight: 1, Make: func(n int) drive.Ask {
-			a := drive.Ask{Path: "/svc/once/lodge", Body: fmt.Sprintf("%s %g %d", kind, perSecond, n), Header: map[string]string{}, Deadline: time.Now().Add(20 * time.Second)}
+		Callers: callers, ArrivalsPerSecond: perSecond, Until: until, Seed: uint64(perSecond), MaxInFlight: 2000,
+		Mix: []drive.MixEntry{{Name: fmt.Sprintf("%s, %g/s", kind, perSecond), Weight: 1, NewRequest: func(n int) drive.Request {
+			a := drive.Request{Path: "/svc/once/lodge", Body: fmt.Sprintf("%s %g %d", kind, perSecond, n), Header: map[string]string{}, Deadline: time.Now().Add(20 * time.Second)}
 			if kind != "no key" {
 				a.Header["Idempotency-Key"] = keys(n)
 			}
@@ -70,7 +72,7 @@
 		}}},
 	}
 	if kind == "ticket" {
-		l.Until = time.Now().Add(measureFor)
+		l.Until = time.Now().Add(measureDuration)
 		start = time.Now()
 	}
 	results := l.Run(ctx)
@@ -83,15 +85,16 @@
 		float64(after["put"]-before["put"])/n, float64(bytesAfter-bytesBefore)/n)
 }
 
-// keysFor returns the key of the n-th request; tickets are taken beforehand.
-func keysFor(callers []*drive.Caller, kind string, most int) func(n int) string {
+// keySource returns a function that returns the key of the n-th request. Tickets, count of
+// them, are requested beforehand and reused after count requests.
+func keySource(callers []*drive.Caller, kind string, count int) func(n int) string {
 	if kind != "ticket" {
 		run := time.Now().UnixNano()
 		return func(n int) string { return fmt.Sprintf("%d-%d", run, n) }
 	}
-	tickets := make([]string, most)
+	tickets := make([]string, count)
 	for i := range tickets {
-		a, err := callers[i%len(callers)].Do(drive.Ask{Path: "/v1/tickets", Deadline: time.Now().Add(10 * time.Second)})
+		a, err := callers[i%len(callers)].Do(drive.Request{Path: "/v1/tickets", Deadline: time.Now().Add(10 * time.Second)})
 		var t struct {
 			Ticket string `json:"ticket"`
 		}
@@ -99,5 +102,5 @@
 			tickets[i] = t.Ticket
 		}
 	}
-	return func(n int) string { return tickets[n%most] }
+	return func(n int) string { return tickets[n%count] }
 }
--- a/internal/rig/answer_test.go
+++ b/internal/rig/answer_test.go
@@ -18,16 +18,16 @@
 	"github.com/traildrift/traildrift/internal/fakes"
 )
 
-// TestCutAnswers cuts answers at the engine: a cut stream is resumed at its
-// offset, and one that cannot be is said not to be whole.
+// TestCutAnswers cuts answers at the engine: a cut answer is resumed at its offset, and one
+// that ends early without its end marker is reported as not whole. No run is repeated.
 func TestCutAnswers(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1)})
 	engine := f.Engines["deedwriter-1"]
 	for _, streamed := range []bool{true, false} {
-		engine.Set(fakes.Faults{CutAfter: 3})
+		engine.Set(fakes.Faults{DisconnectAfter: 3})
 		expect(t, fmt.Sprint("cut, streamed ", streamed), <-send(f, 0, chat("history", "lot", streamed)), "whole")
 	}
-	engine.Set(fakes.Faults{EndEarly: 3})
+	engine.Set(fakes.Faults{TruncateAfter: 3})
 	expect(t, "ended early without its marker", <-send(f, 0, chat("history", "lot", true)), "notWhole/ran")
 	for id, n := range f.EngineRuns() {
 		if n != 1 {
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestCallerGone cancels the run of a caller that closes its connection.
+// TestCallerGone cancels the run of a caller that closes its connection during the stream.
 func TestCallerGone(t *testing.T) {
 	pools := testPools(1)
 	pools[0].Engine.PerToken = span("20ms")
@@ -60,15 +60,16 @@
 	_ = c.Close()
 	start := time.Now()
 	waitFor(t, "the end of the run", func() bool { return running() == 0 })
-	if took := time.Since(start); took > promptly {
-		t.Errorf("the run of a gone caller ended after %v, want at once", took)
+	if took := time.Since(start); took > maxPromptDelay {
+		t.Errorf("run of a caller that disconnected: ended after %v, want less than 8s", took)
 	}
 }
 
-// TestSlowReader gives a slow reader its whole answer and does not hold up
+// TestSlowReader sends a caller that reads slowly its whole answer, and meanwhile serves
 // others.
 func TestSlowReader(t *testing.T) {
-	// The answer takes 8 s, several times that on a busy machine: no verdict hangs on that time.
+	// The answer takes 8 s, and several times that on a busy machine. No check depends on that
+	// time.
 	settings := strings.Replace(testSettings, "answerWithin: 20s", "answerWithin: 5m", 1)
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: settings})
 	long := chat("history", "long", true)
@@ -83,8 +84,8 @@
 	for range 5 {
 		expect(t, "another caller", <-send(f, 0, chat("history", "lot", true)), "whole")
 	}
-	_ = c.SetReadDeadline(soon())
-	// Without the framing of the answer: a chunk may end in the middle of an event.
+	_ = c.SetReadDeadline(stepDeadline())
+	// Read the body without the chunked framing, as a chunk may end in the middle of an event.
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +94,7 @@
 	var all strings.Builder
 	p := make([]byte, 8<<10)
 	for {
-		_ = c.SetReadDeadline(soon())
+		_ = c.SetReadDeadline(stepDeadline())
 		n, err := resp.Body.Read(p)
 		all.Write(p[:n])
 		if err != nil {
@@ -108,18 +109,18 @@
 	}
 }
 
-// TestBills folds to one line for each answered request and none for one that
-// did not run, although the platform is down, loses answers, and the entry is
-// killed before it has written.
+// TestBills expects one bill line for each answered request and none for a request that did
+// not run, although the platform is down, then loses answers, and an entry is killed before
+// it has written its bills.
 func TestBills(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: testPools(1), Guard: "billAfter: 500ms\n"})
+	f := startFleet(t, Options{Entries: 2, Pools: testPools(1), GuardSettings: "billAfter: 500ms\n"})
 	f.Objects.Set(fakes.Faults{Down: true})
 	want := map[string]bool{}
-	ask := func(entry int, a drive.Ask) {
+	ask := func(entry int, a drive.Request) {
 		a.Header["Traildrift-Deadline"] = time.Now().Add(3 * time.Second).Format(time.RFC3339Nano)
 		got := <-send(f, entry, a)
 		expect(t, "chat", got, "whole")
-		want[got.answer.Request] = true
+		want[got.answer.RequestID] = true
 	}
 	for i := range 6 {
 		ask(i%2, chat("history", fmt.Sprint(i), i%3 == 0))
@@ -127,7 +128,7 @@
 	refused := <-send(f, 0, note("refused", "refused"))
 	expect(t, "own key while the platform is down", refused, "platformDown/notRun")
 	f.Entries[0].Kill()
-	f.Objects.Set(fakes.Faults{LoseAnswers: 0.5})
+	f.Objects.Set(fakes.Faults{ResponseLossRate: 0.5})
 	ask(1, chat("history", "last", true))
 	waitFor(t, "every bill", func() bool {
 		lines, err := desk.Bills(t.Context(), f.Store, "")
@@ -135,7 +136,7 @@
 	})
 	f.Objects.Set(fakes.Faults{})
 	for _, n := range append(f.Guards, f.Entries[1]) {
-		if err := n.Stop(soon()); err != nil {
+		if err := n.Stop(stepDeadline()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -150,24 +151,25 @@
 	}
 }
 
-// TestRetryBudget counts the attempts of each request while a pool fails: they
-// must not multiply the load.
+// TestRetryBudget fails every attempt in a pool and bounds the number of attempts, so that
+// retries do not multiply the load: 200 requests may cause at most 260 attempts.
 func TestRetryBudget(t *testing.T) {
 	pools := testPools(4)
 	f := startFleet(t, Options{Entries: 1, Pools: pools[:1]})
 	for _, e := range f.Engines {
-		e.Set(fakes.Faults{Fail: 1})
+		e.Set(fakes.Faults{FailureRate: 1})
 	}
 	const requests = 200
 	for range requests {
 		expect(t, "a chat while the pool fails", <-send(f, 0, chat("history", "lot", false)), "endpointLost/mayHaveRun", "endpointFailed/mayHaveRun", "notWhole/ran")
 	}
-	if got, most := len(f.EngineRuns()), requests*13/10; got > most || got < requests {
-		t.Errorf("attempts of %d requests: got %d, want at most %d", requests, got, most)
+	if got, maxAttempts := len(f.EngineRuns()), requests*13/10; got > maxAttempts || got < requests {
+		t.Errorf("attempts of %d requests: got %d, want at most %d", requests, got, maxAttempts)
 	}
 }
 
-// TestSessionsOutliveEntries replaces every entry: a session keeps its version.
+// TestSessionsOutliveEntries restarts every entry and makes another version cheaper: the
+// session keeps its version.
 func TestSessionsOutliveEntries(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	open := chat("tags", "lot", false)
@@ -180,7 +182,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.Ready(soon()); err != nil {
+	if err := f.WaitReady(stepDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	cheaper := strings.Replace(testSettings, `"3": {pool: deedwriter, cost: 12`, `"3": {pool: deedwriter, cost: 1`, 1)
@@ -188,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.InForce(revision, soon()); err != nil {
+	if err := f.WaitRevision(revision, stepDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	next := chat("tags", "lot", true)
@@ -200,14 +202,14 @@
 	}
 }
 
-// TestDeadline answers a request whose deadline passes soon after it, whether it
-// waits in the queue or runs, and cancels the run. One that waited did not run.
+// TestDeadline answers a request soon after its deadline has passed, whether it is queued or
+// running, and cancels the run. A queued request is reported as not run.
 func TestDeadline(t *testing.T) {
 	pools := testPools(1)[:1]
 	pools[0].Slots, pools[0].Engine.Slots = 1, 1
 	pools[0].Engine.PerToken = span("100ms")
 	f := startFleet(t, Options{Entries: 1, Pools: pools})
-	ask := func(within time.Duration) <-chan sent {
+	ask := func(within time.Duration) <-chan outcome {
 		a := chat("history", "lot", false)
 		a.Chat.MaxTokens = 200
 		a.Header["Traildrift-Deadline"] = time.Now().Add(within).Format(time.RFC3339Nano)
@@ -217,13 +219,13 @@
 	waitFor(t, "the run", func() bool { return len(f.EngineRuns()) == 1 })
 	waiting := ask(500 * time.Millisecond)
 	got := <-waiting
-	expect(t, "one that waits", got, "deadlinePassed/notRun")
-	if got.took > promptly {
+	expect(t, "queued request", got, "deadlinePassed/notRun")
+	if got.took > maxPromptDelay {
 		t.Errorf("the answer took %v, want it soon after the deadline", got.took)
 	}
 	got = <-running
-	expect(t, "one that runs", got, "deadlinePassed/mayHaveRun", "notWhole/ran", "endpointLost/mayHaveRun", "deadlinePassed/ran")
-	if got.took > promptly {
+	expect(t, "running request", got, "deadlinePassed/mayHaveRun", "notWhole/ran", "endpointLost/mayHaveRun", "deadlinePassed/ran")
+	if got.took > maxPromptDelay {
 		t.Errorf("the answer took %v, want it soon after the deadline", got.took)
 	}
 	waitFor(t, "the end of the run", func() bool { n, _ := f.Engines["deedwriter-1"].Load(); return n == 0 })
@@ -232,14 +234,14 @@
 	}
 }
 
-// TestOverload refuses what has no room as not run, with a time to come back,
-// and answers the rest.
+// TestOverload refuses requests beyond the capacity of slots and queue as not run, with a time
+// to retry at, and answers the rest.
 func TestOverload(t *testing.T) {
 	pools := testPools(1)[:1]
 	pools[0].Slots, pools[0].Waiting = 1, 2
 	pools[0].Engine.PerToken = span("20ms")
 	f := startFleet(t, Options{Entries: 1, Pools: pools})
-	var all []<-chan sent
+	var all []<-chan outcome
 	for range 12 {
 		all = append(all, send(f, 0, chat("history", "lot", true)))
 	}
@@ -247,8 +249,8 @@
 	for _, c := range all {
 		got := <-c
 		counts[got.result]++
-		if got.result != "whole" && got.answer.RetryText == "" {
-			t.Errorf("got %s without a time to come back", got.result)
+		if got.result != "whole" && got.answer.RetryAfter == "" {
+			t.Errorf("got %s without a time to retry at", got.result)
 		}
 	}
 	if counts["whole"] < 3 || counts["whole"]+counts["overloaded/notRun"]+counts["noVersion/notRun"] != 12 {
@@ -259,23 +261,24 @@
 	}
 }
 
-// TestOutageBeyondBuffers lets an outage outlast the entry's buffers: a workload
-// that says so is refused as not run, the other is served, and every answer is
-// billed once in the end, by the guard where the entry could not hold its line.
+// TestOutageBeyondBuffers fills the entry's buffers for bill lines during an outage of the
+// platform. A workload with onBillsFull: refuse is refused as not run and the other one is
+// served. After the outage every answer is billed once, by the guard where the entry had no
+// room for the line.
 func TestOutageBeyondBuffers(t *testing.T) {
 	refusing := strings.Replace(testSettings, "history: {values: {qualityTarget: 0.9}}", "history: {values: {qualityTarget: 0.9, onBillsFull: refuse}}", 1)
-	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: refusing, Entry: "recordsHeld: 4\n", Guard: "billAfter: 300ms\n"})
+	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: refusing, EntrySettings: "recordsHeld: 4\n", GuardSettings: "billAfter: 300ms\n"})
 	f.Objects.Set(fakes.Faults{Down: true})
 	want := map[string]bool{}
 	for i := range 10 {
 		a := chat("tags", fmt.Sprint(i), false)
 		a.Header["Traildrift-Deadline"] = time.Now().Add(2 * time.Second).Format(time.RFC3339Nano)
 		got := <-send(f, 0, a)
-		expect(t, "a workload that serves on", got, "whole")
-		want[got.answer.Request] = true
+		expect(t, "a workload without onBillsFull: refuse", got, "whole")
+		want[got.answer.RequestID] = true
 	}
 	got := <-send(f, 0, chat("history", "lot", false))
-	expect(t, "a workload that refuses", got, "platformDown/notRun")
+	expect(t, "a workload with onBillsFull: refuse", got, "platformDown/notRun")
 	f.Objects.Set(fakes.Faults{})
 	waitFor(t, "every bill", func() bool {
 		lines, err := desk.Bills(t.Context(), f.Store, "")
@@ -292,7 +295,7 @@
 	}
 }
 
-// TestSessionEnds refuses a session token past its end.
+// TestSessionEnds refuses a session token after the session's lifetime of 1 s.
 func TestSessionEnds(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1), Settings: strings.Replace(testSettings, "tags: {values: {qualityTarget: 0.5}}", "tags: {values: {qualityTarget: 0.5, sessionFor: 1s}}", 1)})
 	a := chat("tags", "lot", false)
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -28,94 +28,112 @@
 
 // Pool describes the endpoints of one pool.
 type Pool struct {
-	Name      string
-	Kind      string
+	Name string
+	// Kind is "engine" or "service", as in the guard's process settings.
+	Kind string
+	// Endpoints is the number of endpoints, each with a guard.
 	Endpoints int
-	Slots     int
-	Waiting   int
-	Engine    fakes.EngineOptions
-	// Work is how long a call of a plain service takes.
-	Work config.Span
+	// Slots is how many runs an endpoint executes at a time, and Waiting how many more its
+	// guard queues.
+	Slots   int
+	Waiting int
+	// Engine holds the options of the fake engines. Its Seed is ignored, and Slots of 0
+	// means the Slots of the pool.
+	Engine fakes.EngineOptions
+	// ServiceTime is how long a call to a plain service takes.
+	ServiceTime config.Span
 }
 
 // Options describe a fleet.
 type Options struct {
-	// Dir holds the files of the fleet.
+	// Dir is the folder of the process settings, keys and logs of the fleet.
 	Dir string
-	// Zones are gone through in turn; at least one.
-	Zones   []string
+	// Zones are the availability zones, assigned to the VMs in turn; at least one.
+	Zones []string
+	// Entries is the number of entries.
 	Entries int
 	Pools   []Pool
-	// Settings is the tree in force from the beginning, as YAML.
+	// Settings is the settings tree that Start puts in force, as YAML; none if empty.
 	Settings string
-	// Secured says that Entry names TLS files for callers, so that readiness
-	// is asked for over TLS.
-	Secured bool
-	// Unlinked says that not every entry links to every guard.
-	Unlinked bool
-	// Entry and Guard are added to the process settings, as YAML.
-	Entry, Guard string
-	Seed         uint64
+	// CallerTLS says that EntrySettings names TLS files for callers, so that readiness is
+	// queried over TLS.
+	CallerTLS bool
+	// PartialLinks says that not every entry links to every guard, so that WaitReady does
+	// not wait for all links.
+	PartialLinks bool
+	// EntrySettings and GuardSettings are appended to the process settings of entries and
+	// guards, as YAML.
+	EntrySettings, GuardSettings string
+	// Seed is the base of the seeds of the fakes that Start creates.
+	Seed uint64
 }
 
-// Fleet is a running fleet.
+// Fleet is a running fleet. Its exported fields are set by Start and not changed afterwards.
 type Fleet struct {
+	// Objects is the fake platform. Store and VMs are clients of it.
 	Objects *fakes.Objects
 	Store   *store.Client
 	VMs     *store.VMs
+	// Keys holds the link keys of the fleet.
 	Keys    *seal.Keyring
 	Entries []*Node
 	Guards  []*Node
-	// Engines, Plains and Relays are by the name of their VM.
+	// Engines, Services and Relays are keyed by the name of their VM.
 	Engines  map[string]*fakes.Engine
-	Plains   map[string]*fakes.Plain
+	Services map[string]*fakes.Plain
 	Relays   map[string]*Relay
+	// Platform is the address of the fake platform.
 	Platform netip.AddrPort
 	opts     Options
-	block    netip.Addr
-	next     byte
-	keyFile  string
-	served   []*fakes.Served
-	vms      []store.VM
+	// firstIP is the first IP number of the fleet's block, and lastOffset the offset of the
+	// last one that was assigned.
+	firstIP    netip.Addr
+	lastOffset byte
+	// keyFile is the path of the key file that all processes read.
+	keyFile string
+	servers []*fakes.Server
+	// vms is the VM list that the fake platform serves.
+	vms []store.VM
 }
 
-// blocks counts the fleets of this process.
-var blocks atomic.Uint32
+// blockCount counts the IP blocks that were tried in this process.
+var blockCount atomic.Uint32
 
-// newBlock returns the first IP number of a block for one fleet, of which no
-// other fleet on this machine has listened on yet.
-func newBlock() (netip.Addr, error) {
+// newIPBlock returns the first IP number of a block for one fleet. It skips blocks whose
+// platform port is in use by another fleet on this machine.
+func newIPBlock() (netip.Addr, error) {
 	const second, third = 200, 250
 	for range second {
-		pid, n := uint32(os.Getpid()), blocks.Add(1)
+		pid, n := uint32(os.Getpid()), blockCount.Add(1)
 		a := netip.AddrFrom4([4]byte{127, byte(2 + (pid+n/third)%second), byte(1 + (pid/second+n)%third), 1})
 		ln, err := net.Listen("tcp", netip.AddrPortFrom(a, portPlatform).String())
 		if err == nil {
 			return a, ln.Close()
 		}
 	}
-	return netip.Addr{}, errors.New("rig: no free block of IP numbers")
+	return netip.Addr{}, errors.New("rig: found no free block of loopback IP numbers")
 }
 
-// ip returns the next IP number of the block.
-func (f *Fleet) ip() netip.Addr {
-	b := f.block.As4()
-	f.next++
-	b[3] += f.next
+// nextIP assigns the next IP number of the block.
+func (f *Fleet) nextIP() netip.Addr {
+	b := f.firstIP.As4()
+	f.lastOffset++
+	b[3] += f.lastOffset
 	return netip.AddrFrom4(b)
 }
 
-// Start starts a fleet and waits until its entries are ready.
+// Start starts a fleet and waits until it is ready, as WaitReady does. On an error nothing of
+// the fleet keeps running.
 func Start(o Options) (*Fleet, error) {
-	block, err := newBlock()
+	block, err := newIPBlock()
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{
 		opts:     o,
-		block:    block,
+		firstIP:  block,
 		Engines:  make(map[string]*fakes.Engine),
-		Plains:   make(map[string]*fakes.Plain),
+		Services: make(map[string]*fakes.Plain),
 		Relays:   make(map[string]*Relay),
 		Platform: netip.AddrPortFrom(block, portPlatform),
 	}
@@ -152,18 +170,18 @@
 			return err
 		}
 	}
-	return f.Ready(time.Now().Add(readyWithin))
+	return f.WaitReady(time.Now().Add(startTimeout))
 }
 
-// readyWithin bounds the start of a fleet.
-const readyWithin = 20 * time.Second
+// startTimeout bounds the wait for readiness in Start, and each access to the settings.
+const startTimeout = 20 * time.Second
 
 func (f *Fleet) serve(addr netip.AddrPort, handle fasthttp.RequestHandler) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return nil, err
 	}
-	f.served = append(f.served, fakes.Serve(ln, handle))
+	f.servers = append(f.servers, fakes.Serve(ln, handle))
 	return ln, nil
 }
 
@@ -182,28 +200,30 @@
 	return err
 }
 
-// Apply puts settings in force and returns their revision.
+// Apply writes a settings tree, given as YAML, to the store whatever revision is there, and
+// returns the new revision. WaitRevision waits until it is in force.
 func (f *Fleet) Apply(text, author string) (int64, error) {
 	file, err := config.ParseFile("rig", []byte(text))
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	c, err := commit.Apply(ctx, f.Store, commit.Edit{ID: proc.NewID(), Author: author, At: time.Now(), Base: -1, Nodes: file.Nodes()})
 	return c.Revision, err
 }
 
-// InForce waits until every live VM's process has the revision.
-func (f *Fleet) InForce(revision int64, deadline time.Time) error {
+// WaitRevision waits until the process of every live VM reports the revision. It returns an
+// error that names the other VMs if the deadline passes first.
+func (f *Fleet) WaitRevision(revision int64, deadline time.Time) error {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	return desk.Wait(ctx, f.VMs, f.Keys, revision)
 }
 
-func (f *Fleet) zone() string { return f.opts.Zones[int(f.next)%len(f.opts.Zones)] }
+func (f *Fleet) nextZone() string { return f.opts.Zones[int(f.lastOffset)%len(f.opts.Zones)] }
 
-func (f *Fleet) common(n *Node, zone string, ip netip.Addr) string {
+func (f *Fleet) commonSettings(n *Node, zone string, ip netip.Addr) string {
 	n.VM.AvailabilityZone = zone
 	n.Operators = netip.AddrPortFrom(ip, portOperators)
 	return fmt.Sprintf("vm: %s\navailabilityZone: %s\nlink: %s\noperators: %s\nplatform: %s\nkeys: %s\nstopWithin: 30s\nwriteEvery: 500ms\n",
@@ -211,10 +231,10 @@
 }
 
 func (f *Fleet) addGuard(p Pool) error {
-	zone, ip := f.zone(), f.ip()
+	zone, ip := f.nextZone(), f.nextIP()
 	n := &Node{VM: store.VM{Name: fmt.Sprintf("%s-%d", p.Name, len(f.Guards)+1), Role: store.RoleEndpoint, Pool: p.Name, State: store.VMLive}}
 	endpoint := netip.AddrPortFrom(ip, portEndpoint)
-	text := f.common(n, zone, ip) + fmt.Sprintf("pool: %s\nkind: %s\nendpoint: %s\nslots: %d\nwaiting: %d\n", p.Name, p.Kind, endpoint, p.Slots, p.Waiting) + f.opts.Guard
+	text := f.commonSettings(n, zone, ip) + fmt.Sprintf("pool: %s\nkind: %s\nendpoint: %s\nslots: %d\nwaiting: %d\n", p.Name, p.Kind, endpoint, p.Slots, p.Waiting) + f.opts.GuardSettings
 	if err := f.serveEndpoint(p, n.VM.Name, endpoint); err != nil {
 		return err
 	}
@@ -232,8 +252,8 @@
 func (f *Fleet) serveEndpoint(p Pool, vm string, addr netip.AddrPort) error {
 	seed := f.opts.Seed + uint64(len(f.Guards))
 	if p.Kind == "service" {
-		s := fakes.NewPlain(seed, p.Work)
-		f.Plains[vm] = s
+		s := fakes.NewPlain(seed, p.ServiceTime)
+		f.Services[vm] = s
 		_, err := f.serve(addr, s.Handle)
 		return err
 	}
@@ -250,18 +270,18 @@
 }
 
 func (f *Fleet) addEntry() error {
-	zone, ip := f.zone(), f.ip()
+	zone, ip := f.nextZone(), f.nextIP()
 	n := &Node{VM: store.VM{Name: fmt.Sprintf("entry-%d", len(f.Entries)+1), Role: store.RoleEntry, State: store.VMLive, Link: netip.AddrPortFrom(ip, portLink)}}
 	n.Callers = netip.AddrPortFrom(ip, portCallers)
-	text := f.common(n, zone, ip) + fmt.Sprintf("listen: %s\n", n.Callers) + f.opts.Entry
+	text := f.commonSettings(n, zone, ip) + fmt.Sprintf("listen: %s\n", n.Callers) + f.opts.EntrySettings
 	f.Entries = append(f.Entries, n)
 	return f.launch(n, text)
 }
 
 func (f *Fleet) launch(n *Node, text string) error {
-	n.file = filepath.Join(f.opts.Dir, n.VM.Name+".yaml")
+	n.settingsFile = filepath.Join(f.opts.Dir, n.VM.Name+".yaml")
 	n.logFile = filepath.Join(f.opts.Dir, n.VM.Name+".log")
-	if err := os.WriteFile(n.file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(n.settingsFile, []byte(text), 0o600); err != nil {
 		return err
 	}
 	f.vms = append(f.vms, n.VM)
@@ -269,8 +289,8 @@
 	return n.Start()
 }
 
-// SetState changes the state of a VM in the VM list.
-func (f *Fleet) SetState(vm, state string) {
+// SetVMState changes the state of the named VM in the VM list, such as to store.VMLeaving.
+func (f *Fleet) SetVMState(vm, state string) {
 	for i := range f.vms {
 		if f.vms[i].Name == vm {
 			f.vms[i].State = state
@@ -279,8 +299,10 @@
 	f.Objects.SetVMs(f.vms)
 }
 
-// Ready waits until every entry is ready and may use every running guard.
-func (f *Fleet) Ready(deadline time.Time) error {
+// WaitReady waits until every running entry is ready and has as many usable endpoints as
+// guards are running (not with Options.PartialLinks). It returns an error if the deadline
+// passes first.
+func (f *Fleet) WaitReady(deadline time.Time) error {
 	want := 0
 	for _, n := range f.Guards {
 		if n.Running() {
@@ -291,50 +313,50 @@
 		if !n.Running() {
 			continue
 		}
-		if err := f.caller(n, "", f.opts.Secured).Ready(deadline); err != nil {
+		if err := f.caller(n, "", f.opts.CallerTLS).WaitReady(deadline); err != nil {
 			return errors.Wrap(err, n.Log())
 		}
-		for n.usable() < want && !f.opts.Unlinked {
+		for n.usableEndpoints() < want && !f.opts.PartialLinks {
 			if time.Now().After(deadline) {
-				return errors.Newf("%s may use %d of %d guards", n.VM.Name, n.usable(), want)
+				return errors.Newf("rig: %s has %d usable endpoints of %d by the deadline", n.VM.Name, n.usableEndpoints(), want)
 			}
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
 }
 
-// readyPoll is how often an entry is asked for its links.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is the interval at which WaitReady reads an entry's usable endpoints.
+const readyPollInterval = 20 * time.Millisecond
 
-// Caller returns a caller of the numbered entry.
+// Caller returns a caller of Entries[i] that sends the API key.
 func (f *Fleet) Caller(i int, key string) *drive.Caller {
 	return f.caller(f.Entries[i], key, false)
 }
 
-// SecureCaller returns a caller of the numbered entry that uses TLS and takes
-// any certificate.
-func (f *Fleet) SecureCaller(i int, key string) *drive.Caller {
+// TLSCaller returns a caller of Entries[i] that uses TLS, sends the API key and accepts any
+// certificate.
+func (f *Fleet) TLSCaller(i int, key string) *drive.Caller {
 	return f.caller(f.Entries[i], key, true)
 }
 
 func (f *Fleet) caller(n *Node, key string, secured bool) *drive.Caller {
 	c := drive.NewCaller(n.Callers, key)
 	if secured {
-		c.Secure()
+		c.UseTLS()
 	}
 	return c
 }
 
-// Endpoint returns where the engine or service beside a guard listens.
-func (f *Fleet) Endpoint(n *Node) netip.AddrPort {
+// EndpointAddr returns the address of the engine or service on a guard's VM.
+func (f *Fleet) EndpointAddr(n *Node) netip.AddrPort {
 	return netip.AddrPortFrom(n.Operators.Addr(), portEndpoint)
 }
 
-// Nodes returns every VM of the fleet.
+// Nodes returns every VM of the fleet, the entries before the guards.
 func (f *Fleet) Nodes() []*Node { return append(append([]*Node(nil), f.Entries...), f.Guards...) }
 
-// Close kills every process and ends the stand-ins.
+// Close kills every process and closes the relays and the fakes.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes() {
 		n.Kill()
@@ -342,7 +364,7 @@
 	for _, r := range f.Relays {
 		r.Close()
 	}
-	for _, s := range f.served {
+	for _, s := range f.servers {
 		_ = s.Close()
 	}
 }
--- a/internal/rig/once_test.go
+++ b/internal/rig/keys_test.go
@@ -15,58 +15,63 @@
 	"github.com/traildrift/traildrift/internal/fakes"
 )
 
-// slowRegister has calls that take long enough for a fault to hit them.
-func slowRegister(work string) []Pool {
+// slowServicePools returns two endpoints for each pool, with service calls that take long
+// enough for a fault to occur during them.
+func slowServicePools(work string) []Pool {
 	pools := testPools(2)
-	pools[2].Work = span(work)
+	pools[2].ServiceTime = span(work)
 	return pools
 }
 
-// result is an answer as the tests compare it: "whole", or kind/run.
+// result returns the outcome of a request as tests compare it: "whole", the kind and run state
+// of an error as kind/run, "noAnswer", or the defect of a wrong answer.
 func result(a drive.Answer, err error) string {
 	switch {
 	case a.Err != nil:
 		return drive.ErrorName(a.Err)
 	case err != nil:
 		return "noAnswer"
-	case a.Bad != "":
-		return a.Bad
+	case a.InvalidReason != "":
+		return a.InvalidReason
 	default:
 		return "whole"
 	}
 }
 
-// sent is a request under way.
-type sent struct {
+// outcome is the outcome of a request; took is the time until it was received.
+type outcome struct {
 	answer drive.Answer
 	result string
 	took   time.Duration
 }
 
-// send sends a request in the background.
-func send(f *Fleet, entry int, a drive.Ask) <-chan sent {
-	out := make(chan sent, 1)
+// send sends a request to an entry in the background and returns a channel that receives its
+// outcome.
+func send(f *Fleet, entry int, a drive.Request) <-chan outcome {
+	out := make(chan outcome, 1)
 	go func() {
 		start := time.Now()
 		got, err := f.Caller(entry, testKey).Do(a)
-		out <- sent{got, result(got, err), time.Since(start)}
+		out <- outcome{got, result(got, err), time.Since(start)}
 	}()
 	return out
 }
 
-// lodged waits until a body was lodged and returns its guard.
-func lodged(t *testing.T, f *Fleet, body string) *Node {
+// waitForCall waits until a service has executed the call with the given body and returns its
+// guard.
+func waitForCall(t *testing.T, f *Fleet, body string) *Node {
 	t.Helper()
-	for deadline := soon(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		if n := f.Holder(body); n != nil {
+	for deadline := stepDeadline(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if n := f.GuardOfCall(body); n != nil {
 			return n
 		}
 	}
-	t.Fatalf("%q was not lodged", body)
+	t.Fatalf("timed out waiting for the service call %q", body)
 	return nil
 }
 
-func expect(t *testing.T, what string, got sent, want ...string) {
+// expect fails the test unless the outcome is one of those wanted.
+func expect(t *testing.T, what string, got outcome, want ...string) {
 	t.Helper()
 	for _, w := range want {
 		if got.result == w {
@@ -76,24 +81,24 @@
 	t.Errorf("%s: got %s (%v), want %v", what, got.result, got.answer.Err, want)
 }
 
-func expectLodged(t *testing.T, f *Fleet, body string, want int) {
+// expectCalls fails the test unless services executed the call with the given body that often.
+func expectCalls(t *testing.T, f *Fleet, body string, want int) {
 	t.Helper()
-	if got := f.Bodies()[body]; got != want {
-		t.Errorf("%q was lodged %d times, want %d", body, got, want)
+	if got := f.ServiceCalls()[body]; got != want {
+		t.Errorf("service calls of %q: got %d, want %d", body, got, want)
 	}
 }
 
-// keyKinds are the two kinds of key that allow one run only.
+// keyKinds are the two kinds of idempotency key: the caller's own key and a ticket.
 var keyKinds = []string{"own", "ticket"}
 
-// keyOf returns a fresh key of a kind, a ticket being that of the numbered
-// entry.
-func keyOf(t *testing.T, f *Fleet, kind string, entry int) string {
+// newKey returns a new key of a kind; a ticket is issued by the given entry.
+func newKey(t *testing.T, f *Fleet, kind string, entry int) string {
 	t.Helper()
 	if kind == "own" {
 		return fmt.Sprintf("%s-%d", t.Name(), time.Now().UnixNano())
 	}
-	a, err := f.Caller(entry, testKey).Do(drive.Ask{Path: "/v1/tickets", Deadline: soon()})
+	a, err := f.Caller(entry, testKey).Do(drive.Request{Path: "/v1/tickets", Deadline: stepDeadline()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,14 +111,15 @@
 	return out.Ticket
 }
 
-// TestRepeats sends one key many times to both entries at once: one run, and
-// every caller gets its answer, also later. Another body is refused.
+// TestRepeats sends requests with the same key to both entries at the same time: the service
+// runs one of them, and every caller gets its answer, also later. A request with the same key
+// and another body is refused.
 func TestRepeats(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("100ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("100ms")})
 	for _, kind := range keyKinds {
 		body := "note " + kind
-		key := keyOf(t, f, kind, 0)
-		var all []<-chan sent
+		key := newKey(t, f, kind, 0)
+		var all []<-chan outcome
 		for i := range 10 {
 			all = append(all, send(f, i%2, note(key, body)))
 		}
@@ -132,23 +138,24 @@
 		expect(t, kind+", later", <-send(f, 1, note(key, body)), "whole")
 		expect(t, kind+", another body", <-send(f, 0, note(key, "other")), "keyReused/notRun")
 		expect(t, kind+", another body elsewhere", <-send(f, 1, note(key, "other")), "keyReused/notRun")
-		expectLodged(t, f, body, 1)
-		expectLodged(t, f, "other", 0)
+		expectCalls(t, f, body, 1)
+		expectCalls(t, f, "other", 0)
 	}
 }
 
-// TestEntryKilled kills the entry that runs a request: a repeat elsewhere hears
-// at once that it may have run, for good, and it never runs again.
+// TestEntryKilled kills the entry that holds the run of a key. A repeat at another entry is
+// answered at once that the request may have run, and so are all later repeats. The request
+// never runs again.
 func TestEntryKilled(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("300ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	keys := map[string]string{}
 	for _, kind := range keyKinds {
-		keys[kind] = keyOf(t, f, kind, 0)
+		keys[kind] = newKey(t, f, kind, 0)
 	}
-	var lost []<-chan sent
+	var lost []<-chan outcome
 	for _, kind := range keyKinds {
 		lost = append(lost, send(f, 0, note(keys[kind], kind)))
-		lodged(t, f, kind)
+		waitForCall(t, f, kind)
 	}
 	f.Entries[0].Kill()
 	for _, kind := range keyKinds {
@@ -156,88 +163,89 @@
 		lost = lost[1:]
 		got := <-send(f, 1, note(keys[kind], kind))
 		expect(t, kind, got, "keyUnsettled/mayHaveRun")
-		if got.took > promptly || got.answer.RetryText == "" {
-			t.Errorf("%s: got an answer after %v with retry %q, want one at once with a time", kind, got.took, got.answer.RetryText)
+		if got.took > maxPromptDelay || got.answer.RetryAfter == "" {
+			t.Errorf("%s: got an answer after %v with retry %q, want one at once with a time", kind, got.took, got.answer.RetryAfter)
 		}
 	}
 	if err := f.Entries[0].Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Ready(soon()); err != nil {
+	if err := f.WaitReady(stepDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	for _, kind := range keyKinds {
 		expect(t, kind+" at the entry's next incarnation", <-send(f, 0, note(keys[kind], kind)), "keyUnsettled/mayHaveRun")
-		expectLodged(t, f, kind, 1)
+		expectCalls(t, f, kind, 1)
 	}
 }
 
-// TestEntryFrozen freezes the entry that runs a request past every timeout.
+// TestEntryFrozen freezes the entry that holds the run of a key, until the repeat at another
+// entry has been answered.
 func TestEntryFrozen(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("300ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	for _, kind := range keyKinds {
-		key := keyOf(t, f, kind, 0)
+		key := newKey(t, f, kind, 0)
 		lost := send(f, 0, note(key, kind))
-		lodged(t, f, kind)
+		waitForCall(t, f, kind)
 		f.Entries[0].Freeze()
 		expectFrozen(t, f, key, kind, send(f, 1, note(key, kind)), lost)
 	}
 }
 
-// expectFrozen checks what callers hear of an entry that is frozen, which is thawed then: the
-// repeat at the other entry that the run may have run, at once; the first caller and a later
-// repeat the one run's answer.
-func expectFrozen(t *testing.T, f *Fleet, key, kind string, repeat, lost <-chan sent) {
+// expectFrozen checks the answers while an entry is frozen, and then thaws it. The repeat at
+// the other entry is answered at once that the request may have run. The first caller and a
+// later repeat get the answer of the one run.
+func expectFrozen(t *testing.T, f *Fleet, key, kind string, repeat, lost <-chan outcome) {
 	t.Helper()
 	got := <-repeat
 	f.Entries[0].Thaw()
 	expect(t, kind+" while the entry is frozen", got, "keyUnsettled/mayHaveRun")
-	if got.took > promptly {
+	if got.took > maxPromptDelay {
 		t.Errorf("%s: got an answer after %v, want one at once", kind, got.took)
 	}
 	expect(t, kind+" after the thaw", <-lost, "whole")
 	expect(t, kind+" again", <-send(f, 1, note(key, kind)), "whole")
-	expectLodged(t, f, kind, 1)
+	expectCalls(t, f, kind, 1)
 }
 
-// TestEntryFrozenWhileFollowed freezes the entry that runs a request after another
-// entry began to follow the run there: the repeat's caller hears at once that it may
-// have run, as if the entry had been frozen before.
+// TestEntryFrozenWhileFollowed freezes the entry that holds the run of a key after another
+// entry has begun to follow that run. The repeat is answered at once that the request may have
+// run, as if the entry had been frozen before.
 func TestEntryFrozenWhileFollowed(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("5s")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("5s")})
 	for _, kind := range keyKinds {
-		key := keyOf(t, f, kind, 0)
+		key := newKey(t, f, kind, 0)
 		lost := send(f, 0, note(key, kind))
-		lodged(t, f, kind)
+		waitForCall(t, f, kind)
 		repeat := send(f, 1, note(key, kind))
-		followed(t, f.Entries[0])
+		waitForFollower(t, f.Entries[0])
 		f.Entries[0].Freeze()
 		expectFrozen(t, f, key, kind, repeat, lost)
 	}
 }
 
-// followed waits until another entry follows a run of an entry.
-func followed(t *testing.T, n *Node) {
+// waitForFollower waits until another entry follows a run that n holds.
+func waitForFollower(t *testing.T, n *Node) {
 	t.Helper()
-	for deadline := soon(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		if n.state().Followers > 0 {
+	for deadline := stepDeadline(); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if n.readState().Followers > 0 {
 			return
 		}
 	}
-	t.Fatalf("nobody follows a run of %s", n.VM.Name)
+	t.Fatalf("timed out waiting for a follower of a run of %s", n.VM.Name)
 }
 
-// TestGuardKilled kills the guard while the service works: the caller hears that
-// it may have run, and no repeat runs it again.
+// TestGuardKilled kills the guard during the service call: the answer says that the request
+// may have run, and no repeat runs it again.
 func TestGuardKilled(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("300ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("300ms")})
 	for _, kind := range append(keyKinds, "none") {
 		key := ""
 		if kind != "none" {
-			key = keyOf(t, f, kind, 0)
+			key = newKey(t, f, kind, 0)
 		}
 		lost := send(f, 0, note(key, kind))
-		guard := lodged(t, f, kind)
+		guard := waitForCall(t, f, kind)
 		guard.Kill()
 		if err := guard.Start(); err != nil {
 			t.Fatal(err)
@@ -246,106 +254,107 @@
 		if key != "" {
 			expect(t, kind+", repeated", <-send(f, 1, note(key, kind)), "endpointLost/mayHaveRun")
 		}
-		expectLodged(t, f, kind, 1)
+		expectCalls(t, f, kind, 1)
 	}
 }
 
-// TestLinkCut breaks the link between entry and guard at different moments.
+// TestLinkCut interrupts the links between entries and guards, or loses messages on them, at
+// different points of a request. Each request is answered and runs once.
 func TestLinkCut(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("200ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("200ms")})
 	each := func(do func(*Relay)) {
 		for _, r := range f.Relays {
 			do(r)
 		}
 	}
 	tests := []struct {
-		name        string
-		before, hit func()
+		name           string
+		before, inject func()
 	}{
-		{"broken while it runs", nil, func() { each((*Relay).Break) }},
+		{"broken while it runs", nil, func() { each((*Relay).CloseConns) }},
 		{"cut for a while", nil, func() { each((*Relay).Cut); time.AfterFunc(500*time.Millisecond, func() { each((*Relay).Heal) }) }},
 		{"answers lost on the way", nil, func() {
-			each((*Relay).Swallow)
-			time.AfterFunc(400*time.Millisecond, func() { each((*Relay).Heal); each((*Relay).Break) })
+			each((*Relay).DropFromVM)
+			time.AfterFunc(400*time.Millisecond, func() { each((*Relay).Heal); each((*Relay).CloseConns) })
 		}},
-		{"request lost on the way", func() { each((*Relay).Drop) }, func() { each((*Relay).Heal); each((*Relay).Break) }},
+		{"request lost on the way", func() { each((*Relay).DropToVM) }, func() { each((*Relay).Heal); each((*Relay).CloseConns) }},
 	}
 	for _, tt := range tests {
 		for _, kind := range append(keyKinds, "none") {
 			body := tt.name + " " + kind
 			key := ""
 			if kind != "none" {
-				key = keyOf(t, f, kind, 0)
+				key = newKey(t, f, kind, 0)
 			}
 			if tt.before != nil {
 				tt.before()
 			}
 			lost := send(f, 0, note(key, body))
 			if tt.before == nil {
-				lodged(t, f, body)
+				waitForCall(t, f, body)
 			} else {
 				time.Sleep(100 * time.Millisecond)
 			}
-			tt.hit()
+			tt.inject()
 			expect(t, body, <-lost, "whole")
-			expectLodged(t, f, body, 1)
+			expectCalls(t, f, body, 1)
 		}
 	}
 }
 
-// TestPlatformDown takes the platform away: own keys are refused as not run at
-// once, tickets and everything else go on. Lost answers and a slow platform are
-// settled.
+// TestPlatformDown stops the platform: requests with the caller's own key are refused at once
+// as not run, while tickets and all other requests are served. If the platform loses its answer
+// to a write or answers too slowly, the claim is settled later, and the request runs once.
 func TestPlatformDown(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
-	ticket := keyOf(t, f, "ticket", 0)
+	ticket := newKey(t, f, "ticket", 0)
 	f.Objects.Set(fakes.Faults{Down: true})
 	got := <-send(f, 0, note("down", "down"))
 	expect(t, "own key", got, "platformDown/notRun")
-	if got.took > promptly || got.answer.RetryText == "" {
-		t.Errorf("own key: got an answer after %v with retry %q, want one at once with a time", got.took, got.answer.RetryText)
+	if got.took > maxPromptDelay || got.answer.RetryAfter == "" {
+		t.Errorf("own key: got an answer after %v with retry %q, want one at once with a time", got.took, got.answer.RetryAfter)
 	}
 	expect(t, "ticket", <-send(f, 1, note(ticket, "ticket")), "whole")
-	expect(t, "fresh ticket", <-send(f, 1, note(keyOf(t, f, "ticket", 1), "fresh")), "whole")
+	expect(t, "fresh ticket", <-send(f, 1, note(newKey(t, f, "ticket", 1), "fresh")), "whole")
 	expect(t, "no key", <-send(f, 0, note("", "no key")), "whole")
 	expect(t, "chat", <-send(f, 0, chat("history", "lot", true)), "whole")
-	expectLodged(t, f, "down", 0)
-	f.Objects.Set(fakes.Faults{LoseAnswers: 1})
+	expectCalls(t, f, "down", 0)
+	f.Objects.Set(fakes.Faults{ResponseLossRate: 1})
 	expect(t, "own key, the write's answer lost", <-send(f, 0, note("lost", "lost")), "whole")
 	expect(t, "repeated elsewhere", <-send(f, 1, note("lost", "lost")), "whole")
-	expectLodged(t, f, "lost", 1)
-	for i := range 100 { // every bucket of the claim log was read by then
+	expectCalls(t, f, "lost", 1)
+	for i := range 100 { // enough keys to read every bucket of the claim log
 		expect(t, "own key", <-send(f, 0, note(fmt.Sprint("warm", i), "warm")), "whole")
 	}
 	f.Objects.Set(fakes.Faults{Delay: span("3s")})
 	got = <-send(f, 0, note("slow", "slow"))
 	expect(t, "own key, platform too slow", got, "platformDown/notRun")
 	f.Objects.Set(fakes.Faults{})
-	time.Sleep(1500 * time.Millisecond) // the late write has taken effect by then
+	time.Sleep(1500 * time.Millisecond) // until the delayed write has taken effect
 	expect(t, "repeated after a claim in doubt", <-send(f, 1, note("slow", "slow")), "whole")
-	expectLodged(t, f, "slow", 1)
+	expectCalls(t, f, "slow", 1)
 }
 
-// TestTickets refuses tickets that are forged or another workspace's.
+// TestTickets refuses forged tickets and tickets of another workspace.
 func TestTickets(t *testing.T) {
 	f := startFleet(t, Options{Entries: 1, Pools: testPools(1)})
-	key := keyOf(t, f, "ticket", 0)
+	key := newKey(t, f, "ticket", 0)
 	expect(t, "forged", <-send(f, 0, note(strings.Replace(key, ".t1.", ".t2.", 1), "forged")), "keyInvalid/notRun")
-	foreign, err := f.Caller(0, "lima-key").Do(drive.Ask{Path: "/v1/tickets", Deadline: soon()})
+	foreign, err := f.Caller(0, "lima-key").Do(drive.Request{Path: "/v1/tickets", Deadline: stepDeadline()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := strings.Split(string(foreign.Body), `"`)[3]
 	expect(t, "another workspace's", <-send(f, 0, note(other, "foreign")), "keyInvalid/notRun")
-	if got := len(f.Bodies()); got != 0 {
-		t.Errorf("lodged: got %d, want 0", got)
+	if got := len(f.ServiceCalls()); got != 0 {
+		t.Errorf("service calls: got %d, want 0", got)
 	}
 }
 
-// TestPlannedStop stops an entry with a stream on it, and guards under load:
-// nothing is cut off.
+// TestPlannedStop stops an entry that has a stream and a run with a follower, and then guards
+// under load. Every request is answered whole.
 func TestPlannedStop(t *testing.T) {
-	f := startFleet(t, Options{Entries: 2, Pools: slowRegister("200ms")})
+	f := startFleet(t, Options{Entries: 2, Pools: slowServicePools("200ms")})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[string]int{}
@@ -375,20 +384,20 @@
 	time.Sleep(300 * time.Millisecond)
 	long := chat("history", "long", true)
 	long.Chat.MaxTokens = 300
-	cut := send(f, 0, long)
-	ticket := keyOf(t, f, "ticket", 0)
+	stream := send(f, 0, long)
+	ticket := newKey(t, f, "ticket", 0)
 	held := send(f, 0, note(ticket, "held"))
-	lodged(t, f, "held")
+	waitForCall(t, f, "held")
 	joined := send(f, 1, note(ticket, "held"))
 	time.Sleep(50 * time.Millisecond)
-	if err := f.Entries[0].Stop(soon()); err != nil {
+	if err := f.Entries[0].Stop(stepDeadline()); err != nil {
 		t.Errorf("stop of an entry: got %v, want nil", err)
 	}
-	expect(t, "a stream at the stopping entry", <-cut, "whole")
+	expect(t, "a stream at the stopping entry", <-stream, "whole")
 	expect(t, "a ticket's request at the stopping entry", <-held, "whole")
 	expect(t, "one that joined it from another entry", <-joined, "whole")
 	for _, g := range []*Node{f.Guards[0], f.Guards[2], f.Guards[4]} {
-		if err := g.Stop(soon()); err != nil {
+		if err := g.Stop(stepDeadline()); err != nil {
 			t.Errorf("stop of %s: got %v, want nil", g.VM.Name, err)
 		}
 	}
@@ -400,8 +409,8 @@
 	}
 }
 
-// TestBucketServer freezes the entry that serves some of the claim log's
-// buckets: claims are entered without it, and it adds none later.
+// TestBucketServer freezes the entry that serves some buckets of the claim log. The other
+// entry writes the claims itself, and the thawed entry adds none later.
 func TestBucketServer(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
 	key := func(i int) string { return fmt.Sprint("key ", i) }
@@ -413,27 +422,27 @@
 	f.Entries[1].Thaw()
 	for i := range keys {
 		expect(t, "repeated elsewhere", <-send(f, 1, note(key(i), key(i))), "whole")
-		expectLodged(t, f, key(i), 1)
+		expectCalls(t, f, key(i), 1)
 	}
 }
 
-// TestGuardSilent cuts the link to the guard for good while the service works:
-// the caller hears in a few seconds that the request may have run.
+// TestGuardSilent cuts the link to the guard permanently during the service call: the answer
+// says within a few seconds that the request may have run.
 func TestGuardSilent(t *testing.T) {
-	f := startFleet(t, Options{Entries: 1, Pools: slowRegister("100ms")})
+	f := startFleet(t, Options{Entries: 1, Pools: slowServicePools("100ms")})
 	lost := send(f, 0, note("", "silent"))
-	guard := lodged(t, f, "silent")
+	guard := waitForCall(t, f, "silent")
 	f.Relays[guard.VM.Name].Cut()
 	expect(t, "after the cut", <-lost, "endpointLost/mayHaveRun")
-	expectLodged(t, f, "silent", 1)
+	expectCalls(t, f, "silent", 1)
 }
 
-// TestKilledBeforeDispatch kills an entry while its claim is on its way. Whether
-// the claim takes effect after its owner's death, and then the key is spent, or
-// never, and then a repeat runs: at most one run.
+// TestKilledBeforeDispatch kills an entry while the write of its claim is delayed. If the
+// claim takes effect after the entry has died, the key is used up; if it never does, a repeat
+// runs. Either way the request runs at most once.
 func TestKilledBeforeDispatch(t *testing.T) {
 	f := startFleet(t, Options{Entries: 2, Pools: testPools(1)})
-	for i := range 20 { // every bucket of the claim log was read by then
+	for i := range 20 { // enough keys to read every bucket of the claim log
 		expect(t, "own key", <-send(f, 0, note(fmt.Sprint("warm", i), "warm")), "whole")
 	}
 	f.Objects.Set(fakes.Faults{Delay: span("700ms")})
@@ -446,7 +455,7 @@
 	f.Objects.Set(fakes.Faults{})
 	time.Sleep(100 * time.Millisecond)
 	expect(t, "repeated", <-send(f, 1, note("spent", "spent")), "keyUnsettled/mayHaveRun", "whole")
-	if got := f.Bodies()["spent"]; got > 1 {
-		t.Errorf("lodged %d times, want at most once", got)
+	if got := f.ServiceCalls()["spent"]; got > 1 {
+		t.Errorf("service calls: got %d, want at most 1", got)
 	}
 }
--- a/internal/rig/main.go
+++ b/internal/rig/main.go
@@ -16,27 +16,29 @@
 	"github.com/traildrift/traildrift/internal/store"
 )
 
-// Environment variables that make a program of the rig's caller become a
-// process of the fleet.
+// Environment variables of a process of a fleet.
 const (
+	// envRole is the role of the process and envFile the path of its process settings. If
+	// envRole is set, Main runs that role.
 	envRole = "TRAILDRIFT_RIG_ROLE"
 	envFile = "TRAILDRIFT_RIG_FILE"
-	// envProfile names a folder for processor profiles, one a process.
+	// envProfile names a folder in which each process writes a CPU profile; none if empty.
 	envProfile = "TRAILDRIFT_RIG_PROFILE"
-	// envOther names a program of another revision that calls Main, and envOtherRole the role
-	// whose processes run it: see scripts/mixed.sh.
-	envOther     = "TRAILDRIFT_RIG_OTHER"
-	envOtherRole = "TRAILDRIFT_RIG_OTHER_ROLE"
+	// envOtherProgram is the path of a program built from another revision that calls Main,
+	// and envOtherRole the role whose processes run it: see scripts/mixed.sh.
+	envOtherProgram = "TRAILDRIFT_RIG_OTHER"
+	envOtherRole    = "TRAILDRIFT_RIG_OTHER_ROLE"
 )
 
-// Main runs the process that the environment asks for and exits; it returns
-// at once where it asks for none. Programs that start fleets call it first.
+// Main runs the role that the environment names and exits the process, with code 1 on an
+// error. It returns at once if the environment names no role. A program that starts fleets
+// must call it first, since Node.Start runs that same program.
 func Main() {
 	role := os.Getenv(envRole)
 	if role == "" {
 		return
 	}
-	profile(role)
+	startProfile(role)
 	if err := runRole(role, os.Getenv(envFile)); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -44,8 +46,9 @@
 	os.Exit(0)
 }
 
-// profile takes a processor profile of the first seconds, if asked for.
-func profile(role string) {
+// startProfile starts a CPU profile of the first profileDuration if envProfile is set. The
+// process runs without a profile if that fails.
+func startProfile(role string) {
 	dir := os.Getenv(envProfile)
 	if dir == "" {
 		return
@@ -54,11 +57,10 @@
 	if err != nil || pprof.StartCPUProfile(out) != nil {
 		return
 	}
-	time.AfterFunc(profileFor, pprof.StopCPUProfile)
+	time.AfterFunc(profileDuration, pprof.StopCPUProfile)
 }
 
-// profileFor is how long a profile is taken.
-const profileFor = 12 * time.Second
+const profileDuration = 12 * time.Second
 
 func runRole(role, file string) error {
 	ctx := context.Background()
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -18,38 +18,44 @@
 	"github.com/traildrift/traildrift/pkg/fault"
 )
 
-// requestWithin is the deadline of each request.
-const requestWithin = 4 * time.Second
+// requestTimeout is answerWithin in settings, the time after which a request's deadline passes at
+// the entry. Callers wait that long for a ticket and twice as long for other answers.
+const requestTimeout = 4 * time.Second
 
-// told is everything that callers heard about one piece of work.
-type told struct {
-	// key is the caller's key; empty without one.
+// outcomes holds the outcomes of all requests for one work item, that is for one request body
+// or prompt. Reports of violations print the struct with its field names.
+type outcomes struct {
+	// key is the idempotency key, the caller's own or a ticket; empty without one.
 	key string
 	// request is the request ID of the last whole answer.
 	request string
-	// at is when the last whole answer came.
+	// at is the time at which the last whole answer was received. The counts are of whole
+	// answers, errors with run state notRun, other errors, and requests without an answer.
 	at                              time.Time
 	whole, notRun, unsure, noAnswer int
 }
 
-// account gathers what callers heard, by the body or prompt of the work.
-type account struct {
+// tally collects the outcomes of all requests. Its methods may be called concurrently.
+type tally struct {
 	mu sync.Mutex
-	// notes may not be repeated, chats may.
-	notes, chats map[string]*told
+	// notes and chats hold the outcomes by work item. Notes may not be repeated, chats may.
+	notes, chats map[string]*outcomes
 	// errors counts failures by kind and run state.
 	errors map[string]int
-	sent   int
-	wrong  []string
+	// sent is the number of requests that have ended, with or without an answer.
+	sent int
+	// wrong describes the answers whose content was wrong.
+	wrong []string
 }
 
-func (a *account) add(m map[string]*told, work, key string, got drive.Answer, err error) {
+// add records the outcome of one request for a work item in m, which is notes or chats.
+func (a *tally) add(m map[string]*outcomes, work, key string, got drive.Answer, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sent++
 	t := m[work]
 	if t == nil {
-		t = &told{key: key}
+		t = &outcomes{key: key}
 		m[work] = t
 	}
 	switch {
@@ -63,37 +69,37 @@
 	case err != nil:
 		a.errors["noAnswer"]++
 		t.noAnswer++
-	case got.Bad != "":
-		a.wrong = append(a.wrong, fmt.Sprintf("%s: %s", work, got.Bad))
+	case got.InvalidReason != "":
+		a.wrong = append(a.wrong, fmt.Sprintf("%s: %s", work, got.InvalidReason))
 	case got.Status != fasthttp.StatusOK:
-		// The service's own answer, passed on; what it did is its own affair.
+		// An error status of the service itself, passed on: the run state is not known.
 		a.errors[fmt.Sprint("status ", got.Status)]++
 		t.unsure++
 	default:
 		t.whole++
-		t.request = got.Request
+		t.request = got.RequestID
 		t.at = got.Done
 	}
 }
 
-// caller sends requests one after the other until the deadline.
+// caller sends requests for one work item after the other until the deadline.
 type caller struct {
-	f   *rig.Fleet
-	rnd *rand.Rand
-	acc *account
-	n   int
+	f     *rig.Fleet
+	rnd   *rand.Rand
+	tally *tally
+	id    int
 }
 
 func (c *caller) run(until time.Time) {
 	for i := 0; time.Now().Before(until); i++ {
-		work := fmt.Sprintf("work %d %d", c.n, i)
+		work := fmt.Sprintf("work %d %d", c.id, i)
 		switch c.rnd.IntN(4) {
 		case 0:
 			c.chat(work)
 		case 1:
 			c.note(work, "")
 		case 2:
-			c.note(work, fmt.Sprintf("key %d %d", c.n, i))
+			c.note(work, fmt.Sprintf("key %d %d", c.id, i))
 		default:
 			c.note(work, c.ticket())
 		}
@@ -101,21 +107,22 @@
 	}
 }
 
-func (c *caller) any() *drive.Caller {
+// anyEntry returns a caller of a random entry.
+func (c *caller) anyEntry() *drive.Caller {
 	return c.f.Caller(c.rnd.IntN(len(c.f.Entries)), soakKey)
 }
 
 func (c *caller) chat(work string) {
-	ask := drive.Ask{
+	ask := drive.Request{
 		Chat:     fakes.ChatRequest{Model: "tags", Messages: []fakes.Message{{Role: "user", Content: work}}, MaxTokens: 1 + c.rnd.IntN(30), Stream: c.rnd.IntN(2) == 0},
-		Deadline: time.Now().Add(2 * requestWithin),
+		Deadline: time.Now().Add(2 * requestTimeout),
 	}
-	got, err := c.any().Do(ask)
-	c.acc.add(c.acc.chats, work, "", got, err)
+	got, err := c.anyEntry().Do(ask)
+	c.tally.add(c.tally.chats, work, "", got, err)
 }
 
-// note sends work that may not be repeated; with a key, several times and to
-// several entries, at once and one after the other.
+// note sends a service call that may not be repeated. With a key it sends the call one to three
+// times, to random entries, some at the same time and some one after the other.
 func (c *caller) note(work, key string) {
 	times := 1
 	if key != "" {
@@ -123,16 +130,16 @@
 	}
 	var wg sync.WaitGroup
 	for range times {
-		ask := drive.Ask{Path: "/svc/notes/lodge", Body: work, Header: map[string]string{}, Deadline: time.Now().Add(2 * requestWithin)}
+		ask := drive.Request{Path: "/svc/notes/lodge", Body: work, Header: map[string]string{}, Deadline: time.Now().Add(2 * requestTimeout)}
 		if key != "" {
 			ask.Header["Idempotency-Key"] = key
 		}
-		to := c.any()
+		to := c.anyEntry()
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			got, err := to.Do(ask)
-			c.acc.add(c.acc.notes, work, key, got, err)
+			c.tally.add(c.tally.notes, work, key, got, err)
 		}()
 		if c.rnd.IntN(2) == 0 {
 			wg.Wait()
@@ -141,9 +148,10 @@
 	wg.Wait()
 }
 
-// ticket asks for a ticket; without one the work goes without a key.
+// ticket requests a ticket, and returns "" if none was issued. The call is then sent without a
+// key.
 func (c *caller) ticket() string {
-	got, err := c.any().Do(drive.Ask{Path: "/v1/tickets", Deadline: time.Now().Add(requestWithin)})
+	got, err := c.anyEntry().Do(drive.Request{Path: "/v1/tickets", Deadline: time.Now().Add(requestTimeout)})
 	if err != nil {
 		return ""
 	}
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,8 +1,13 @@
 // Copyright 2026 The traildrift authors.
 // SPDX-License-Identifier: BSD-3-Clause
 
-// Package soak is the long randomised run: callers send requests to a fleet of
-// real processes while faults are drawn from a seed, singly and together, and
-// in the end everything that was answered is compared with what the stand-in
-// endpoints really did and with the bills.
+// Package soak runs randomised soak tests. Callers send requests to a fleet of real processes
+// (internal/rig) while faults, drawn from a seed, are injected singly and in pairs.
+//
+// Run runs one soak test as its Options say. At the end it ends all faults and compares the
+// answers that callers received with the runs that the fake endpoints executed and with the
+// bill lines. A request that may not be repeated must have run at most once: exactly once if it
+// was answered whole, and never if it was always reported as not run. Each whole answer must
+// have a bill line, unless an entry and a guard were killed before they can be sure to have
+// written it.
 package soak
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -15,54 +15,54 @@
 	"github.com/traildrift/traildrift/pkg/config"
 )
 
-// injector draws faults and puts them in force.
+// injector draws faults and injects them. It is used by one goroutine at a time.
 type injector struct {
 	f   *rig.Fleet
 	rnd *rand.Rand
-	// counts says how often each kind was drawn.
+	// counts holds how often each kind of fault was drawn, by name.
 	counts map[string]int
-	// broken collects what went wrong with the faults themselves.
+	// report records a violation that the injector found.
 	report func(format string, args ...any)
-	// kills says when a process of each role was killed.
+	// kills holds the times at which processes were killed, by role.
 	kills map[string][]time.Time
-	// withdrawn says that mapcore@1 is withdrawn at the moment.
+	// withdrawn says that mapcore@1 is withdrawn in the settings applied last.
 	withdrawn bool
 }
 
-// kind is one kind of fault: it begins and returns how to end it.
-type kind struct {
+// faultKind is a kind of fault. begin injects the fault and returns the function that ends it.
+type faultKind struct {
 	name  string
 	begin func(in *injector) (end func())
 }
 
-var kinds = []kind{
+var faultKinds = []faultKind{
 	{"entryKilled", func(in *injector) func() { return in.kill(in.f.Entries[in.rnd.IntN(len(in.f.Entries))]) }},
 	{"guardKilled", func(in *injector) func() { return in.kill(in.f.Guards[in.rnd.IntN(len(in.f.Guards))]) }},
 	{"entryFrozen", func(in *injector) func() { return freeze(in.f.Entries[in.rnd.IntN(len(in.f.Entries))]) }},
 	{"guardFrozen", func(in *injector) func() { return freeze(in.f.Guards[in.rnd.IntN(len(in.f.Guards))]) }},
-	{"linkBroken", func(in *injector) func() { in.relay().Break(); return func() {} }},
+	{"linkBroken", func(in *injector) func() { in.relay().CloseConns(); return func() {} }},
 	{"linkCut", func(in *injector) func() { r := in.relay(); r.Cut(); return r.Heal }},
-	{"answersLost", func(in *injector) func() { r := in.relay(); r.Swallow(); return func() { r.Heal(); r.Break() } }},
-	{"requestsLost", func(in *injector) func() { r := in.relay(); r.Drop(); return func() { r.Heal(); r.Break() } }},
+	{"answersLost", func(in *injector) func() { r := in.relay(); r.DropFromVM(); return func() { r.Heal(); r.CloseConns() } }},
+	{"requestsLost", func(in *injector) func() { r := in.relay(); r.DropToVM(); return func() { r.Heal(); r.CloseConns() } }},
 	{"platformDown", func(in *injector) func() { return in.platform(fakes.Faults{Down: true}) }},
 	{"platformSlow", func(in *injector) func() {
 		return in.platform(fakes.Faults{Delay: config.Span(time.Duration(in.rnd.IntN(2500)) * time.Millisecond)})
 	}},
-	{"platformLosesAnswers", func(in *injector) func() { return in.platform(fakes.Faults{LoseAnswers: in.rnd.Float64()}) }},
-	{"engineCutsAnswers", func(in *injector) func() { return in.engine(fakes.Faults{CutAfter: 1 + in.rnd.IntN(4)}) }},
-	{"engineFails", func(in *injector) func() { return in.engine(fakes.Faults{Fail: in.rnd.Float64()}) }},
+	{"platformLosesAnswers", func(in *injector) func() { return in.platform(fakes.Faults{ResponseLossRate: in.rnd.Float64()}) }},
+	{"engineCutsAnswers", func(in *injector) func() { return in.engine(fakes.Faults{DisconnectAfter: 1 + in.rnd.IntN(4)}) }},
+	{"engineFails", func(in *injector) func() { return in.engine(fakes.Faults{FailureRate: in.rnd.Float64()}) }},
 	{"engineDown", func(in *injector) func() { return in.engine(fakes.Faults{Down: true}) }},
-	{"engineSlow", func(in *injector) func() { return in.engine(fakes.Faults{Slow: 10}) }},
+	{"engineSlow", func(in *injector) func() { return in.engine(fakes.Faults{Slowdown: 10}) }},
 	{"withdrawal", (*injector).withdraw},
 	{"plannedStop", func(in *injector) func() { return in.stop(in.f.Guards[in.rnd.IntN(len(in.f.Guards))]) }},
 }
 
-// run draws faults until the deadline, at most two at a time.
+// run injects faults until the deadline, one or two at a time.
 func (in *injector) run(until time.Time) {
 	for time.Now().Before(until) {
 		var ends []func()
 		for range 1 + in.rnd.IntN(2) {
-			k := kinds[in.rnd.IntN(len(kinds))]
+			k := faultKinds[in.rnd.IntN(len(faultKinds))]
 			in.counts[k.name]++
 			ends = append(ends, k.begin(in))
 		}
@@ -74,6 +74,7 @@
 	}
 }
 
+// kill kills a process and records the time; the returned function restarts the process.
 func (in *injector) kill(n *rig.Node) func() {
 	in.kills[n.VM.Role] = append(in.kills[n.VM.Role], time.Now())
 	n.Kill()
@@ -91,14 +92,16 @@
 	return false
 }
 
-// bothHoldersKilled reports whether an entry was killed before it can have
-// written the bill of an answer at t, and a guard before it stood in.
-func (in *injector) bothHoldersKilled(t time.Time) bool {
-	const entryHolds, guardHolds = 2 * time.Second, 4 * time.Second
-	return in.killedBetween(store.RoleEntry, t.Add(-time.Second), t.Add(entryHolds)) &&
-		in.killedBetween(store.RoleEndpoint, t.Add(-time.Second), t.Add(guardHolds))
+// bothBillersKilled reports whether both writers of the bill line of an answer at t may have
+// been lost: an entry killed by entryWriteTime, before it has surely written the line, and a
+// guard killed by guardWriteTime, before it has surely written the line in the entry's place.
+func (in *injector) bothBillersKilled(t time.Time) bool {
+	const entryWriteTime, guardWriteTime = 2 * time.Second, 4 * time.Second
+	return in.killedBetween(store.RoleEntry, t.Add(-time.Second), t.Add(entryWriteTime)) &&
+		in.killedBetween(store.RoleEndpoint, t.Add(-time.Second), t.Add(guardWriteTime))
 }
 
+// restart starts the process of a VM unless it is running.
 func (in *injector) restart(n *rig.Node) {
 	if n.Running() {
 		return
@@ -108,6 +111,7 @@
 	}
 }
 
+// freeze freezes a process if it is running; the returned function thaws it.
 func freeze(n *rig.Node) func() {
 	if !n.Running() {
 		return func() {}
@@ -120,7 +124,8 @@
 	}
 }
 
-// stop asks for a planned stop while requests run.
+// stop starts a planned stop while requests run. The returned function waits for its end and
+// restarts the process.
 func (in *injector) stop(n *rig.Node) func() {
 	if !n.Running() {
 		return func() {}
@@ -136,28 +141,33 @@
 	}
 }
 
+// relay returns the relay of a random guard.
 func (in *injector) relay() *rig.Relay {
 	return in.f.Relays[in.f.Guards[in.rnd.IntN(len(in.f.Guards))].VM.Name]
 }
 
+// platform sets faults of the fake platform; the returned function ends them.
 func (in *injector) platform(f fakes.Faults) func() {
 	in.f.Objects.Set(f)
 	return func() { in.f.Objects.Set(fakes.Faults{}) }
 }
 
+// engine sets faults of the engine or service of a random guard; the returned function ends
+// them.
 func (in *injector) engine(f fakes.Faults) func() {
 	n := in.f.Guards[in.rnd.IntN(len(in.f.Guards))]
 	if e := in.f.Engines[n.VM.Name]; e != nil {
 		e.Set(f)
 		return func() { e.Set(fakes.Faults{}) }
 	}
-	p := in.f.Plains[n.VM.Name]
+	p := in.f.Services[n.VM.Name]
 	p.Set(f)
 	return func() { p.Set(fakes.Faults{}) }
 }
 
-// withdraw withdraws mapcore@1, or serves it again. Once the change is in force
-// everywhere the version gets no new run.
+// withdraw withdraws mapcore@1, or reinstates it if it is withdrawn. The function returned for
+// a withdrawal waits until it is in force everywhere, and reports a violation if the version
+// still gets new runs. It checks nothing if that takes over 3 s.
 func (in *injector) withdraw() func() {
 	in.withdrawn = !in.withdrawn
 	text := settings
@@ -169,10 +179,10 @@
 		return func() {}
 	}
 	return func() {
-		if in.f.InForce(revision, time.Now().Add(3*time.Second)) != nil {
-			return // a process is down or frozen
+		if in.f.WaitRevision(revision, time.Now().Add(3*time.Second)) != nil {
+			return // A process is down or frozen.
 		}
-		time.Sleep(startLag)
+		time.Sleep(maxStartDelay)
 		before := in.f.ModelRuns("mapcore@1")
 		time.Sleep(300 * time.Millisecond)
 		if after := in.f.ModelRuns("mapcore@1"); after != before {
@@ -181,12 +191,13 @@
 	}
 }
 
-// startLag is how long a run that was begun before a withdrawal may take to
-// reach the engine.
-const startLag = 100 * time.Millisecond
+// maxStartDelay is how long a run that was dispatched before a withdrawal may take to reach the
+// engine.
+const maxStartDelay = 100 * time.Millisecond
 
-// heal ends every fault that may be left.
-func (in *injector) heal(ctx context.Context) {
+// endFaults ends the faults of the platform and the relays and restarts the processes that do
+// not run.
+func (in *injector) endFaults(ctx context.Context) {
 	in.f.Objects.Set(fakes.Faults{})
 	for _, r := range in.f.Relays {
 		r.Heal()
