--- a/internal/claims/log.go
+++ b/internal/claims/log.go
@@ -80,7 +80,7 @@
 	ctx    context.Context
 	record claim.Record
 	// maybeWritten says that a write with the record was sent and did not fail with
-	// store.ErrDown. From then on the record may appear in the log later, as the write
+	// store.ErrUnavailable. From then on the record may appear in the log later, as the write
 	// may still be in flight.
 	maybeWritten bool
 	// done has capacity 1 and receives the result.
@@ -276,7 +276,7 @@
 
 // refresh brings the local copy up to date: it reads the last slice of the copy again and
 // all slices after it. The first time, it lists all slices before. Its errors are marked
-// as store.ErrDown.
+// as store.ErrUnavailable.
 func (l *Log) refresh(ctx context.Context, b *bucket) error {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/commit/apply.go
+++ b/internal/commit/apply.go
@@ -81,8 +81,8 @@
 // the head lists a change with the ID of the edit, Apply writes nothing and returns
 // that change. The error is ErrNoChange, an *Overlap if a path of the edit was changed
 // since Base, config.Problems if the merged tree is not valid, or an error of the
-// store. store.ErrConflict and store.ErrUnknown are returned only after maxAttempts
-// attempts; the edit may be in force after store.ErrUnknown.
+// store. store.ErrConflict and store.ErrOutcomeUnknown are returned only after maxAttempts
+// attempts; the edit may be in force after store.ErrOutcomeUnknown.
 func Apply(ctx context.Context, c *store.Client, e Edit) (config.Change, error) {
 	var last error
 	for range maxAttempts {
--- a/internal/entry/bucket.go
+++ b/internal/entry/bucket.go
@@ -27,7 +27,7 @@
 // single writer per bucket puts many claims into one update. Several writers are safe, as
 // the platform rejects one of two conflicting updates and its writer reads again. A claim
 // that gets no answer is therefore entered here too. The error is claims.ErrNotWritten or
-// claims.ErrDoubt.
+// claims.ErrOutcomeUnknown.
 func (e *Entry) enterClaim(ctx context.Context, r claim.Record) (claim.Record, error) {
 	vm, local := e.peers.bucketServer(claims.BucketOf(r.Key))
 	if local {
@@ -46,7 +46,7 @@
 }
 
 // forwardClaim enters a record through the entry on vm. After any error but
-// claims.ErrNotWritten and claims.ErrDoubt no reply has arrived.
+// claims.ErrNotWritten and claims.ErrOutcomeUnknown no reply has arrived.
 func (e *Entry) forwardClaim(ctx context.Context, vm store.VM, r claim.Record) (claim.Record, error) {
 	call, cancel := context.WithDeadline(ctx, forwardTimeout.After(time.Now()))
 	defer cancel()
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -33,7 +33,7 @@
 	// maxBatchRecords is the maximum number of records of one batch.
 	maxBatchRecords = 400
 	// maxBatchBytes is the maximum size of an encoded batch of more than one record. It
-	// is below store.MaxValue, the platform's limit.
+	// is below store.MaxValueBytes, the platform's limit.
 	maxBatchBytes = store.MaxValueBytes * 9 / 10
 	// retryDelay is the pause of Flush after a failed write.
 	retryDelay = config.Span(time.Second)
