--- a/internal/router/bodies.go
+++ b/internal/router/bodies.go
@@ -44,7 +44,7 @@
 // Read reads from r and charges the bytes to the budget.
 func (h *budgetReader) Read(p []byte) (int, error) {
 	n, err := h.r.Read(p)
-	if held := h.b.usedBytes.Add(int64(n)); h.b.maxBytes > 0 && held > h.b.maxBytes {
+	if used := h.b.usedBytes.Add(int64(n)); h.b.maxBytes > 0 && used > h.b.maxBytes {
 		return n, errBodyBudgetFull
 	}
 	return n, err
--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -55,12 +55,12 @@
 // workspaces by windows, sends the counts to the holder of the duties and its standbys, and reports
 // the sums to the platform while this router is the holder. It is safe for concurrent use.
 type duties struct {
-	log     *zap.Logger
-	scope   tally.Scope
-	wire    DutyWire
-	fleet   *peers.Fleet
-	notes   *peers.Transport
-	windows usage.Clock
+	log       *zap.Logger
+	scope     tally.Scope
+	wire      DutyWire
+	fleet     *peers.Fleet
+	transport *peers.Transport
+	windows   usage.Clock
 	// dueAfter is how long after the end of a window its report is due at the platform.
 	dueAfter config.Span
 	self     usage.Reporter
@@ -73,8 +73,8 @@
 	mu      sync.Mutex
 	counter *usage.Counter
 	machine *duty.Machine
-	// sentEnds holds the final reports that were sent, by receiver and window.
-	sentEnds map[sentEndKey]*sentEnd
+	// finalReports holds the final reports that were sent, by receiver and window.
+	finalReports map[finalReportKey]*finalReportState
 	// lastSentAt is when the counts of the current window were last sent; the zero time to send them
 	// at once.
 	lastSentAt time.Time
@@ -97,13 +97,13 @@
 	}
 	trueClock := clock.NewMedianClock(r.Engine.Boot, time.Now())
 	d := &duties{
-		log: r.Log, scope: r.admin.Scope.SubScope("duties"), wire: r.wire.Duties, fleet: r.fleet, notes: r.notes,
+		log: r.Log, scope: r.admin.Scope.SubScope("duties"), wire: r.wire.Duties, fleet: r.fleet, transport: r.transport,
 		windows: usage.Clock{Length: s.UsageWindow}, dueAfter: s.UsageLate, self: usage.Reporter{Router: s.VM, Incarnation: incarnation}, clock: trueClock,
 		storeReachable: func() bool { return time.Since(r.mirror.ConfirmedAt(r.wire.ConfigKind)) <= storeReachableWindow },
-		counter:        usage.NewCounter(), machine: duty.New(s.VM, incarnation, s.DutyLease, trueClock.Local()), sentEnds: make(map[sentEndKey]*sentEnd),
+		counter:        usage.NewCounter(), machine: duty.New(s.VM, incarnation, s.DutyLease, trueClock.Local()), finalReports: make(map[finalReportKey]*finalReportState),
 	}
 	r.Engine.OnRequestStarted = d.countRequest
-	r.notes.OnUsageReport, r.notes.OnUsageAck = d.receiveReport, d.receiveAnswer
+	r.transport.OnUsageReport, r.transport.OnUsageAck = d.receiveReport, d.receiveAck
 	return d
 }
 
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -55,10 +55,10 @@
 		{w.EndpointKind, endpointWatchTimeout, changeBatchDelay, []string{w.TrialKind, w.VerdictKind}},
 		{w.RouterKind, routerWatchTimeout, changeBatchDelay, nil},
 	} {
-		follower := &mirror.Follower{Log: r.Log, Source: w.Source, Mirror: r.mirror, Kind: f.kind, WatchTimeout: f.watchTimeout, BatchDelay: f.batchDelay, AwaitTurn: r.awaitTurn(f.kind, f.after...), RetrySlowly: r.asker.RetriesSlowly}
+		follower := &mirror.Follower{Log: r.Log, Source: w.Source, Mirror: r.mirror, Kind: f.kind, WatchTimeout: f.watchTimeout, BatchDelay: f.batchDelay, AwaitTurn: r.awaitTurn(f.kind, f.after...), RetrySlowly: r.puller.RetriesSlowly}
 		r.tasks.Go(ctx, "store "+f.kind, follower.Run)
 	}
-	r.tasks.Go(ctx, "peers", r.asker.Run)
+	r.tasks.Go(ctx, "peers", r.puller.Run)
 	r.tasks.Go(ctx, "register", r.register)
 	r.tasks.Go(ctx, "verdicts", r.storeVerdicts)
 }
@@ -71,7 +71,7 @@
 		for slices.ContainsFunc(after, unknown) && ctx.Err() == nil {
 			tasks.Pause(ctx, dependencyPollInterval.After(time.Now()))
 		}
-		return r.asker.WaitToReadStore(ctx, kind)
+		return r.puller.WaitToReadStore(ctx, kind)
 	}
 }
 
@@ -228,8 +228,8 @@
 		}
 	}
 	r.fleet.Put(p)
-	r.asker.SetPeersKnown()
-	r.notes.QueryState(p.Token)
+	r.puller.SetPeersKnown()
+	r.transport.QueryState(p.Token)
 	r.Log.Info("router: Registered.", zap.Bool("continued", p.Revision > 0), zap.Int("neighbours", len(list)))
 	return nil
 }
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -49,7 +49,7 @@
 }
 
 // Alone reports whether other routers receive the state of this one only through the store.
-func (r *Router) Alone() bool { return r.asker.Isolated(time.Now()) }
+func (r *Router) Alone() bool { return r.puller.Isolated(time.Now()) }
 
 // storeVerdicts writes verdicts on quarantined requests that the store lacks, until ctx is done.
 func (r *Router) storeVerdicts(ctx context.Context) error {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -33,21 +33,21 @@
 
 // Router is one router process. It must be created with New.
 type Router struct {
-	Engine   *relay.Engine
-	Log      *zap.Logger
-	file     string
-	settings Settings
-	wire     *Wire
-	lines    *logs.AsyncWriter
-	admin    *admin.Server
-	tasks    tasks.Group
-	callers  *http.Server
-	mirror   *mirror.Mirror
-	fleet    *peers.Fleet
-	asker    *peers.Puller
-	notes    *peers.Transport
-	traffic  peers.Traffic
-	bodies   *bodyBudget
+	Engine    *relay.Engine
+	Log       *zap.Logger
+	file      string
+	settings  Settings
+	wire      *Wire
+	lines     *logs.AsyncWriter
+	admin     *admin.Server
+	tasks     tasks.Group
+	callers   *http.Server
+	mirror    *mirror.Mirror
+	fleet     *peers.Fleet
+	puller    *peers.Puller
+	transport *peers.Transport
+	traffic   peers.Traffic
+	bodies    *bodyBudget
 	// duties is nil if the settings name no duty that a router performs.
 	duties *duties
 	// secret is the token of this router, which is part of its registration and authenticates peers.
@@ -86,7 +86,7 @@
 	r.fleet = peers.NewFleet(s.VM)
 	r.self = peers.Peer{Name: s.VM, Addr: s.Peers, Zone: s.AvailabilityZone, Millicores: int(s.CPUShare * millicoresPerCore), Token: proc.NewID() + proc.NewID()}
 	r.secret.Set(r.self.Token)
-	r.asker = peers.NewPuller(log, r.fleet, r.mirror, w.ConfigKind, w.ConfigKind, w.ClosingKind, w.VerdictKind, w.TrialKind, w.EndpointKind, w.RouterKind)
+	r.puller = peers.NewPuller(log, r.fleet, r.mirror, w.ConfigKind, w.ConfigKind, w.ClosingKind, w.VerdictKind, w.TrialKind, w.EndpointKind, w.RouterKind)
 	w.OnStoreCall(r.recordStoreCall)
 	r.Engine.ConfirmedAt = func() time.Time { return r.mirror.ConfirmedAt(w.ConfigKind) }
 	r.Engine.EndpointsListed = func() bool { return r.mirror.Revision(w.EndpointKind) >= 0 }
@@ -95,30 +95,30 @@
 	if err := r.listen(); err != nil {
 		return nil, err
 	}
-	notes, err := peers.NewTransport(log, r.fleet, s.Peers, &r.secret, func(n peers.AttemptReport) {
-		r.Engine.ReceiveEndpointReport(n.From, relay.EndpointReport{Endpoint: n.Endpoint, Busy: n.Busy, Failed: n.Failed, Prefix: n.Prefix})
+	transport, err := peers.NewTransport(log, r.fleet, s.Peers, &r.secret, func(report peers.AttemptReport) {
+		r.Engine.ReceiveEndpointReport(report.From, relay.EndpointReport{Endpoint: report.Endpoint, Busy: report.Busy, Failed: report.Failed, Prefix: report.Prefix})
 	})
 	if err != nil {
 		return nil, err
 	}
-	r.notes = notes
-	r.notes.Traffic, r.asker.Traffic = &r.traffic, &r.traffic
-	notes.OnVerdicts, r.asker.OnVerdicts = r.Engine.ReceiveVerdicts, r.Engine.ReceiveVerdicts
-	notes.Verdicts = r.Engine.StartupVerdicts
-	notes.OnCrashReport = func(s peers.CrashReport) {
-		r.Engine.ReceiveCrash(relay.CrashReport{Fingerprint: s.Fingerprint, Endpoint: s.Endpoint, Age: time.Duration(s.AgeMs) * time.Millisecond, Answered: s.Completed})
+	r.transport = transport
+	r.transport.Traffic, r.puller.Traffic = &r.traffic, &r.traffic
+	transport.OnVerdicts, r.puller.OnVerdicts = r.Engine.ReceiveVerdicts, r.Engine.ReceiveVerdicts
+	transport.Verdicts = r.Engine.StartupVerdicts
+	transport.OnCrashReport = func(report peers.CrashReport) {
+		r.Engine.ReceiveCrash(relay.CrashReport{Fingerprint: report.Fingerprint, Endpoint: report.Endpoint, Age: time.Duration(report.AgeMs) * time.Millisecond, Answered: report.Completed})
 	}
 	r.Engine.Quarantines = relay.QuarantineHooks{
-		SendCrash: func(s relay.CrashReport) {
-			notes.SendCrashReport(peers.CrashReport{Fingerprint: s.Fingerprint, Endpoint: s.Endpoint, AgeMs: uint32(s.Age.Milliseconds()), Completed: s.Answered})
+		SendCrash: func(report relay.CrashReport) {
+			transport.SendCrashReport(peers.CrashReport{Fingerprint: report.Fingerprint, Endpoint: report.Endpoint, AgeMs: uint32(report.Age.Milliseconds()), Completed: report.Answered})
 		},
-		SendVerdicts: notes.SendVerdicts, ResendVerdicts: notes.ResendVerdicts, MaxResend: peers.MaxResentVerdicts, Rank: r.fleet.CollectorRank, Alone: r.Alone,
+		SendVerdicts: transport.SendVerdicts, ResendVerdicts: transport.ResendVerdicts, MaxResend: peers.MaxResentVerdicts, Rank: r.fleet.CollectorRank, Alone: r.Alone,
 	}
-	r.connectNotices(notes)
+	r.connectNotices(transport)
 	r.duties = newDuties(r, rand.Uint64())
-	notes.OnTrialReport, r.Engine.SendTrialReport = r.Engine.ReceiveTrialReport, notes.SendTrialReport
-	r.Engine.SendEndpointReport = func(w relay.EndpointReport) {
-		notes.SendAttemptReport(peers.AttemptReport{Endpoint: w.Endpoint, Busy: w.Busy, Failed: w.Failed, Prefix: w.Prefix}, peers.Recipients{Zone: w.Zone, OtherZones: w.OtherZones})
+	transport.OnTrialReport, r.Engine.SendTrialReport = r.Engine.ReceiveTrialReport, transport.SendTrialReport
+	r.Engine.SendEndpointReport = func(report relay.EndpointReport) {
+		transport.SendAttemptReport(peers.AttemptReport{Endpoint: report.Endpoint, Busy: report.Busy, Failed: report.Failed, Prefix: report.Prefix}, peers.Recipients{Zone: report.Zone, OtherZones: report.OtherZones})
 	}
 	return r, nil
 }
@@ -195,7 +195,7 @@
 	r.Log.Info("router: Started.", zap.String("vm", r.settings.VM), zap.String("availabilityZone", r.settings.AvailabilityZone),
 		zap.Stringer("listen", r.settings.Listen), zap.Stringer("store", r.settings.Store), zap.Any("limits", r.settings.limits()))
 	r.follow(ctx)
-	r.tasks.Go(ctx, "notes", r.notes.Run)
+	r.tasks.Go(ctx, "notes", r.transport.Run)
 	r.tasks.Go(ctx, "tend", r.Engine.RunMaintenance)
 	r.tasks.Go(ctx, "clock", r.Engine.WatchClock)
 	r.tasks.Go(ctx, "crashes of endpoints", r.Engine.WatchCrashes)
@@ -205,7 +205,7 @@
 		r.tasks.Go(ctx, "usage", r.duties.sendReports)
 	}
 	peerHandler := peers.NewServer(r.Log, r.mirror, r.wire.ConfigKind, &r.secret)
-	peerHandler.Traffic, peerHandler.OnStartingPeer, peerHandler.Verdicts = &r.traffic, r.asker.RecordStartingPeer, r.Engine.StartupVerdicts
+	peerHandler.Traffic, peerHandler.OnStartingPeer, peerHandler.Verdicts = &r.traffic, r.puller.RecordStartingPeer, r.Engine.StartupVerdicts
 	peerHandler.Age = r.Engine.Age
 	r.tasks.Go(ctx, "traffic", func(ctx context.Context) error { return r.traffic.Run(ctx, r.Log) })
 	peerServer := &http.Server{Handler: peerHandler, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleConnTimeout, ErrorLog: logs.NewStdLog(r.Log, "peers")}
--- a/internal/router/usage.go
+++ b/internal/router/usage.go
@@ -45,14 +45,14 @@
 	maxWindowsBack = 16
 )
 
-// sentEndKey identifies a final report by its receiver and window.
-type sentEndKey struct {
+// finalReportKey identifies a final report by its receiver and window.
+type finalReportKey struct {
 	router string
 	window usage.Window
 }
 
-// sentEnd is the state of a final report.
-type sentEnd struct {
+// finalReportState is the state of a final report.
+type finalReportState struct {
 	// lastSentAt is when the report was last sent, by the local clock. acknowledged is set once the
 	// receiver has answered that it has all counts.
 	lastSentAt   time.Time
@@ -101,16 +101,16 @@
 	}
 	for w := current; w > current-maxWindowsBack && now.Before(d.dueAfter.After(d.windows.End(w))); w-- {
 		for _, p := range targets {
-			if w < current && d.claimEndSend(sentEndKey{p.Name, w}, now, local) || w == current && sendCurrent {
+			if w < current && d.claimFinalReport(finalReportKey{p.Name, w}, now, local) || w == current && sendCurrent {
 				report := peers.UsageReport{Report: d.counter.Report(d.self, w, w < current || d.stopping), Gossip: d.machine.Gossip(local), LocalTime: local}
 				due = append(due, sending{report, p})
 			}
 		}
 	}
-	d.expireSentEnds(current)
+	d.expireFinalReports(current)
 	d.mu.Unlock()
 	for _, s := range due {
-		d.notes.SendUsageReport(s.report, s.to)
+		d.transport.SendUsageReport(s.report, s.to)
 	}
 }
 
@@ -138,17 +138,17 @@
 	return max(minSendInterval, time.Duration(d.fleet.Len())*time.Second/maxReportsPerSecond)
 }
 
-// claimEndSend reports whether a final report is to be sent now, and if so records that it is sent. The
+// claimFinalReport reports whether a final report is to be sent now, and if so records that it is sent. The
 // caller holds mu.
-func (d *duties) claimEndSend(k sentEndKey, now, local time.Time) bool {
+func (d *duties) claimFinalReport(k finalReportKey, now, local time.Time) bool {
 	stagger := time.Duration(pool.HashOf(d.self.Router)%uint64(max(d.fleet.Len(), 1))) * finalizeStagger
 	if now.Before(finalizeDelay.After(d.windows.End(k.window)).Add(stagger)) {
 		return false
 	}
-	t := d.sentEnds[k]
+	t := d.finalReports[k]
 	if t == nil {
-		t = new(sentEnd)
-		d.sentEnds[k] = t
+		t = new(finalReportState)
+		d.finalReports[k] = t
 	}
 	if t.acknowledged || local.Before(resendInterval.After(t.lastSentAt)) {
 		return false
@@ -157,12 +157,12 @@
 	return true
 }
 
-// expireSentEnds removes the state of the final reports of windows that are no longer reported. The
+// expireFinalReports removes the state of the final reports of windows that are no longer reported. The
 // caller holds mu.
-func (d *duties) expireSentEnds(current usage.Window) {
-	for k := range d.sentEnds {
+func (d *duties) expireFinalReports(current usage.Window) {
+	for k := range d.finalReports {
 		if k.window <= current-maxWindowsBack {
-			delete(d.sentEnds, k)
+			delete(d.finalReports, k)
 		}
 	}
 }
@@ -181,13 +181,13 @@
 	}, true
 }
 
-// receiveAnswer processes the answer of another router to a usage report.
-func (d *duties) receiveAnswer(a peers.UsageAck) {
+// receiveAck processes the answer of another router to a usage report.
+func (d *duties) receiveAck(a peers.UsageAck) {
 	d.clock.Observe(a.Router, a.TrueTime)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.machine.ReceiveGossip(d.clock.Local(), a.Router, a.Gossip)
-	if t := d.sentEnds[sentEndKey{a.Router, a.Window}]; t != nil && a.Complete && a.Incarnation == d.self.Incarnation {
+	if t := d.finalReports[finalReportKey{a.Router, a.Window}]; t != nil && a.Complete && a.Incarnation == d.self.Incarnation {
 		t.acknowledged = true
 	}
 }
