--- a/internal/router/duties.go
+++ b/internal/router/duties.go
@@ -73,7 +73,7 @@
 	mu      sync.Mutex
 	counter *usage.Counter
 	machine *duty.Machine
-	// finalReports holds the final reports that were sent, by receiver and window.
+	// finalReports holds the state of each final report that was sent, by receiver and window.
 	finalReports map[finalReportKey]*finalReportState
 	// lastSentAt is when the counts of the current window were last sent; the zero time to send them
 	// at once.
@@ -88,8 +88,8 @@
 	loggedRecord duty.Record
 }
 
-// newDuties returns the duties of a router and connects them with its engine and notes; nil if the
-// settings name no duty that a router performs.
+// newDuties returns the duties of a router and connects them with its engine and transport; nil if
+// the settings name no duty that a router performs.
 func newDuties(r *Router, incarnation uint64) *duties {
 	s := &r.settings
 	if !s.reportsUsage() {
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -204,8 +204,8 @@
 // later.
 const firstStartDelay = config.Span(500 * time.Millisecond)
 
-// joinFleet registers this router, adds its neighbours to the fleet and requests from peers what a
-// starting router needs.
+// joinFleet registers this router, adds its neighbours to the fleet, records for the puller that
+// peers are known, and queries peers for the verdicts and notices that a starting router needs.
 func (r *Router) joinFleet(ctx context.Context) error {
 	p, err := r.wire.Register(ctx, r.registration())
 	if err != nil {
--- a/internal/router/notices.go
+++ b/internal/router/notices.go
@@ -12,8 +12,9 @@
 	"github.com/traildrift/traildrift/pkg/pool"
 )
 
-// connectNotices connects the engine's notices of endpoints (their limits, and that they are leaving)
-// with the exchange of notices between routers.
+// connectNotices connects the engine with the transport for notices about endpoints (their limits, and
+// that they are leaving): received notices and limit queries go to the engine, and those of the engine
+// are sent to other routers.
 func (r *Router) connectNotices(transport *peers.Transport) {
 	e := r.Engine
 	transport.OnNotice = func(by netip.Addr, n peers.Notice) { e.ReceiveNotice(by, relayNotice(n)) }
@@ -36,7 +37,8 @@
 	}
 }
 
-// peerNotice returns the notice of an endpoint as it is sent to other routers.
+// peerNotice converts a notice of the engine to the message that is sent to other routers. The wait is
+// sent in whole milliseconds.
 func peerNotice(n relay.NoticeMessage) peers.Notice {
 	return peers.Notice{
 		Endpoint: n.Endpoint, Incarnation: n.Incarnation, Limit: uint8(n.Limit), PerSecond: n.PerSecond, Leaving: n.Leaving,
@@ -44,7 +46,7 @@
 	}
 }
 
-// relayNotice returns the notice of an endpoint that was received from another router.
+// relayNotice converts a notice that was received from another router to one of the engine.
 func relayNotice(n peers.Notice) relay.NoticeMessage {
 	notice := pool.Notice{Limit: pool.LimitStatus(n.Limit), PerSecond: n.PerSecond, Leaving: n.Leaving}
 	return relay.NoticeMessage{
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -142,8 +142,9 @@
 	return nil
 }
 
-// senders returns the routers that share the load limit of endpoints that warm up. changed is false
-// if they are the same as in the generation have, or are not known yet.
+// senders returns the routers that share the load limit of endpoints that warm up, and the generation
+// of the fleet that they belong to. changed is false if the generation is still have, or if the
+// registrations of routers have not been listed yet.
 func (r *Router) senders(have uint64) (s pool.Senders, generation uint64, changed bool) {
 	if r.mirror.Revision(r.wire.RouterKind) < 0 || r.fleet.Generation() == have {
 		return s, have, false
--- a/internal/router/usage.go
+++ b/internal/router/usage.go
@@ -26,8 +26,8 @@
 	// finalizeStagger is the delay between the final reports of two routers of a fleet, so that the
 	// links of the receivers are not overloaded.
 	finalizeStagger = 4 * time.Millisecond
-	// resendInterval is how long a router waits for the answer to a final report before it sends the
-	// report again.
+	// resendInterval is how long a router waits for the acknowledgement of a final report before it
+	// sends the report again.
 	resendInterval = config.Span(500 * time.Millisecond)
 	// minSendInterval is the minimum interval at which a router sends its counts of the current window.
 	// maxReportsPerSecond is the maximum number of such reports that a receiver gets from the fleet;
@@ -54,7 +54,7 @@
 // finalReportState is the state of a final report.
 type finalReportState struct {
 	// lastSentAt is when the report was last sent, by the local clock. acknowledged is set once the
-	// receiver has answered that it has all counts.
+	// receiver has acknowledged all counts.
 	lastSentAt   time.Time
 	acknowledged bool
 }
@@ -138,8 +138,8 @@
 	return max(minSendInterval, time.Duration(d.fleet.Len())*time.Second/maxReportsPerSecond)
 }
 
-// claimFinalReport reports whether a final report is to be sent now, and if so records that it is sent. The
-// caller holds mu.
+// claimFinalReport reports whether a final report is to be sent now, and if so records the time as that
+// of its last sending. The caller holds mu.
 func (d *duties) claimFinalReport(k finalReportKey, now, local time.Time) bool {
 	stagger := time.Duration(pool.HashOf(d.self.Router)%uint64(max(d.fleet.Len(), 1))) * finalizeStagger
 	if now.Before(finalizeDelay.After(d.windows.End(k.window)).Add(stagger)) {
@@ -157,8 +157,8 @@
 	return true
 }
 
-// expireFinalReports removes the state of the final reports of windows that are no longer reported. The
-// caller holds mu.
+// expireFinalReports removes the state of the final reports of windows that are no longer reported.
+// The caller holds mu.
 func (d *duties) expireFinalReports(current usage.Window) {
 	for k := range d.finalReports {
 		if k.window <= current-maxWindowsBack {
@@ -167,8 +167,8 @@
 	}
 }
 
-// receiveReport merges the usage report of another router, and returns the answer to it. It always
-// returns true.
+// receiveReport merges the usage report of another router and returns its acknowledgement, which is
+// always to be sent (true).
 func (d *duties) receiveReport(r peers.UsageReport) (peers.UsageAck, bool) {
 	d.clock.Observe(r.Reporter.Router, r.LocalTime)
 	now, local := d.clock.Now(), d.clock.Local()
@@ -181,7 +181,7 @@
 	}, true
 }
 
-// receiveAck processes the answer of another router to a usage report.
+// receiveAck processes the acknowledgement of a usage report by another router.
 func (d *duties) receiveAck(a peers.UsageAck) {
 	d.clock.Observe(a.Router, a.TrueTime)
 	d.mu.Lock()
